--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -27,7 +27,7 @@
 use crate::load::fleet_servers::FleetServers;
 use crate::load::repeat_share::RepeatShare;
 use crate::load::retry_budget::BudgetTerms;
-use crate::load::server_load::ToldLoad;
+use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::ChoiceNeed;
 use crate::load::server_pool::SearchCosts;
 use crate::load::server_pool::ServerEvidence;
@@ -493,7 +493,7 @@
         now: Duration,
         instance: &str,
         route: &Arc<str>,
-        load: ToldLoad,
+        load: ReportedLoad,
     ) {
         self.servers.tell(now, instance, route, load);
     }
--- a/crates/core/src/load/fleet_servers.rs
+++ b/crates/core/src/load/fleet_servers.rs
@@ -6,7 +6,7 @@
 
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
-use crate::load::server_load::ToldLoad;
+use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::ServerEvidence;
 use crate::load::server_pool::ServerPool;
 
@@ -68,7 +68,7 @@
         now: Duration,
         instance: &str,
         route: &Arc<str>,
-        load: ToldLoad,
+        load: ReportedLoad,
     ) {
         let Some(home) = self.homes.get(instance) else {
             return;
--- a/crates/core/src/load/server_load.rs
+++ b/crates/core/src/load/server_load.rs
@@ -36,7 +36,7 @@
 /// Load of one server as seen by one entry node.
 /// What a server's node told of it, with an answer to a call on some route.
 #[derive(Clone, Copy, Debug)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// How long a call would wait for a slot.
     pub wait: Duration,
     /// What a job on the route takes lately, all entry nodes' calls together.
@@ -92,7 +92,7 @@
     }
 
     /// The server's node told of its load, with an answer on `route`.
-    pub fn tell(&mut self, now: Duration, route: &Arc<str>, load: ToldLoad) {
+    pub fn tell(&mut self, now: Duration, route: &Arc<str>, load: ReportedLoad) {
         self.told = Some(ToldWait {
             wait: load.wait,
             at: now,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -25,8 +25,8 @@
 use crate::load::answer_loss::AnswerWorth;
 use crate::load::outlier_watch::FailureShare;
 use crate::load::outlier_watch::OutlierWatch;
+use crate::load::server_load::ReportedLoad;
 use crate::load::server_load::ServerLoad;
-use crate::load::server_load::ToldLoad;
 
 /// Score of the better near server from which others are looked at: three
 /// quarters of its slots, before calls begin to wait there.
@@ -360,7 +360,7 @@
         now: Duration,
         instance: &str,
         route: &Arc<str>,
-        load: ToldLoad,
+        load: ReportedLoad,
     ) {
         if let Some(server) = self.get_mut(instance) {
             server.load.tell(now, route, load);
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -13,7 +13,7 @@
 use cowslip_core::document::CallPriority;
 use cowslip_core::load::answer_loss::AnswerWorth;
 use cowslip_core::load::repeat_share::RepeatShare;
-use cowslip_core::load::server_load::ToldLoad;
+use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::load::server_pool::ChoiceNeed;
 use cowslip_core::load::server_pool::SearchCosts;
 use cowslip_core::load::server_pool::ServerPool;
@@ -82,14 +82,14 @@
 }
 
 /// What a server's node tells: the wait there, and what a job takes.
-fn told(wait: u64, work: u64) -> ToldLoad {
-    ToldLoad {
+fn told(wait: u64, work: u64) -> ReportedLoad {
+    ReportedLoad {
         wait: millis(wait),
         work: Some(millis(work)),
     }
 }
 
-fn tell(pool: &mut ServerPool, now: Duration, number: u16, load: ToldLoad) {
+fn tell(pool: &mut ServerPool, now: Duration, number: u16, load: ReportedLoad) {
     pool.tell(now, &format!("records-{number}"), &"/sheets".into(), load);
 }
 
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -20,7 +20,7 @@
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::deadline_budget;
 use cowslip_core::load::repeat_share::RepeatShare;
-use cowslip_core::load::server_load::ToldLoad;
+use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::evidence::MeasuredTry;
 use cowslip_core::rollout::evidence::TryEnd;
@@ -510,8 +510,8 @@
 }
 
 /// How long a call would wait at the server now, as its node says.
-fn told_load(answer: &HopAnswer) -> Option<ToldLoad> {
-    Some(ToldLoad {
+fn told_load(answer: &HopAnswer) -> Option<ReportedLoad> {
+    Some(ReportedLoad {
         wait: told_time(answer, call_headers::WAIT_MS)?,
         work: told_time(answer, call_headers::WORK_MS),
     })
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -23,7 +23,7 @@
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::load::repeat_share::RepeatShare;
-use cowslip_core::load::server_load::ToldLoad;
+use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::move_board::NodeReport;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::refusal::RetryReason;
@@ -80,7 +80,7 @@
     /// Time left in which the answer is worth most.
     pub target_left: Option<Duration>,
     /// What the server's node told of its load.
-    pub told_load: Option<ToldLoad>,
+    pub told_load: Option<ReportedLoad>,
     /// Why this is not the first try.
     pub retry: Option<RetryReason>,
     /// True where the service is under a move, so that the try counts as
@@ -109,7 +109,7 @@
     Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<TryAnswer>),
     /// A try's answer has been passed on whole, or was given up; what
     /// the server's node told of its load with it.
-    Ended(TryReport, Option<ToldLoad>),
+    Ended(TryReport, Option<ReportedLoad>),
     /// A try at the instance was given up before any answer.
     Abandoned(Arc<str>),
     /// What a try of a service under a move came to.
