--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -30,8 +30,8 @@
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::ChoiceNeed;
 use crate::load::server_pool::SearchCosts;
-use crate::load::server_pool::ServerEvidence;
 use crate::load::server_pool::SlotSearch;
+use crate::load::server_pool::TryOutcome;
 use crate::load::service_pressure::ServicePressure;
 use crate::refusal::RefusalReason;
 use crate::rollout::last_server::is_last_of_old;
@@ -429,7 +429,7 @@
         }
         let pressure = self.pressures.entry(Arc::clone(&plan.service));
         let pressure = pressure.or_default();
-        if evidence == ServerEvidence::Full {
+        if evidence == TryOutcome::Full {
             pressure.refused(now, &mut self.rng);
         }
         if failure.reached_server() {
@@ -450,7 +450,7 @@
         }
         // A refusal by a server's node reaches no server. Where calls seek slots
         // it is part of the search, whose length the tries bound.
-        let full = evidence == ServerEvidence::Full && !plan.seeks_slots;
+        let full = evidence == TryOutcome::Full && !plan.seeks_slots;
         let costs = failure.reached_server() || full;
         if costs && !pressure.budget.spend(&mut self.rng) {
             return NextStep::Refuse(match plan.verdict {
@@ -474,7 +474,7 @@
         let evidence = match report.status {
             STATUS_SHED => {
                 pressure.refused(now, &mut self.rng);
-                ServerEvidence::Full
+                TryOutcome::Full
             }
             status => {
                 pressure.taken(now, &report.customer, report.priority);
@@ -500,27 +500,27 @@
 
     /// A try was given up by its caller before any answer.
     pub fn abandoned(&mut self, now: Duration, instance: &str) {
-        self.servers.end(now, instance, ServerEvidence::Nothing);
+        self.servers.end(now, instance, TryOutcome::Nothing);
     }
 }
 
 /// What a failure says of its server.
-fn evidence_of(failure: TryFailure) -> ServerEvidence {
+fn evidence_of(failure: TryFailure) -> TryOutcome {
     match failure.reason {
         RefusalReason::QueueFull
         | RefusalReason::QueueTimeout
-        | RefusalReason::ServerRefused => ServerEvidence::Full,
+        | RefusalReason::ServerRefused => TryOutcome::Full,
         RefusalReason::Draining
         | RefusalReason::Stopping
-        | RefusalReason::NotAnnounced => ServerEvidence::Away,
+        | RefusalReason::NotAnnounced => TryOutcome::Away,
         RefusalReason::ConnectFailed
         | RefusalReason::ConnectionBroken
-        | RefusalReason::ServerFailed => ServerEvidence::Failed,
+        | RefusalReason::ServerFailed => TryOutcome::Failed,
         // No answer in time; a refusal for want of time says nothing.
         RefusalReason::DeadlinePassed if failure.verdict != CallVerdict::NotRun => {
-            ServerEvidence::Failed
+            TryOutcome::Failed
         }
-        _ => ServerEvidence::Nothing,
+        _ => TryOutcome::Nothing,
     }
 }
 
--- a/crates/core/src/load/fleet_servers.rs
+++ b/crates/core/src/load/fleet_servers.rs
@@ -7,8 +7,8 @@
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
 use crate::load::server_load::ReportedLoad;
-use crate::load::server_pool::ServerEvidence;
 use crate::load::server_pool::ServerPool;
+use crate::load::server_pool::TryOutcome;
 
 /// Which pool an instance is in.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
     }
 
     /// A try at an instance is over.
-    pub fn end(&mut self, now: Duration, instance: &str, evidence: ServerEvidence) {
+    pub fn end(&mut self, now: Duration, instance: &str, evidence: TryOutcome) {
         let Some(home) = self.homes.get(instance) else {
             return;
         };
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -108,7 +108,7 @@
 
 /// What a try showed of its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ServerEvidence {
+pub enum TryOutcome {
     /// It answered, this many times as slowly as is usual for the route.
     Answered(f64),
     /// It failed, or its node could not be reached.
@@ -423,7 +423,7 @@
     }
 
     /// A try is over.
-    pub fn end(&mut self, now: Duration, instance: &str, evidence: ServerEvidence) {
+    pub fn end(&mut self, now: Duration, instance: &str, evidence: TryOutcome) {
         let ejected = self.ejected_if_asked(evidence);
         let allowed = self.ejected_max();
         let mut pool = self.outcomes;
@@ -432,14 +432,14 @@
         };
         server.load.end();
         match evidence {
-            ServerEvidence::Answered(ratio) => {
+            TryOutcome::Answered(ratio) => {
                 pool.add(now, false);
                 server.load.answered(now, ratio);
                 if server.watch.answered(now) {
                     server.load.restart(now);
                 }
             }
-            ServerEvidence::Failed => {
+            TryOutcome::Failed => {
                 pool.add(now, true);
                 server.load.failed(now);
                 let again = server.watch.is_ejected();
@@ -448,16 +448,16 @@
                     server.watch.eject(now);
                 }
             }
-            ServerEvidence::Full => server.load.full(now),
-            ServerEvidence::Away => server.away_until = now + AWAY_TIME,
-            ServerEvidence::Nothing => {}
+            TryOutcome::Full => server.load.full(now),
+            TryOutcome::Away => server.away_until = now + AWAY_TIME,
+            TryOutcome::Nothing => {}
         }
         self.outcomes = pool;
     }
 
-    fn ejected_if_asked(&self, evidence: ServerEvidence) -> usize {
+    fn ejected_if_asked(&self, evidence: TryOutcome) -> usize {
         match evidence {
-            ServerEvidence::Failed => self.ejected(),
+            TryOutcome::Failed => self.ejected(),
             _ => 0,
         }
     }
--- a/crates/core/src/load/service_pressure.rs
+++ b/crates/core/src/load/service_pressure.rs
@@ -13,7 +13,7 @@
 use crate::load::customer_throttle::CustomerThrottle;
 use crate::load::retry_budget::RetryBudget;
 use crate::load::returning_callers::ReturningCallers;
-use crate::load::server_pool::ServerEvidence;
+use crate::load::server_pool::TryOutcome;
 use crate::load::service_times::ServiceTimes;
 
 /// The throttle is dropped when no server has refused for this long: several
@@ -66,13 +66,13 @@
 
     /// What an answer says of its server: its time beside that of others'
     /// answers on the route.
-    pub fn evidence(&mut self, report: &TryReport, failed: bool) -> ServerEvidence {
+    pub fn evidence(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
         if failed {
-            return ServerEvidence::Failed;
+            return TryOutcome::Failed;
         }
         self.times.observe(&report.route, report.taken, true);
         let ratio = self.times.ratio(&report.route, report.taken);
-        ServerEvidence::Answered(ratio)
+        TryOutcome::Answered(ratio)
     }
 
     /// How long ago the caller of a call that gives it `deadline` began to
