--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -28,8 +28,8 @@
 use crate::load::repeat_share::RepeatShare;
 use crate::load::retry_budget::BudgetTerms;
 use crate::load::server_load::ReportedLoad;
-use crate::load::server_pool::ChoiceNeed;
 use crate::load::server_pool::SearchCosts;
+use crate::load::server_pool::ServerCriteria;
 use crate::load::server_pool::SlotSearch;
 use crate::load::server_pool::TryOutcome;
 use crate::load::service_pressure::ServicePressure;
@@ -375,7 +375,7 @@
             });
             let among = share.map(|share| pool.for_share(share));
             for search in &searches {
-                let need = ChoiceNeed {
+                let need = ServerCriteria {
                     tried: &plan.tried,
                     idempotent: plan.idempotent,
                     search: *search,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -58,7 +58,7 @@
 
 /// What a call asks of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct ChoiceNeed<'a> {
+pub struct ServerCriteria<'a> {
     /// Instances that failed it already.
     pub tried: &'a [Arc<str>],
     /// Whether it may be a trial of an ejected server.
@@ -100,7 +100,7 @@
     pub worth: AnswerWorth,
 }
 
-impl ChoiceNeed<'_> {
+impl ServerCriteria<'_> {
     fn allows(&self, instance: &Arc<str>) -> bool {
         self.among.is_none_or(|among| among.contains(instance))
     }
@@ -130,7 +130,7 @@
 }
 
 impl PooledServer {
-    fn admits(&self, now: Duration, need: &ChoiceNeed<'_>) -> bool {
+    fn admits(&self, now: Duration, need: &ServerCriteria<'_>) -> bool {
         now >= self.away_until
             && self
                 .watch
@@ -262,7 +262,7 @@
     pub fn choose(
         &mut self,
         now: Duration,
-        need: &ChoiceNeed<'_>,
+        need: &ServerCriteria<'_>,
         rng: &mut SmallRng,
     ) -> Option<ServerTry> {
         match need.search {
@@ -308,7 +308,7 @@
     fn seek(
         &self,
         now: Duration,
-        need: &ChoiceNeed<'_>,
+        need: &ServerCriteria<'_>,
         costs: &SearchCosts<'_>,
         free: bool,
         rng: &mut SmallRng,
@@ -371,7 +371,7 @@
         &self,
         side: usize,
         now: Duration,
-        need: &ChoiceNeed<'_>,
+        need: &ServerCriteria<'_>,
         rng: &mut SmallRng,
     ) -> Option<ScoredPlace> {
         let first = self.draw_one(side, None, now, need, rng);
@@ -384,7 +384,7 @@
         side: usize,
         besides: Option<PoolPlace>,
         now: Duration,
-        need: &ChoiceNeed<'_>,
+        need: &ServerCriteria<'_>,
         rng: &mut SmallRng,
     ) -> Option<ScoredPlace> {
         let servers = &self.sides[side];
@@ -410,7 +410,7 @@
 
     /// Where no server admits the call, the first not tried: it may have
     /// come back, and refusing unasked would be no better.
-    fn last_resort(&self, need: &ChoiceNeed<'_>) -> Option<PoolPlace> {
+    fn last_resort(&self, need: &ServerCriteria<'_>) -> Option<PoolPlace> {
         for (side, servers) in self.sides.iter().enumerate() {
             for (at, server) in servers.iter().enumerate() {
                 let instance = &server.record.instance;
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -14,8 +14,8 @@
 use cowslip_core::load::answer_loss::AnswerWorth;
 use cowslip_core::load::repeat_share::RepeatShare;
 use cowslip_core::load::server_load::ReportedLoad;
-use cowslip_core::load::server_pool::ChoiceNeed;
 use cowslip_core::load::server_pool::SearchCosts;
+use cowslip_core::load::server_pool::ServerCriteria;
 use cowslip_core::load::server_pool::ServerPool;
 use cowslip_core::load::server_pool::SlotSearch;
 use cowslip_core::refusal::RefusalReason;
@@ -58,7 +58,7 @@
 
 /// A search for an answer that is worth most within 300 ms, and that loses
 /// `far` of it between failure domains.
-fn search<'a>(free: bool, far: f64, full: &'a [Arc<str>]) -> ChoiceNeed<'a> {
+fn search<'a>(free: bool, far: f64, full: &'a [Arc<str>]) -> ServerCriteria<'a> {
     let costs = SearchCosts {
         full,
         route: "/sheets",
@@ -69,7 +69,7 @@
             far,
         },
     };
-    ChoiceNeed {
+    ServerCriteria {
         among: None,
         tried: &[],
         idempotent: true,
@@ -93,7 +93,7 @@
     pool.tell(now, &format!("records-{number}"), &"/sheets".into(), load);
 }
 
-fn chosen(pool: &mut ServerPool, now: Duration, need: &ChoiceNeed<'_>) -> ServerTry {
+fn chosen(pool: &mut ServerPool, now: Duration, need: &ServerCriteria<'_>) -> ServerTry {
     let mut rng = SmallRng::seed_from_u64(1);
     pool.choose(now, need, &mut rng).expect("a server")
 }
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -21,7 +21,7 @@
 use cowslip_core::load::retry_advice::CallerTime;
 use cowslip_core::load::retry_budget::BudgetTerms;
 use cowslip_core::load::retry_budget::RetryBudget;
-use cowslip_core::load::server_pool::ChoiceNeed;
+use cowslip_core::load::server_pool::ServerCriteria;
 use cowslip_core::load::server_pool::ServerPool;
 use cowslip_core::load::server_pool::SlotSearch;
 use cowslip_core::load::server_pool::TryOutcome;
@@ -59,8 +59,8 @@
     pool
 }
 
-fn need(tried: &[Arc<str>]) -> ChoiceNeed<'_> {
-    ChoiceNeed {
+fn need(tried: &[Arc<str>]) -> ServerCriteria<'_> {
+    ServerCriteria {
         among: None,
         search: SlotSearch::ByScore,
         tried,
@@ -222,7 +222,7 @@
     assert_eq!(pool.ejected(), 1);
     let others = ["server-0".into(), "server-2".into()];
     let back = WARM + millis(5_100);
-    let acceptance = ChoiceNeed {
+    let acceptance = ServerCriteria {
         among: None,
         search: SlotSearch::ByScore,
         idempotent: false,
