--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -26,7 +26,7 @@
 use crate::load::answer_loss::AnswerWorth;
 use crate::load::fleet_servers::FleetServers;
 use crate::load::repeat_share::RepeatShare;
-use crate::load::retry_budget::BudgetTerms;
+use crate::load::retry_budget::BudgetConfig;
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::SearchCosts;
 use crate::load::server_pool::ServerCriteria;
@@ -281,7 +281,7 @@
             self.turned_away(now, &plan);
             return Err(RefusalReason::CustomerLimit);
         }
-        let terms = BudgetTerms::of(percent, burst, self.directory.len());
+        let terms = BudgetConfig::of(percent, burst, self.directory.len());
         pressure.budget.earn(now, terms);
         Ok(plan)
     }
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -28,7 +28,7 @@
 
 /// What a node may earn and save.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetTerms {
+pub struct BudgetConfig {
     /// Part of a retry that one first try earns.
     per_try: f64,
     /// Retries earned each second.
@@ -37,7 +37,7 @@
     saved_max: f64,
 }
 
-impl BudgetTerms {
+impl BudgetConfig {
     /// Terms of a node among `nodes` whose fleet allows `percent` retries a
     /// hundred first tries and `burst` more at once; 0 sets no such sum.
     ///
@@ -72,7 +72,7 @@
 
 impl RetryBudget {
     /// A first try earns its part of a retry.
-    pub fn earn(&mut self, now: Duration, terms: BudgetTerms) {
+    pub fn earn(&mut self, now: Duration, terms: BudgetConfig) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
         self.staked = terms.saved_max < 1.0;
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -19,7 +19,7 @@
 use cowslip_core::load::fleet_servers::FleetServers;
 use cowslip_core::load::retry_advice;
 use cowslip_core::load::retry_advice::CallerTime;
-use cowslip_core::load::retry_budget::BudgetTerms;
+use cowslip_core::load::retry_budget::BudgetConfig;
 use cowslip_core::load::retry_budget::RetryBudget;
 use cowslip_core::load::server_pool::ServerCriteria;
 use cowslip_core::load::server_pool::ServerPool;
@@ -157,7 +157,7 @@
             now += millis(wait);
             if earn {
                 first += 1;
-                budget.earn(now, BudgetTerms::of(percent, 0, 1));
+                budget.earn(now, BudgetConfig::of(percent, 0, 1));
             } else if budget.spend(&mut rng) {
                 again += 1;
             }
@@ -357,7 +357,7 @@
     for _ in 0..nodes {
         let mut budget = RetryBudget::default();
         for step in 0..10 {
-            let terms = BudgetTerms::of(15, 40, nodes);
+            let terms = BudgetConfig::of(15, 40, nodes);
             budget.earn(millis(step * 1_000), terms);
         }
         while budget.spend(&mut rng) {
--- a/crates/core/tests/retry_sum.rs
+++ b/crates/core/tests/retry_sum.rs
@@ -21,7 +21,7 @@
 use cowslip_core::entry_router::NextStep;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::repeat_share::RepeatShare;
-use cowslip_core::load::retry_budget::BudgetTerms;
+use cowslip_core::load::retry_budget::BudgetConfig;
 use cowslip_core::load::retry_budget::RetryBudget;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::tuning::TuningKey;
@@ -219,7 +219,7 @@
 fn starting_nodes_hold_no_more_than_the_sum() {
     for nodes in [1, 6, 60, 300, 1_000] {
         let mut rng = SmallRng::seed_from_u64(nodes as u64);
-        let terms = BudgetTerms::of(0, 40, nodes);
+        let terms = BudgetConfig::of(0, 40, nodes);
         let mut spent = 0;
         for _ in 0..nodes {
             let mut budget = RetryBudget::default();
