--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -32,7 +32,7 @@
 use crate::load::server_pool::ServerCriteria;
 use crate::load::server_pool::SlotSearch;
 use crate::load::server_pool::TryOutcome;
-use crate::load::service_pressure::ServicePressure;
+use crate::load::service_load::ServiceLoad;
 use crate::refusal::RefusalReason;
 use crate::rollout::last_server::is_last_of_old;
 use crate::rollout::node_guard::NodeGuard;
@@ -100,7 +100,7 @@
     routes: RouteTable,
     directory: EndpointDirectory,
     servers: FleetServers,
-    pressures: HashMap<Arc<str>, ServicePressure>,
+    pressures: HashMap<Arc<str>, ServiceLoad>,
     guard: NodeGuard,
     rng: SmallRng,
 }
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -25,7 +25,7 @@
 pub mod returning_callers;
 pub mod server_load;
 pub mod server_pool;
-pub mod service_pressure;
+pub mod service_load;
 pub mod service_times;
 pub mod start_room;
 pub mod timely_queue;
--- a/crates/core/src/load/service_pressure.rs
+++ b/crates/core/src/load/service_load.rs
@@ -28,7 +28,7 @@
 
 /// Retry budget, usual times and, under overload, the customers' throttle.
 #[derive(Debug, Default)]
-pub struct ServicePressure {
+pub struct ServiceLoad {
     /// Further tries left.
     pub budget: RetryBudget,
     times: ServiceTimes,
@@ -39,7 +39,7 @@
     refused_at: Duration,
 }
 
-impl ServicePressure {
+impl ServiceLoad {
     /// Counts a call that came in; false where the throttle refuses it.
     pub fn admit(
         &mut self,
