--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -23,7 +23,7 @@
 use crate::document::RepeatRule;
 use crate::document::RouteSpec;
 use crate::document::ServiceSpec;
-use crate::load::answer_loss::AnswerWorth;
+use crate::load::answer_value::AnswerValue;
 use crate::load::fleet_servers::FleetServers;
 use crate::load::repeat_share::RepeatShare;
 use crate::load::retry_budget::BudgetConfig;
@@ -337,7 +337,7 @@
             full: &plan.full,
             usual: pressure.lately(&plan.route),
             route: &plan.route,
-            worth: AnswerWorth {
+            worth: AnswerValue {
                 target_left: plan.target_left(now),
                 left: plan.deadline_at.saturating_sub(now),
                 far: kilobytes * plan.far_cost_per_kb as f64 / WORTH_PARTS,
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -6,7 +6,7 @@
 //! those of a backend server's own node, [`crate::entry_router`] those of
 //! an entry node.
 
-pub mod answer_loss;
+pub mod answer_value;
 pub mod call_queue;
 pub mod caller_ages;
 pub mod concurrency_limit;
--- a/crates/core/src/load/answer_loss.rs
+++ b/crates/core/src/load/answer_value.rs
@@ -19,7 +19,7 @@
 
 /// What an answer is worth, and until when.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerWorth {
+pub struct AnswerValue {
     /// Time in which it is worth most.
     pub target_left: Duration,
     /// Time in which it is worth anything.
@@ -28,7 +28,7 @@
     pub far: f64,
 }
 
-impl AnswerWorth {
+impl AnswerValue {
     /// Part of its worth that the answer is expected to lose where it waits
     /// `wait` for a job of `work` on average.
     pub fn loss(&self, wait: Duration, work: Duration, far: bool) -> f64 {
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -22,7 +22,7 @@
 
 use crate::call_try::ServerTry;
 use crate::directory::EndpointRecord;
-use crate::load::answer_loss::AnswerWorth;
+use crate::load::answer_value::AnswerValue;
 use crate::load::outlier_watch::FailureShare;
 use crate::load::outlier_watch::OutlierWatch;
 use crate::load::server_load::ReportedLoad;
@@ -97,7 +97,7 @@
     /// Usual time of the call's work, where its server's node told none.
     pub usual: Duration,
     /// What its answer is worth.
-    pub worth: AnswerWorth,
+    pub worth: AnswerValue,
 }
 
 impl ServerCriteria<'_> {
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -11,7 +11,7 @@
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::document::CallPriority;
-use cowslip_core::load::answer_loss::AnswerWorth;
+use cowslip_core::load::answer_value::AnswerValue;
 use cowslip_core::load::repeat_share::RepeatShare;
 use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::load::server_pool::SearchCosts;
@@ -63,7 +63,7 @@
         full,
         route: "/sheets",
         usual: WORK,
-        worth: AnswerWorth {
+        worth: AnswerValue {
             target_left: TARGET,
             left: millis(2_000),
             far,
