--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -337,7 +337,7 @@
             full: &plan.full,
             usual: pressure.lately(&plan.route),
             route: &plan.route,
-            worth: AnswerValue {
+            value: AnswerValue {
                 target_left: plan.target_left(now),
                 left: plan.deadline_at.saturating_sub(now),
                 far: kilobytes * plan.far_cost_per_kb as f64 / WORTH_PARTS,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -97,7 +97,7 @@
     /// Usual time of the call's work, where its server's node told none.
     pub usual: Duration,
     /// What its answer is worth.
-    pub worth: AnswerValue,
+    pub value: AnswerValue,
 }
 
 impl ServerCriteria<'_> {
@@ -172,7 +172,7 @@
         if self.place.side == FAR {
             return Duration::ZERO;
         }
-        costs.worth.wait_for(self.work, self.far_loss)
+        costs.value.wait_for(self.work, self.far_loss)
     }
 }
 
@@ -330,7 +330,7 @@
                     continue;
                 }
                 let work = server.load.work(now, costs.route, costs.usual);
-                let loss = costs.worth.loss(wait, work, side == FAR);
+                let loss = costs.value.loss(wait, work, side == FAR);
                 if side == FAR {
                     least_far = Some(least_far.map_or(loss, |least| least.min(loss)));
                 }
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -63,7 +63,7 @@
         full,
         route: "/sheets",
         usual: WORK,
-        worth: AnswerValue {
+        value: AnswerValue {
             target_left: TARGET,
             left: millis(2_000),
             far,
