--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -16,7 +16,7 @@
 pub mod decayed_count;
 pub mod fair_tags;
 pub mod fleet_servers;
-pub mod late_room;
+pub mod late_call_limit;
 pub mod outlier_watch;
 pub mod queue_order;
 pub mod repeat_share;
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -14,7 +14,7 @@
 use crate::load::call_queue::JobLength;
 use crate::load::call_queue::WaitingCall;
 use crate::load::concurrency_limit::ConcurrencyLimit;
-use crate::load::late_room;
+use crate::load::late_call_limit;
 use crate::load::queue_order::QueueOrder;
 use crate::load::queue_order::StandingQueue;
 use crate::load::repeat_share::RepeatShare;
@@ -458,7 +458,8 @@
         self.expire(now, actions);
         while self.in_flight() < self.limit.allowed() {
             let long_free = self.running_long < self.long_allowed();
-            let late_free = late_room::may_start(self.in_flight(), self.limit.allowed());
+            let late_free =
+                late_call_limit::may_start(self.in_flight(), self.limit.allowed());
             let Some(call) = self.queue.pop(now, self.order, long_free, late_free) else {
                 break;
             };
@@ -492,7 +493,7 @@
     fn bound(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
         let allowed = self.limit.allowed();
         let room = self.standing.room(now, self.bounds.calls, allowed);
-        let late = late_room::waiting_max(allowed);
+        let late = late_call_limit::waiting_max(allowed);
         while let Some(call) = self.queue.evict_late(late, self.order) {
             actions.push(GateAction::Refuse(call.ticket, RefusalReason::QueueFull));
         }
