--- a/crates/node/src/start_calls.rs
+++ b/crates/node/src/start_calls.rs
@@ -1,13 +1,13 @@
 //! Calls that wait for the first configuration of a node.
 //!
 //! Which calls wait and how long is decided in
-//! [`cowslip_core::load::start_room`]; here they are kept.
+//! [`cowslip_core::load::startup_wait`]; here they are kept.
 
 use std::time::Duration;
 
 use tokio::sync::oneshot;
 
-use cowslip_core::load::start_room;
+use cowslip_core::load::startup_wait;
 use cowslip_core::refusal::RefusalReason;
 
 use crate::entry_task::CallRefusal;
@@ -66,7 +66,7 @@
         refusal: CallRefusal,
         reply: oneshot::Sender<TryAnswer>,
     ) {
-        let until = start_room::wait_until(now, head.deadline, self.calls.len());
+        let until = startup_wait::wait_until(now, head.deadline, self.calls.len());
         let Some(until) = until.filter(|_| may_pass(refusal)) else {
             // A caller that left needs no answer.
             let _ = reply.send(Err(refusal));
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -20,7 +20,7 @@
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::entry_router::CallOrigin;
 use cowslip_core::load::repeat_share::RepeatShare;
-use cowslip_core::load::start_room;
+use cowslip_core::load::startup_wait;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::version::ConfigVersion;
 use cowslip_node::entry_task;
@@ -158,7 +158,7 @@
 #[test]
 fn waiting_is_bounded_in_time_and_number() {
     let ms = Duration::from_millis;
-    let until = start_room::wait_until;
+    let until = startup_wait::wait_until;
     assert_eq!(until(ms(100), Some(ms(800)), 0), Some(ms(300)));
     assert_eq!(until(ms(100), Some(ms(60_000)), 0), Some(ms(1_500)));
     assert_eq!(until(ms(100), None, 0), Some(ms(1_500)));
