--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -189,7 +189,7 @@
     }
 
     /// The same, where jobs on it have been seen.
-    pub fn seen_lately(&self, route: &str) -> Option<Duration> {
+    pub fn observed_mean(&self, route: &str) -> Option<Duration> {
         let times = self.routes.get(route)?;
         Some(Duration::from_secs_f64(times.lately))
     }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -345,7 +345,7 @@
     /// Route of a call that holds a slot, and what its jobs take lately.
     pub fn work_of(&self, ticket: CallTicket) -> Option<(Arc<str>, Duration)> {
         let call = self.running.get(&ticket)?;
-        let work = self.times.seen_lately(&call.route)?;
+        let work = self.times.observed_mean(&call.route)?;
         Some((Arc::clone(&call.route), work))
     }
 
