--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -106,8 +106,8 @@
     }
 
     /// What an answer on `route` takes lately, at whichever server.
-    pub fn lately(&self, route: &str) -> Duration {
-        self.times.lately(route)
+    pub fn mean_time(&self, route: &str) -> Duration {
+        self.times.mean_time(route)
     }
 
     /// An answer on `route` had this many bytes.
--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -180,7 +180,7 @@
 
     /// What a job on `route` takes now, whatever the reason: its server's load,
     /// cold start or slowness, or the services that it calls.
-    pub fn lately(&self, route: &str) -> Duration {
+    pub fn mean_time(&self, route: &str) -> Duration {
         if let Some(times) = self.routes.get(route) {
             return Duration::from_secs_f64(times.lately);
         }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -247,7 +247,7 @@
         // is lost for calls that could still be answered. Where slots are
         // free a quick run may do, where calls wait what it takes lately.
         let work = if full {
-            self.times.lately(&call.route)
+            self.times.mean_time(&call.route)
         } else {
             self.times.least(&call.route)
         };
@@ -299,7 +299,7 @@
         let Some(late_at) = late_at else {
             return bound;
         };
-        let work = self.times.lately(&call.route);
+        let work = self.times.mean_time(&call.route);
         bound.min(late_at.saturating_sub(now).max(work))
     }
 
@@ -314,7 +314,7 @@
     /// its capacity are in time after a cold start, without them 0.00
     /// (`tests/timely_overload.rs`).
     fn late_at(&self, now: Duration, call: &OfferedCall) -> Option<Duration> {
-        let work = self.times.lately(&call.route).mul_f64(LATE_MARGIN);
+        let work = self.times.mean_time(&call.route).mul_f64(LATE_MARGIN);
         // Brief ones cost the others little, and many are made by servers for
         // requests that wait for them: late or not, they keep their place.
         if self.times.is_brief(&call.route) {
@@ -333,7 +333,7 @@
         }
         let mut work = Duration::ZERO;
         for call in self.running.values() {
-            work += self.times.lately(&call.route);
+            work += self.times.mean_time(&call.route);
         }
         // Slots of equal work at random stages: one is free after a part of
         // the mean that falls with their number.
