--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -139,7 +139,7 @@
 
     /// A job on `route` was given up after `lasted`: it would have taken at
     /// least that long, which says something where it is long already.
-    pub fn observe_given_up(&mut self, route: &str, lasted: Duration) {
+    pub fn observe_abandoned(&mut self, route: &str, lasted: Duration) {
         let lasted = lasted.as_secs_f64();
         if let Some(times) = self.routes.get_mut(route) {
             if lasted > times.recent {
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -421,7 +421,7 @@
             SlotOutcome::Abandoned => {
                 self.times.observe_unended(&call.route, lasted);
                 if own {
-                    self.times.observe_given_up(&call.route, lasted);
+                    self.times.observe_abandoned(&call.route, lasted);
                 }
             }
         }
