--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -150,7 +150,7 @@
 
     /// A job on `route` was given up after `lasted`, or has run that long:
     /// it takes at least as much.
-    pub fn observe_unended(&mut self, route: &str, lasted: Duration) {
+    pub fn observe_lower_bound(&mut self, route: &str, lasted: Duration) {
         let lasted = lasted.as_secs_f64();
         if let Some(times) = self.routes.get_mut(route) {
             if lasted > times.lately {
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -419,7 +419,7 @@
             }
             SlotOutcome::Shed => return self.limit.shed(now),
             SlotOutcome::Abandoned => {
-                self.times.observe_unended(&call.route, lasted);
+                self.times.observe_lower_bound(&call.route, lasted);
                 if own {
                     self.times.observe_abandoned(&call.route, lasted);
                 }
