--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -131,7 +131,7 @@
     }
 
     /// A job on `route` that the server did by itself took `taken`.
-    pub fn observe_own(&mut self, route: &str, taken: Duration) {
+    pub fn observe_local(&mut self, route: &str, taken: Duration) {
         if let Some(times) = self.routes.get_mut(route) {
             times.add_recent(taken.as_secs_f64());
         }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -414,7 +414,7 @@
                 let light = self.limit.is_light(in_flight.max(call.beside));
                 self.times.observe(&call.route, taken, light);
                 if own {
-                    self.times.observe_own(&call.route, taken);
+                    self.times.observe_local(&call.route, taken);
                 }
             }
             SlotOutcome::Shed => return self.limit.shed(now),
