--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -130,7 +130,7 @@
     }
 
     /// A job ended whose time says nothing of the server.
-    pub fn observe_nothing(&mut self, now: Duration, in_flight: u32) {
+    pub fn recover(&mut self, now: Duration, in_flight: u32) {
         if in_flight >= self.allowed() {
             let raised = (self.limit * RECOVER_FACTOR).max(self.limit + 1.0);
             self.change(now, RECOVER_EVERY, raised);
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -426,7 +426,7 @@
             }
         }
         if !own {
-            return self.limit.observe_nothing(now, in_flight);
+            return self.limit.recover(now, in_flight);
         }
         let slowdown = self.times.slowdown(&call.route);
         self.limit.observe(now, slowdown, ratio, in_flight);
