--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -167,7 +167,7 @@
 
     /// The least time a job on `route` can be expected to take; zero where
     /// that is not known, so that nothing is refused on a guess.
-    pub fn least(&self, route: &str) -> Duration {
+    pub fn min_time(&self, route: &str) -> Duration {
         let times = self.known(route);
         times.map_or(Duration::ZERO, |times| Duration::from_secs_f64(times.least))
     }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -249,7 +249,7 @@
         let work = if full {
             self.times.mean_time(&call.route)
         } else {
-            self.times.least(&call.route)
+            self.times.min_time(&call.route)
         };
         let late_at = self.late_at(now, &call);
         let patience = self.patience(now, &call, late_at);
@@ -371,7 +371,7 @@
         }
         // Guards against work that ends after its deadline: it would take a
         // slot from calls that can still be answered in time.
-        if call.left <= self.times.least(&call.route) {
+        if call.left <= self.times.min_time(&call.route) {
             return Err(RefusalReason::DeadlinePassed);
         }
         Ok(())
