--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -248,7 +248,7 @@
         });
         let target = route.target_ms.map(Duration::from_millis);
         if let Some(target) = target {
-            pressure.expect(&route.path, target);
+            pressure.add_prior(&route.path, target);
         }
         let plan = CallPlan {
             service: Arc::clone(service),
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -101,8 +101,8 @@
     }
 
     /// A call on `route` wants its answer within `target`.
-    pub fn expect(&mut self, route: &Arc<str>, target: Duration) {
-        self.times.expect(route, target);
+    pub fn add_prior(&mut self, route: &Arc<str>, target: Duration) {
+        self.times.add_prior(route, target);
     }
 
     /// What an answer on `route` takes lately, at whichever server.
--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -96,7 +96,7 @@
     /// Guards against a node that starts while its server has work for a
     /// second: with no time known a full queue passes for none, and all entry
     /// nodes send their calls there.
-    pub fn expect(&mut self, route: &Arc<str>, target_left: Duration) {
+    pub fn add_prior(&mut self, route: &Arc<str>, target_left: Duration) {
         if self.routes.contains_key(route) || self.guesses.len() >= ROUTES_MAX {
             return;
         }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -234,7 +234,7 @@
             return vec![GateAction::Refuse(ticket, reason)];
         }
         if let Some(target) = call.target_left {
-            self.times.expect(&call.route, target);
+            self.times.add_prior(&call.route, target);
         }
         let goes_first = call.inner && self.has_free_slot();
         let full = !self.queue.is_empty() || self.in_flight() >= self.limit.allowed();
