--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -227,7 +227,7 @@
 
     /// Whether jobs on `route` take a small part of the time of those of another
     /// route that are asked for often enough.
-    pub fn is_brief(&self, route: &str) -> bool {
+    pub fn is_much_shorter(&self, route: &str) -> bool {
         let Some(own) = self.usual_job(route) else {
             return false;
         };
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -317,7 +317,7 @@
         let work = self.times.mean_time(&call.route).mul_f64(LATE_MARGIN);
         // Brief ones cost the others little, and many are made by servers for
         // requests that wait for them: late or not, they keep their place.
-        if self.times.is_brief(&call.route) {
+        if self.times.is_much_shorter(&call.route) {
             return None;
         }
         let target = call.target_left?;
