--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -99,7 +99,7 @@
     }
 
     /// Keeps at least this part of the slots, in hundredths.
-    pub fn keep(&mut self, percent: u32) {
+    pub fn set_floor(&mut self, percent: u32) {
         self.kept = self.slots * percent.min(100) / 100;
         self.limit = self.limit.max(f64::from(self.kept));
     }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -176,7 +176,7 @@
             return;
         }
         self.limit = ConcurrencyLimit::new(server.slots);
-        self.limit.keep(self.bounds.slots_floor);
+        self.limit.set_floor(self.bounds.slots_floor);
         self.times.clear();
         self.announced = Some(server);
     }
@@ -184,7 +184,7 @@
     /// Bounds from the configuration in force.
     pub fn configure(&mut self, bounds: QueueBounds) {
         self.bounds = bounds;
-        self.limit.keep(bounds.slots_floor);
+        self.limit.set_floor(bounds.slots_floor);
     }
 
     /// The backend server is leaving: nothing new from now on, and what
