--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -291,7 +291,7 @@
     pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatShare) {
         plan.repeats = repeats;
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.budget.inherit(repeats);
+            pressure.budget.charge(repeats);
         }
     }
 
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -83,7 +83,7 @@
 
     /// A call came in that may repeat work of an earlier one. It is served
     /// whatever is left; retries wait until it has been earned.
-    pub fn inherit(&mut self, repeats: RepeatShare) {
+    pub fn charge(&mut self, repeats: RepeatShare) {
         let saved = self.saved.unwrap_or(SAVED_MAX);
         self.saved = Some(saved - repeats.expected());
     }
