--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -300,7 +300,7 @@
             return;
         };
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.turned_away(now, &plan.route, plan.asked_at, until);
+            pressure.record_refusal(now, &plan.route, plan.asked_at, until);
         }
     }
 
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -90,7 +90,7 @@
 
     /// A call on `route` whose caller began to ask at `asked_at` and has time
     /// until `until` was refused.
-    pub fn turned_away(
+    pub fn record_refusal(
         &mut self,
         now: Duration,
         route: &Arc<str>,
