--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -479,7 +479,7 @@
             status => {
                 pressure.taken(now, &report.customer, report.priority);
                 if let Some(bytes) = report.bytes {
-                    pressure.sized(&report.route, bytes);
+                    pressure.record_size(&report.route, bytes);
                 }
                 pressure.evidence(report, STATUS_FAILED.contains(&status))
             }
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -111,7 +111,7 @@
     }
 
     /// An answer on `route` had this many bytes.
-    pub fn sized(&mut self, route: &Arc<str>, bytes: u64) {
+    pub fn record_size(&mut self, route: &Arc<str>, bytes: u64) {
         if self.sizes.len() >= ROUTES_MAX && !self.sizes.contains_key(route) {
             return;
         }
