--- a/crates/core/src/load/queue_order.rs
+++ b/crates/core/src/load/queue_order.rs
@@ -48,7 +48,7 @@
     }
 
     /// Calls that may wait, of `calls` at most, where `allowed` run at once.
-    pub fn room(&self, now: Duration, calls: usize, allowed: u32) -> usize {
+    pub fn capacity(&self, now: Duration, calls: usize, allowed: u32) -> usize {
         match self.waiting_since {
             Some(since) if now >= since + STANDING_AFTER => {
                 calls.min(allowed as usize * STANDING_FACTOR)
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -492,7 +492,7 @@
 
     fn bound(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
         let allowed = self.limit.allowed();
-        let room = self.standing.room(now, self.bounds.calls, allowed);
+        let room = self.standing.capacity(now, self.bounds.calls, allowed);
         let late = late_call_limit::waiting_max(allowed);
         while let Some(call) = self.queue.evict_late(late, self.order) {
             actions.push(GateAction::Refuse(call.ticket, RefusalReason::QueueFull));
