--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -477,7 +477,7 @@
                 TryOutcome::Full
             }
             status => {
-                pressure.taken(now, &report.customer, report.priority);
+                pressure.accepted(now, &report.customer, report.priority);
                 if let Some(bytes) = report.bytes {
                     pressure.record_size(&report.route, bytes);
                 }
--- a/crates/core/src/load/customer_throttle.rs
+++ b/crates/core/src/load/customer_throttle.rs
@@ -84,7 +84,7 @@
     }
 
     /// A server took a call.
-    pub fn taken(&mut self, now: Duration, customer: &str, priority: CallPriority) {
+    pub fn accepted(&mut self, now: Duration, customer: &str, priority: CallPriority) {
         for at in self.places(customer, priority) {
             self.cells[at].taken.add(now, HALF_LIFE, 1.0);
         }
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -58,9 +58,9 @@
     }
 
     /// A server took a call.
-    pub fn taken(&mut self, now: Duration, customer: &str, priority: CallPriority) {
+    pub fn accepted(&mut self, now: Duration, customer: &str, priority: CallPriority) {
         if let Some(throttle) = &mut self.throttle {
-            throttle.taken(now, customer, priority);
+            throttle.accepted(now, customer, priority);
         }
     }
 
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -257,12 +257,12 @@
             hot_passed += 1;
         }
         if step % 25 == 0 {
-            throttle.taken(now, "hot", priority);
+            throttle.accepted(now, "hot", priority);
         }
         let small = format!("small-{}", step % 100);
         if step % 5 < 4 {
             small_refused += u32::from(!throttle.admit(now, &small, priority, &mut rng));
-            throttle.taken(now, &small, priority);
+            throttle.accepted(now, &small, priority);
         }
     }
     assert_eq!(small_refused, 0);
