--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -373,7 +373,7 @@
                 let on_trial = candidate.version == *version;
                 on_trial.then_some(candidate.share_per_mille)
             });
-            let among = share.map(|share| pool.for_share(share));
+            let among = share.map(|share| pool.subset_for_share(share));
             for search in &searches {
                 let need = ServerCriteria {
                     tried: &plan.tried,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -235,7 +235,7 @@
     /// it will be, from a small share on. So a server is not added for the
     /// little that a share exceeds what those before it are meant for: 256 of
     /// 1,000 on two of four servers fill none of them.
-    pub fn for_share(&self, share_per_mille: u16) -> Vec<Arc<str>> {
+    pub fn subset_for_share(&self, share_per_mille: u16) -> Vec<Arc<str>> {
         let mut names: Vec<Arc<str>> = self.places.keys().cloned().collect();
         names.sort_unstable();
         let wanted = names.len() as f64 * f64::from(share_per_mille) / 1_000.0;
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -287,12 +287,12 @@
     for number in 0..6 {
         pool.put(Duration::ZERO, record(number, number == 3), number == 3);
     }
-    let among = pool.for_share(160);
+    let among = pool.subset_for_share(160);
     assert_eq!(among.len(), 1);
     // The few that 512 of 1,000 is above one half fill no fourth server.
-    assert_eq!(pool.for_share(512).len(), 3);
+    assert_eq!(pool.subset_for_share(512).len(), 3);
     for share in 1..=1_000 {
-        let used = pool.for_share(share).len();
+        let used = pool.subset_for_share(share).len();
         let meant_for = 6.0 * f64::from(share) / 1_000.0;
         assert!(meant_for <= used as f64 + 0.1, "{share}: {used}");
         assert!(
@@ -300,8 +300,8 @@
             "{share}: {used}"
         );
     }
-    assert_eq!(pool.for_share(950).len(), 6);
-    assert_eq!(pool.for_share(1).len(), 1);
+    assert_eq!(pool.subset_for_share(950).len(), 6);
+    assert_eq!(pool.subset_for_share(1).len(), 1);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut need = search(true, 0.0, &[]);
     need.among = Some(&among);
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -55,7 +55,7 @@
 /// Load of each server that takes part in a share of the traffic, in
 /// thousandths.
 fn server_load(pool: &ServerPool, share: u16) -> f64 {
-    let used = pool.for_share(share).len();
+    let used = pool.subset_for_share(share).len();
     f64::from(share) / 1_000.0 * SERVERS as f64 / used as f64
 }
 
