--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -495,7 +495,7 @@
         route: &Arc<str>,
         load: ReportedLoad,
     ) {
-        self.servers.tell(now, instance, route, load);
+        self.servers.record_load(now, instance, route, load);
     }
 
     /// A try was given up by its caller before any answer.
--- a/crates/core/src/load/fleet_servers.rs
+++ b/crates/core/src/load/fleet_servers.rs
@@ -63,7 +63,7 @@
     }
 
     /// A server's node told of its load.
-    pub fn tell(
+    pub fn record_load(
         &mut self,
         now: Duration,
         instance: &str,
@@ -76,7 +76,7 @@
         let versions = self.pools.get_mut(&home.service);
         let pool = versions.and_then(|versions| versions.get_mut(&home.version));
         if let Some(pool) = pool {
-            pool.tell(now, instance, route, load);
+            pool.record_load(now, instance, route, load);
         }
     }
 
--- a/crates/core/src/load/server_load.rs
+++ b/crates/core/src/load/server_load.rs
@@ -92,7 +92,7 @@
     }
 
     /// The server's node told of its load, with an answer on `route`.
-    pub fn tell(&mut self, now: Duration, route: &Arc<str>, load: ReportedLoad) {
+    pub fn record_load(&mut self, now: Duration, route: &Arc<str>, load: ReportedLoad) {
         self.told = Some(ToldWait {
             wait: load.wait,
             at: now,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -355,7 +355,7 @@
     }
 
     /// A server's node told of its load.
-    pub fn tell(
+    pub fn record_load(
         &mut self,
         now: Duration,
         instance: &str,
@@ -363,7 +363,7 @@
         load: ReportedLoad,
     ) {
         if let Some(server) = self.get_mut(instance) {
-            server.load.tell(now, route, load);
+            server.load.record_load(now, route, load);
         }
     }
 
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -90,7 +90,7 @@
 }
 
 fn tell(pool: &mut ServerPool, now: Duration, number: u16, load: ReportedLoad) {
-    pool.tell(now, &format!("records-{number}"), &"/sheets".into(), load);
+    pool.record_load(now, &format!("records-{number}"), &"/sheets".into(), load);
 }
 
 fn chosen(pool: &mut ServerPool, now: Duration, need: &ServerCriteria<'_>) -> ServerTry {
