--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -481,7 +481,7 @@
                 if let Some(bytes) = report.bytes {
                     pressure.record_size(&report.route, bytes);
                 }
-                pressure.evidence(report, STATUS_FAILED.contains(&status))
+                pressure.outcome(report, STATUS_FAILED.contains(&status))
             }
         };
         self.servers.end(now, &report.instance, evidence);
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -66,7 +66,7 @@
 
     /// What an answer says of its server: its time beside that of others'
     /// answers on the route.
-    pub fn evidence(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
+    pub fn outcome(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
         if failed {
             return TryOutcome::Failed;
         }
