--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -512,7 +512,7 @@
         | RefusalReason::ServerRefused => TryOutcome::Full,
         RefusalReason::Draining
         | RefusalReason::Stopping
-        | RefusalReason::NotAnnounced => TryOutcome::Away,
+        | RefusalReason::NotAnnounced => TryOutcome::Unavailable,
         RefusalReason::ConnectFailed
         | RefusalReason::ConnectionBroken
         | RefusalReason::ServerFailed => TryOutcome::Failed,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -116,7 +116,7 @@
     /// Its node has no place left, or the server itself shed the call.
     Full,
     /// It is leaving or was not there.
-    Away,
+    Unavailable,
     /// Nothing: the caller left.
     Nothing,
 }
@@ -449,7 +449,7 @@
                 }
             }
             TryOutcome::Full => server.load.full(now),
-            TryOutcome::Away => server.away_until = now + AWAY_TIME,
+            TryOutcome::Unavailable => server.away_until = now + AWAY_TIME,
             TryOutcome::Nothing => {}
         }
         self.outcomes = pool;
