--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -54,7 +54,7 @@
     /// When it came to its entry node, kept over all tries.
     pub arrived_at: Duration,
     /// From then on it is of no use to start it.
-    pub give_up_at: Duration,
+    pub expires_at: Duration,
     /// From then on its answer comes later than it is worth most, if the
     /// route says so.
     pub late_at: Option<Duration>,
@@ -98,7 +98,7 @@
     lane: usize,
     customer: Arc<str>,
     position: CallPosition,
-    give_up_at: Duration,
+    expires_at: Duration,
 }
 
 /// All calls that wait for one backend server.
@@ -128,9 +128,9 @@
             lane,
             customer: Arc::clone(&call.customer),
             position: call.position(),
-            give_up_at: call.give_up_at,
+            expires_at: call.expires_at,
         };
-        self.by_give_up.insert((call.give_up_at, call.ticket));
+        self.by_give_up.insert((call.expires_at, call.ticket));
         self.places.insert(call.ticket, place);
         self.lanes[lane].push(call);
     }
@@ -191,8 +191,8 @@
 
     /// Takes one call that it is of no more use to start.
     pub fn expire(&mut self, now: Duration) -> Option<CallTicket> {
-        let (give_up_at, ticket) = *self.by_give_up.first()?;
-        if give_up_at > now {
+        let (expires_at, ticket) = *self.by_give_up.first()?;
+        if expires_at > now {
             return None;
         }
         self.remove(ticket);
@@ -213,7 +213,7 @@
 
     fn forget(&mut self, ticket: CallTicket) -> Option<CallPlace> {
         let place = self.places.remove(&ticket)?;
-        self.by_give_up.remove(&(place.give_up_at, ticket));
+        self.by_give_up.remove(&(place.expires_at, ticket));
         Some(place)
     }
 }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -257,7 +257,7 @@
             ticket,
             length: self.times.length(&call.route),
             arrived_at: now.saturating_sub(call.waited),
-            give_up_at: now + call.left.saturating_sub(work).min(patience),
+            expires_at: now + call.left.saturating_sub(work).min(patience),
             late_at,
             cost: self.times.cost(&call.route),
             repeats: call.repeats,
--- a/crates/core/tests/load_gate.rs
+++ b/crates/core/tests/load_gate.rs
@@ -217,7 +217,7 @@
         priority,
         length: JobLength::Short,
         arrived_at: millis(ticket),
-        give_up_at: millis(10_000),
+        expires_at: millis(10_000),
         cost: millis(10),
         repeats: RepeatShare::FIRST,
     }
