--- a/crates/core/src/connection_care.rs
+++ b/crates/core/src/connection_renewal.rs
@@ -42,13 +42,13 @@
 
 /// Decides when kept connections are given up.
 #[derive(Debug, Default)]
-pub struct ConnectionCare {
+pub struct ConnectionRenewal {
     servers: HashMap<SocketAddr, ServerPool>,
     generations: PoolGeneration,
     swept: Duration,
 }
 
-impl ConnectionCare {
+impl ConnectionRenewal {
     /// A call is about to be sent to `server`; the set of connections to
     /// use. One that was not given before begins empty.
     pub fn begin(&mut self, now: Duration, server: SocketAddr) -> PoolGeneration {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod config_delta;
 pub mod config_digest;
 pub mod config_history;
-pub mod connection_care;
+pub mod connection_renewal;
 pub mod control_state;
 pub mod directory;
 pub mod directory_follower;
--- a/crates/core/tests/connection_care.rs
+++ b/crates/core/tests/connection_care.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cowslip_core::connection_care::ConnectionCare;
+use cowslip_core::connection_renewal::ConnectionRenewal;
 
 fn server(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
@@ -17,7 +17,7 @@
 // of them is lost; the next must not be given to another of them.
 #[test]
 fn one_silent_call_condemns_the_whole_set() {
-    let mut care = ConnectionCare::default();
+    let mut care = ConnectionRenewal::default();
     let first = care.begin(at(0), server(1));
     let other = care.begin(at(0), server(2));
     care.silent(server(1), first);
@@ -30,7 +30,7 @@
 // are new and sound.
 #[test]
 fn late_word_of_an_old_set_changes_nothing() {
-    let mut care = ConnectionCare::default();
+    let mut care = ConnectionRenewal::default();
     let first = care.begin(at(0), server(1));
     care.silent(server(1), first);
     let second = care.begin(at(5), server(1));
@@ -42,7 +42,7 @@
 // loaded with new connections for each of them as well.
 #[test]
 fn a_slow_server_is_not_stormed_with_connections() {
-    let mut care = ConnectionCare::default();
+    let mut care = ConnectionRenewal::default();
     let mut renewals = 0;
     let mut last = care.begin(at(0), server(1));
     for millis in (0..10_000).step_by(10) {
@@ -58,7 +58,7 @@
 // Servers come and go by the thousand over the weeks that a node runs.
 #[test]
 fn unused_servers_are_forgotten() {
-    let mut care = ConnectionCare::default();
+    let mut care = ConnectionRenewal::default();
     let first = care.begin(at(0), server(1));
     care.begin(at(50), server(2));
     assert_eq!(care.sweep(at(61)), vec![server(1)]);
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -7,8 +7,8 @@
 
 use log::info;
 
-use cowslip_core::connection_care::ConnectionCare;
-use cowslip_core::connection_care::PoolGeneration;
+use cowslip_core::connection_renewal::ConnectionRenewal;
+use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_wire::boot_instant::BootInstant;
 
@@ -25,7 +25,7 @@
 
 /// Sets of connections by server.
 pub struct CallPools {
-    care: RefCell<ConnectionCare>,
+    care: RefCell<ConnectionRenewal>,
     client: HopClient,
     started: BootInstant,
 }
@@ -34,7 +34,7 @@
     /// No connections yet.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
-            care: RefCell::new(ConnectionCare::default()),
+            care: RefCell::new(ConnectionRenewal::default()),
             client: HopClient::new(HopPlan {
                 connect: CONNECT_TIMEOUT,
             }),
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -9,7 +9,7 @@
 use actix_http::ServiceConfig;
 use log::info;
 
-use cowslip_core::connection_care::PoolGeneration;
+use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::verdict::CallVerdict;
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -31,7 +31,7 @@
 use tokio_util::codec::Decoder;
 use tokio_util::codec::Encoder;
 
-use cowslip_core::connection_care::PoolGeneration;
+use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::read_room::read_ready;
 use cowslip_wire::read_room::BODY_ROOM;
--- a/crates/node/src/hop/idle_shelf.rs
+++ b/crates/node/src/hop/idle_shelf.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use cowslip_core::connection_care::PoolGeneration;
+use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_wire::boot_instant::BootInstant;
 
 use crate::hop::hop_connection::HopConnection;
