--- a/crates/core/src/call_try.rs
+++ b/crates/core/src/call_try.rs
@@ -35,7 +35,7 @@
 impl TryFailure {
     /// True where the other side said or did something before the time ran
     /// out, be it that it broke off.
-    pub fn was_heard(&self) -> bool {
+    pub fn ended_before_deadline(&self) -> bool {
         self.reason != RefusalReason::DeadlinePassed
     }
 
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -61,7 +61,9 @@
         };
         let sending = self.client.send(server, generation, request, body, left);
         let ended = sending.await;
-        watch.heard = ended.as_ref().map_or_else(TryFailure::was_heard, |_| true);
+        watch.heard = ended
+            .as_ref()
+            .map_or_else(TryFailure::ended_before_deadline, |_| true);
         ended
     }
 
