--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -343,7 +343,7 @@
     }
 
     /// Route of a call that holds a slot, and what its jobs take lately.
-    pub fn work_of(&self, ticket: CallTicket) -> Option<(Arc<str>, Duration)> {
+    pub fn service_time(&self, ticket: CallTicket) -> Option<(Arc<str>, Duration)> {
         let call = self.running.get(&ticket)?;
         let work = self.times.seen_lately(&call.route)?;
         Some((Arc::clone(&call.route), work))
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -254,7 +254,7 @@
             }
             GateMessage::End(ticket, outcome) => {
                 self.askers.remove(&ticket);
-                if let Some((route, work)) = self.gate.work_of(ticket) {
+                if let Some((route, work)) = self.gate.service_time(ticket) {
                     self.view.works.borrow_mut().insert(route, work);
                 }
                 let actions = self.gate.end(now, ticket, outcome);
