--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -488,7 +488,7 @@
     }
 
     /// A server's node told of its load, with an answer to a call on `route`.
-    pub fn told(
+    pub fn record_load(
         &mut self,
         now: Duration,
         instance: &str,
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -211,7 +211,8 @@
             EntryMessage::Ended(report, told_load) => {
                 let now = self.started.elapsed();
                 if let Some(load) = told_load {
-                    self.router.told(now, &report.instance, &report.route, load);
+                    self.router
+                        .record_load(now, &report.instance, &report.route, load);
                 }
                 self.router.ended(now, &report);
             }
@@ -324,8 +325,12 @@
     fn failed(&mut self, failed: PlannedTry, failure: TryFailure) -> TryAnswer {
         let now = self.started.elapsed();
         if let Some(load) = failed.told_load {
-            self.router
-                .told(now, &failed.server.instance, &failed.plan.route, load);
+            self.router.record_load(
+                now,
+                &failed.server.instance,
+                &failed.plan.route,
+                load,
+            );
         }
         let mut plan = failed.plan;
         let server = &failed.server;
