--- a/crates/core/src/connection_renewal.rs
+++ b/crates/core/src/connection_renewal.rs
@@ -73,7 +73,7 @@
 
     /// A call on this set of connections ended without a byte of an answer.
     /// Late word of a set that was given up already changes nothing.
-    pub fn silent(&mut self, server: SocketAddr, generation: PoolGeneration) {
+    pub fn report_silent(&mut self, server: SocketAddr, generation: PoolGeneration) {
         let Some(pool) = self.servers.get_mut(&server) else {
             return;
         };
--- a/crates/core/tests/connection_care.rs
+++ b/crates/core/tests/connection_care.rs
@@ -20,7 +20,7 @@
     let mut care = ConnectionRenewal::default();
     let first = care.begin(at(0), server(1));
     let other = care.begin(at(0), server(2));
-    care.silent(server(1), first);
+    care.report_silent(server(1), first);
     assert_ne!(care.begin(at(5), server(1)), first);
     assert_eq!(care.begin(at(5), server(2)), other);
 }
@@ -32,9 +32,9 @@
 fn late_word_of_an_old_set_changes_nothing() {
     let mut care = ConnectionRenewal::default();
     let first = care.begin(at(0), server(1));
-    care.silent(server(1), first);
+    care.report_silent(server(1), first);
     let second = care.begin(at(5), server(1));
-    care.silent(server(1), first);
+    care.report_silent(server(1), first);
     assert_eq!(care.begin(at(9), server(1)), second);
 }
 
@@ -50,7 +50,7 @@
         let generation = care.begin(now, server(1));
         renewals += u32::from(generation != last);
         last = generation;
-        care.silent(server(1), generation);
+        care.report_silent(server(1), generation);
     }
     assert!(renewals <= 10, "{renewals} renewals in ten seconds");
 }
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -103,6 +103,6 @@
             self.server
         );
         let mut care = self.pools.care.borrow_mut();
-        care.silent(self.server, self.generation);
+        care.report_silent(self.server, self.generation);
     }
 }
