--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -441,7 +441,7 @@
         plan.tries.spend(failure);
         let tries_left = !plan.tries.is_spent();
         let time_left = now < plan.deadline_at;
-        let wanted = failure.reason.retry();
+        let wanted = failure.reason.retry_reason();
         let Some(reason) = wanted.filter(|_| tries_left && time_left) else {
             return NextStep::Refuse(failure.reason);
         };
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -122,7 +122,7 @@
 impl RefusalReason {
     /// The retry this refusal allows when nothing has run; `None` where
     /// another endpoint would refuse alike.
-    pub fn retry(self) -> Option<RetryReason> {
+    pub fn retry_reason(self) -> Option<RetryReason> {
         match self {
             Self::NoFreeSlot => Some(RetryReason::NoFreeSlot),
             Self::QueueFull => Some(RetryReason::QueueFull),
--- a/crates/core/tests/load_patterns/naive_side.rs
+++ b/crates/core/tests/load_patterns/naive_side.rs
@@ -61,7 +61,7 @@
         failure: TryFailure,
     ) -> NextStep {
         self.end(server);
-        match failure.reason.retry() {
+        match failure.reason.retry_reason() {
             Some(reason) if tried.len() < TRIES_MAX => NextStep::Retry(reason),
             _ => NextStep::Refuse(failure.reason),
         }
