--- a/crates/core/src/connection_care.rs
+++ b/crates/core/src/connection_renewal.rs
@@ -42,13 +42,13 @@
 
 /// Decides when kept connections are given up.
 #[derive(Debug, Default)]
-pub struct ConnectionCare {
+pub struct ConnectionRenewal {
     servers: HashMap<SocketAddr, ServerPool>,
     generations: PoolGeneration,
     swept: Duration,
 }
 
-impl ConnectionCare {
+impl ConnectionRenewal {
     /// A call is about to be sent to `server`; the set of connections to
     /// use. One that was not given before begins empty.
     pub fn begin(&mut self, now: Duration, server: SocketAddr) -> PoolGeneration {
@@ -73,7 +73,7 @@
 
     /// A call on this set of connections ended without a byte of an answer.
     /// Late word of a set that was given up already changes nothing.
-    pub fn silent(&mut self, server: SocketAddr, generation: PoolGeneration) {
+    pub fn report_silent(&mut self, server: SocketAddr, generation: PoolGeneration) {
         let Some(pool) = self.servers.get_mut(&server) else {
             return;
         };
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -441,7 +441,7 @@
         plan.tries.spend(failure);
         let tries_left = !plan.tries.is_spent();
         let time_left = now < plan.deadline_at;
-        let wanted = failure.reason.retry();
+        let wanted = failure.reason.retry_reason();
         let Some(reason) = wanted.filter(|_| tries_left && time_left) else {
             return NextStep::Refuse(failure.reason);
         };
@@ -488,7 +488,7 @@
     }
 
     /// A server's node told of its load, with an answer to a call on `route`.
-    pub fn told(
+    pub fn record_load(
         &mut self,
         now: Duration,
         instance: &str,
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -7,8 +7,8 @@
 
 use log::info;
 
-use cowslip_core::connection_care::ConnectionCare;
-use cowslip_core::connection_care::PoolGeneration;
+use cowslip_core::connection_renewal::ConnectionRenewal;
+use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_wire::boot_instant::BootInstant;
 
@@ -25,7 +25,7 @@
 
 /// Sets of connections by server.
 pub struct CallPools {
-    care: RefCell<ConnectionCare>,
+    care: RefCell<ConnectionRenewal>,
     client: HopClient,
     started: BootInstant,
 }
@@ -34,7 +34,7 @@
     /// No connections yet.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
-            care: RefCell::new(ConnectionCare::default()),
+            care: RefCell::new(ConnectionRenewal::default()),
             client: HopClient::new(HopPlan {
                 connect: CONNECT_TIMEOUT,
             }),
@@ -61,7 +61,9 @@
         };
         let sending = self.client.send(server, generation, request, body, left);
         let ended = sending.await;
-        watch.heard = ended.as_ref().map_or_else(TryFailure::was_heard, |_| true);
+        watch.heard = ended
+            .as_ref()
+            .map_or_else(TryFailure::ended_before_deadline, |_| true);
         ended
     }
 
@@ -101,6 +103,6 @@
             self.server
         );
         let mut care = self.pools.care.borrow_mut();
-        care.silent(self.server, self.generation);
+        care.report_silent(self.server, self.generation);
     }
 }
