--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -20,11 +20,11 @@
 use cowslip_control::control_settings::MemberAddress;
 use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::change::ConfigChange;
@@ -201,7 +201,7 @@
 
 /// Members in one thread; messages and syncs take no time.
 struct CoreFleet {
-    members: Vec<AgreedMember>,
+    members: Vec<StateReplica>,
     queue: VecDeque<(usize, AgreedEvent)>,
     now: Duration,
     leader_bytes: usize,
@@ -228,7 +228,7 @@
             let zero = Duration::ZERO;
             let member =
                 AgreementMember::open(identity, founders.clone(), saved, zero, 1);
-            members.push(AgreedMember::new(member));
+            members.push(StateReplica::new(member));
         }
         Self {
             members,
--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -20,7 +20,6 @@
 
 use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::LeaderStanding;
@@ -29,6 +28,7 @@
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberLine;
 use cowslip_core::agreement::MemberMessage;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::control_state::AcceptedChange;
@@ -123,7 +123,7 @@
 
 struct AgreedTask {
     instance: Arc<str>,
-    member: AgreedMember,
+    member: StateReplica,
     started: BootInstant,
     store: Option<StoreHandle>,
     /// Opens the folder again after a failure.
@@ -179,7 +179,7 @@
             member.forbid_founding();
         }
     }
-    let member = AgreedMember::new(member);
+    let member = StateReplica::new(member);
     spawn_member(settings, member, store, Arc::new(source), fanout, metrics)
 }
 
@@ -187,7 +187,7 @@
 /// fails, `source` is asked for the folder again.
 pub fn spawn_member(
     settings: &ControlSettings,
-    member: AgreedMember,
+    member: StateReplica,
     store: Box<dyn MemberStore>,
     source: Arc<dyn FolderSource>,
     fanout: mpsc::Sender<FanoutMessage>,
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -21,13 +21,13 @@
 use cowslip_control::member_store::StoreError;
 use cowslip_control::store_thread;
 use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::ReopenedFolder;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ConfigChange;
@@ -237,7 +237,7 @@
     handle.expect("it starts")
 }
 
-fn lone_member(settings: &ControlSettings) -> AgreedMember {
+fn lone_member(settings: &ControlSettings) -> StateReplica {
     let identity = MemberIdentity {
         instance: Arc::clone(&settings.instance),
         address: settings.address(),
@@ -247,7 +247,7 @@
     let saved = SavedState::default();
     let founders = settings.founders();
     let member = AgreementMember::open(identity, founders, saved, Duration::ZERO, 1);
-    AgreedMember::new(member)
+    StateReplica::new(member)
 }
 
 async fn ask(
--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -2,14 +2,10 @@
 //!
 //! A replicated log with terms, pre-vote, a leader lease, snapshots and
 //! membership change one member at a time. [`AgreementMember`] is one
-//! member's part of it, [`AgreedMember`] adds the state made of the log.
+//! member's part of it, [`StateReplica`] adds the state made of the log.
 //! Neither touches a disk, a socket or a clock: the holder passes in the
 //! time and what arrived, and carries out the actions that come back.
 
-pub use self::agreed_member::AgreedAction;
-pub use self::agreed_member::AgreedEvent;
-pub use self::agreed_member::AgreedMember;
-pub use self::agreed_member::ChangeAnswer;
 pub use self::contact_book::ContactPlace;
 pub use self::log_entry::EntryBody;
 pub use self::log_entry::LogEntry;
@@ -33,12 +29,15 @@
 pub use self::saved_state::SavedState;
 pub use self::saved_state::SnapshotWrite;
 pub use self::saved_state::WriteBatch;
+pub use self::state_replica::AgreedAction;
+pub use self::state_replica::AgreedEvent;
+pub use self::state_replica::ChangeAnswer;
+pub use self::state_replica::StateReplica;
 pub use self::voter_plan::PlanNote;
 pub use self::voter_plan::PlanVerdict;
 
 pub mod timing;
 
-mod agreed_member;
 mod contact_book;
 mod election;
 mod follower;
@@ -55,4 +54,5 @@
 mod peer_memory;
 mod replica_log;
 mod saved_state;
+mod state_replica;
 mod voter_plan;
--- a/crates/core/src/agreement/agreed_member.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -140,7 +140,7 @@
 
 /// A member and its replicated state.
 #[derive(Clone, Debug)]
-pub struct AgreedMember {
+pub struct StateReplica {
     agreement: AgreementMember,
     state: Arc<ControlState>,
     applied: ConfigVersion,
@@ -153,7 +153,7 @@
     actions: Vec<AgreedAction>,
 }
 
-impl AgreedMember {
+impl StateReplica {
     /// Puts the state on top of a member that has just opened.
     pub fn new(agreement: AgreementMember) -> Self {
         Self {
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -13,7 +13,6 @@
 
 use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::MemberAnswer;
@@ -23,6 +22,7 @@
 use cowslip_core::agreement::ReopenedFolder;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
@@ -35,7 +35,7 @@
 
 /// An instance: its disk outlives its process.
 pub struct Instance {
-    pub member: Option<AgreedMember>,
+    pub member: Option<StateReplica>,
     pub disk: SavedState,
     unsynced: Vec<(Duration, WriteBatch)>,
     pub folder: u64,
@@ -197,7 +197,7 @@
                 agreement.forbid_founding();
             }
         }
-        instance.member = Some(AgreedMember::new(agreement));
+        instance.member = Some(StateReplica::new(agreement));
     }
 
     fn named(&self, seeds: &[usize]) -> Vec<(Arc<str>, SocketAddr)> {
