--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -19,9 +19,9 @@
 use cowslip_control::control_settings::ControlSettings;
 use cowslip_control::control_settings::MemberAddress;
 use cowslip_core::agreement::AgreedAction;
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
@@ -202,7 +202,7 @@
 /// Members in one thread; messages and syncs take no time.
 struct CoreFleet {
     members: Vec<StateReplica>,
-    queue: VecDeque<(usize, AgreedEvent)>,
+    queue: VecDeque<(usize, ReplicaEvent)>,
     now: Duration,
     leader_bytes: usize,
     leader_time: Duration,
@@ -256,7 +256,7 @@
     fn act(&mut self, at: usize, action: AgreedAction) {
         match action {
             AgreedAction::Write(batch) => {
-                let event = AgreedEvent::Persisted(batch.sequence);
+                let event = ReplicaEvent::Persisted(batch.sequence);
                 self.queue.push_back((at, event));
             }
             AgreedAction::Send(address, message) => {
@@ -264,7 +264,7 @@
                     self.leader_bytes += codec::encode(&message).map_or(0, |m| m.len());
                 }
                 let to = usize::from(address.port()) - 1_000;
-                self.queue.push_back((to, AgreedEvent::Message(message)));
+                self.queue.push_back((to, ReplicaEvent::Message(message)));
             }
             _ => {}
         }
@@ -273,13 +273,13 @@
     fn tick(&mut self) {
         self.now += Duration::from_millis(25);
         for at in 0..self.members.len() {
-            self.queue.push_back((at, AgreedEvent::Tick));
+            self.queue.push_back((at, ReplicaEvent::Tick));
         }
         self.run();
     }
 
     fn change(&mut self, entry: ChangeEntry) {
-        self.queue.push_back((0, AgreedEvent::Change(1, entry)));
+        self.queue.push_back((0, ReplicaEvent::Change(1, entry)));
         self.run();
     }
 }
--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -19,7 +19,6 @@
 use tokio::sync::watch;
 
 use cowslip_core::agreement::AgreedAction;
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::LeaderStanding;
@@ -28,6 +27,7 @@
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberLine;
 use cowslip_core::agreement::MemberMessage;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
@@ -222,7 +222,7 @@
     async fn run(
         mut self,
         mut receiver: mpsc::Receiver<AgreedMessage>,
-        mut disk: mpsc::UnboundedReceiver<AgreedEvent>,
+        mut disk: mpsc::UnboundedReceiver<ReplicaEvent>,
     ) {
         let mut tick = actix_rt::time::interval(TICK);
         let (opened, mut openings) = mpsc::unbounded_channel();
@@ -241,7 +241,7 @@
                         disk = reports;
                     }
                 }
-                _ = tick.tick() => events.push(AgreedEvent::Tick),
+                _ = tick.tick() => events.push(ReplicaEvent::Tick),
             }
             while let Ok(report) = disk.try_recv() {
                 events.push(report);
@@ -251,7 +251,7 @@
             }
             let failed = events
                 .iter()
-                .any(|event| matches!(event, AgreedEvent::DiskFailed));
+                .any(|event| matches!(event, ReplicaEvent::DiskFailed));
             let actions = self.member.handle(self.started.elapsed(), events);
             let barred = actions
                 .iter()
@@ -271,7 +271,7 @@
     /// that is under way.
     fn leave_folder(
         &mut self,
-        disk: &mut mpsc::UnboundedReceiver<AgreedEvent>,
+        disk: &mut mpsc::UnboundedReceiver<ReplicaEvent>,
         opened: &mpsc::UnboundedSender<FolderOpening>,
     ) {
         if self.store.take().is_none() {
@@ -294,8 +294,8 @@
     fn reopen(
         &mut self,
         opening: FolderOpening,
-        events: &mut Vec<AgreedEvent>,
-    ) -> Option<mpsc::UnboundedReceiver<AgreedEvent>> {
+        events: &mut Vec<ReplicaEvent>,
+    ) -> Option<mpsc::UnboundedReceiver<ReplicaEvent>> {
         let (reports, disk) = mpsc::unbounded_channel();
         let store = match store_thread::spawn(opening.store, reports) {
             Ok(store) => store,
@@ -319,24 +319,24 @@
             folder.saved.entries.len()
         );
         self.store = Some(store);
-        events.push(AgreedEvent::Reopened(folder));
+        events.push(ReplicaEvent::Reopened(folder));
         Some(disk)
     }
 
     /// Turns a message into events, or answers it at once. A reply that
     /// nobody waits for any more is dropped: its caller has given up and
     /// will ask again.
-    fn take(&mut self, message: AgreedMessage, events: &mut Vec<AgreedEvent>) {
+    fn take(&mut self, message: AgreedMessage, events: &mut Vec<ReplicaEvent>) {
         match message {
             AgreedMessage::Change(entry, reply) => {
                 let ticket = self.ticket();
                 self.changes.insert(ticket, reply);
-                events.push(AgreedEvent::Change(ticket, *entry));
+                events.push(ReplicaEvent::Change(ticket, *entry));
             }
             AgreedMessage::Member(change, reply) => {
                 let ticket = self.ticket();
                 self.member_changes.insert(ticket, reply);
-                events.push(AgreedEvent::Members(ticket, change));
+                events.push(ReplicaEvent::Members(ticket, change));
             }
             AgreedMessage::History(reply) => {
                 let history = self.member.state().history();
@@ -360,12 +360,12 @@
                 let _ = reply.send(self.leading(|| self.member.member_lines(now)));
             }
             AgreedMessage::Peer(messages) => {
-                events.extend(messages.into_iter().map(AgreedEvent::Message));
+                events.extend(messages.into_iter().map(ReplicaEvent::Message));
             }
-            AgreedMessage::Greet(others) => events.push(AgreedEvent::Greet(others)),
+            AgreedMessage::Greet(others) => events.push(ReplicaEvent::Greet(others)),
             AgreedMessage::HandOver(reply) => {
                 self.hand_overs.push(reply);
-                events.push(AgreedEvent::HandOver);
+                events.push(ReplicaEvent::HandOver);
             }
         }
     }
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::mpsc::UnboundedSender;
 
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::ReopenedFolder;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_wire::process_log::LogValue;
 
 use crate::member_store::FolderStore;
@@ -103,7 +103,7 @@
 /// each other's records, and a lock does not keep them apart on every disk.
 pub fn spawn(
     source: Arc<dyn FolderSource>,
-    mut before: UnboundedReceiver<AgreedEvent>,
+    mut before: UnboundedReceiver<ReplicaEvent>,
     opened: UnboundedSender<FolderOpening>,
 ) -> io::Result<()> {
     let thread = thread::Builder::new().name("folder-opener".to_owned());
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -12,7 +12,7 @@
 use log::error;
 use tokio::sync::mpsc::UnboundedSender;
 
-use cowslip_core::agreement::AgreedEvent;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_wire::process_log::LogValue;
 
@@ -38,7 +38,7 @@
 /// Starts the thread; what is synced, or that the disk failed, is reported.
 pub fn spawn(
     store: Box<dyn MemberStore>,
-    reports: UnboundedSender<AgreedEvent>,
+    reports: UnboundedSender<ReplicaEvent>,
 ) -> io::Result<StoreHandle> {
     let (batches, receiver) = mpsc::channel();
     let thread = thread::Builder::new().name("store".to_owned());
@@ -49,7 +49,7 @@
 fn run(
     mut store: Box<dyn MemberStore>,
     batches: &mpsc::Receiver<WriteBatch>,
-    reports: &UnboundedSender<AgreedEvent>,
+    reports: &UnboundedSender<ReplicaEvent>,
 ) {
     while let Ok(first) = batches.recv() {
         let mut gathered = vec![first];
@@ -67,10 +67,10 @@
                 "event=disk-failed process=control error={}",
                 LogValue(failure)
             );
-            let _ = reports.send(AgreedEvent::DiskFailed);
+            let _ = reports.send(ReplicaEvent::DiskFailed);
             return;
         }
-        if reports.send(AgreedEvent::Persisted(last)).is_err() {
+        if reports.send(ReplicaEvent::Persisted(last)).is_err() {
             return;
         }
     }
--- a/crates/control/tests/folder_opener.rs
+++ b/crates/control/tests/folder_opener.rs
@@ -11,8 +11,8 @@
 use cowslip_control::folder_opener::FolderOpener;
 use cowslip_control::folder_opener::FolderSource;
 use cowslip_control::member_store::StoreError;
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::HardState;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::WriteBatch;
 
 fn opener(path: &Path, renews: bool) -> FolderOpener {
@@ -79,7 +79,7 @@
 fn a_folder_is_opened_again_only_once_the_store_before_has_ended() {
     let folder = tempfile::tempdir().expect("a folder");
     let source = Arc::new(opener(folder.path(), true));
-    let (hanging, before) = unbounded_channel::<AgreedEvent>();
+    let (hanging, before) = unbounded_channel::<ReplicaEvent>();
     let (opened, mut openings) = unbounded_channel();
     folder_opener::spawn(source, before, opened).expect("a thread");
     std::thread::sleep(Duration::from_millis(1_500));
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -20,11 +20,11 @@
 use cowslip_control::member_store::MemberStore;
 use cowslip_control::member_store::StoreError;
 use cowslip_control::store_thread;
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::ReopenedFolder;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
@@ -120,12 +120,12 @@
     store.write(batch(1));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(1))
+        Some(ReplicaEvent::Persisted(1))
     ));
     store.write(batch(2));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::DiskFailed)
+        Some(ReplicaEvent::DiskFailed)
     ));
     store.write(batch(3));
     assert!(told.blocking_recv().is_none());
@@ -151,11 +151,11 @@
     let_go.send(()).expect("the disk waits");
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(1))
+        Some(ReplicaEvent::Persisted(1))
     ));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(100))
+        Some(ReplicaEvent::Persisted(100))
     ));
 }
 
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -33,7 +33,7 @@
 
 /// What can happen to a member.
 #[derive(Clone, Debug)]
-pub enum AgreedEvent {
+pub enum ReplicaEvent {
     /// Time has passed.
     Tick,
     /// A message from another instance.
@@ -190,7 +190,7 @@
     pub fn handle(
         &mut self,
         now: Duration,
-        events: impl IntoIterator<Item = AgreedEvent>,
+        events: impl IntoIterator<Item = ReplicaEvent>,
     ) -> Vec<AgreedAction> {
         for event in events {
             self.take(now, event);
@@ -206,19 +206,19 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, now: Duration, event: AgreedEvent) {
+    fn take(&mut self, now: Duration, event: ReplicaEvent) {
         match event {
-            AgreedEvent::Tick => self.agreement.tick(now),
-            AgreedEvent::Message(message) => self.agreement.receive(now, message),
-            AgreedEvent::Persisted(sequence) => self.agreement.persisted(now, sequence),
-            AgreedEvent::DiskFailed => self.agreement.disk_failed(),
-            AgreedEvent::Reopened(opened) => self.reopen(now, opened),
-            AgreedEvent::Change(ticket, entry) => self.change(now, ticket, entry),
-            AgreedEvent::Members(ticket, change) => {
+            ReplicaEvent::Tick => self.agreement.tick(now),
+            ReplicaEvent::Message(message) => self.agreement.receive(now, message),
+            ReplicaEvent::Persisted(sequence) => self.agreement.persisted(now, sequence),
+            ReplicaEvent::DiskFailed => self.agreement.disk_failed(),
+            ReplicaEvent::Reopened(opened) => self.reopen(now, opened),
+            ReplicaEvent::Change(ticket, entry) => self.change(now, ticket, entry),
+            ReplicaEvent::Members(ticket, change) => {
                 self.change_members(now, ticket, &change);
             }
-            AgreedEvent::Greet(others) => self.agreement.greet_also(others),
-            AgreedEvent::HandOver => self.agreement.hand_over(now),
+            ReplicaEvent::Greet(others) => self.agreement.greet_also(others),
+            ReplicaEvent::HandOver => self.agreement.hand_over(now),
         }
     }
 
--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::EntryBody;
 use cowslip_core::agreement::LogEntry;
@@ -12,6 +11,7 @@
 use cowslip_core::agreement::MemberRecord;
 use cowslip_core::agreement::MemberRefusal;
 use cowslip_core::agreement::MemberRole;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::version::ConfigVersion;
 
@@ -225,7 +225,7 @@
     fleet.run(Duration::from_secs(1));
     fleet.crash(rolled_back);
     let leader = fleet.settle();
-    fleet.event(leader, AgreedEvent::HandOver);
+    fleet.event(leader, ReplicaEvent::HandOver);
     fleet.run(Duration::from_secs(3));
     fleet.instances[rolled_back].disk = copy;
     fleet.instances[rolled_back].starts = starts;
@@ -260,7 +260,7 @@
     fleet.decide(&change("before", None));
     let full = fleet.settle();
     fleet.ask(full, change("waiting", None));
-    fleet.event(full, AgreedEvent::DiskFailed);
+    fleet.event(full, ReplicaEvent::DiskFailed);
     assert!(fleet.unknown.contains("waiting"));
     fleet.run(Duration::from_secs(5));
     let next = fleet.settle();
@@ -319,7 +319,7 @@
     fleet.decide(&change("before", None));
     fleet.run(Duration::from_secs(1));
     let leader = fleet.settle();
-    fleet.event(leader, AgreedEvent::HandOver);
+    fleet.event(leader, ReplicaEvent::HandOver);
     assert_eq!(fleet.leading(), Vec::<usize>::new());
     fleet.run(Duration::from_millis(600));
     assert_eq!(fleet.leading().len(), 1);
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -12,7 +12,6 @@
 use rand::SeedableRng;
 
 use cowslip_core::agreement::AgreedAction;
-use cowslip_core::agreement::AgreedEvent;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::MemberAnswer;
@@ -20,6 +19,7 @@
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberMessage;
 use cowslip_core::agreement::ReopenedFolder;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
@@ -225,12 +225,12 @@
     pub fn reload(&mut self, at: usize, seeds: Vec<usize>) {
         let named = self.named(&seeds);
         self.instances[at].seeds = seeds;
-        self.event(at, AgreedEvent::Greet(named));
+        self.event(at, ReplicaEvent::Greet(named));
     }
 
     /// Tells an instance that it is about to stop.
     pub fn hand_over(&mut self, at: usize) {
-        self.event(at, AgreedEvent::HandOver);
+        self.event(at, ReplicaEvent::HandOver);
     }
 
     /// Fails a disk: some of its unsynced writes are on it, and no later one.
@@ -240,7 +240,7 @@
         for (_, batch) in unsynced.into_iter().take(kept) {
             write(&mut self.instances[at].disk, batch);
         }
-        self.event(at, AgreedEvent::DiskFailed);
+        self.event(at, ReplicaEvent::DiskFailed);
     }
 
     /// Opens the folder of a running instance again.
@@ -258,7 +258,7 @@
             saved: instance.disk.clone(),
             seed,
         };
-        self.event(at, AgreedEvent::Reopened(opened));
+        self.event(at, ReplicaEvent::Reopened(opened));
     }
 
     /// Ends a process; some of its unsynced writes may survive.
@@ -299,11 +299,11 @@
         (self.now - instance.started) * instance.pace / 1_000
     }
 
-    pub fn event(&mut self, at: usize, event: AgreedEvent) {
+    pub fn event(&mut self, at: usize, event: ReplicaEvent) {
         self.events(at, vec![event]);
     }
 
-    fn events(&mut self, at: usize, events: Vec<AgreedEvent>) {
+    fn events(&mut self, at: usize, events: Vec<ReplicaEvent>) {
         let clock = self.clock(at);
         let Some(member) = &mut self.instances[at].member else {
             return;
@@ -368,11 +368,11 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.tickets.insert(ticket, Arc::clone(&entry.request_id));
-        self.event(at, AgreedEvent::Change(ticket, entry));
+        self.event(at, ReplicaEvent::Change(ticket, entry));
     }
 
     pub fn ask_members(&mut self, at: usize, change: MemberChange) {
-        self.event(at, AgreedEvent::Members(0, change));
+        self.event(at, ReplicaEvent::Members(0, change));
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -381,7 +381,7 @@
             self.now += STEP;
             let due = self.take_due();
             for (at, mut events) in due.into_iter().enumerate() {
-                events.push(AgreedEvent::Tick);
+                events.push(ReplicaEvent::Tick);
                 self.sync(at, &mut events);
                 self.events(at, events);
             }
@@ -390,7 +390,7 @@
         }
     }
 
-    fn take_due(&mut self) -> Vec<Vec<AgreedEvent>> {
+    fn take_due(&mut self) -> Vec<Vec<ReplicaEvent>> {
         let mut due = vec![Vec::new(); self.instances.len()];
         let mut later = Vec::new();
         for (time, to, message) in std::mem::take(&mut self.queue) {
@@ -402,14 +402,14 @@
             let at = (to.port() - 1_000) as usize;
             let lost = self.random.random_range(0..100) < self.loss_percent;
             if !lost && self.groups[from] == self.groups[at] {
-                due[at].push(AgreedEvent::Message(message));
+                due[at].push(ReplicaEvent::Message(message));
             }
         }
         self.queue = later;
         due
     }
 
-    fn sync(&mut self, at: usize, events: &mut Vec<AgreedEvent>) {
+    fn sync(&mut self, at: usize, events: &mut Vec<ReplicaEvent>) {
         let instance = &mut self.instances[at];
         while instance
             .unsynced
@@ -417,7 +417,7 @@
             .is_some_and(|(due, _)| *due <= self.now)
         {
             let (_, batch) = instance.unsynced.remove(0);
-            events.push(AgreedEvent::Persisted(batch.sequence));
+            events.push(ReplicaEvent::Persisted(batch.sequence));
             write(&mut instance.disk, batch);
         }
     }
--- a/crates/core/tests/agreement/properties.rs
+++ b/crates/core/tests/agreement/properties.rs
@@ -5,7 +5,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use cowslip_core::agreement::AgreedEvent;
+use cowslip_core::agreement::ReplicaEvent;
 
 use crate::fleet::change;
 use crate::fleet::Fleet;
@@ -91,7 +91,7 @@
             }
         }
         FleetStep::Loss(percent) => fleet.loss_percent = *percent,
-        FleetStep::HandOver(at) => fleet.event(*at, AgreedEvent::HandOver),
+        FleetStep::HandOver(at) => fleet.event(*at, ReplicaEvent::HandOver),
         FleetStep::Replace(at) => {
             // One loss at a time, with all the others there and settled.
             fleet.heal();
