--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -18,9 +18,9 @@
 use cowslip_control::control_daemon::ControlSockets;
 use cowslip_control::control_settings::ControlSettings;
 use cowslip_control::control_settings::MemberAddress;
-use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ReplicaAction;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
@@ -253,13 +253,13 @@
         }
     }
 
-    fn act(&mut self, at: usize, action: AgreedAction) {
+    fn act(&mut self, at: usize, action: ReplicaAction) {
         match action {
-            AgreedAction::Write(batch) => {
+            ReplicaAction::Write(batch) => {
                 let event = ReplicaEvent::Persisted(batch.sequence);
                 self.queue.push_back((at, event));
             }
-            AgreedAction::Send(address, message) => {
+            ReplicaAction::Send(address, message) => {
                 if at == 0 {
                     self.leader_bytes += codec::encode(&message).map_or(0, |m| m.len());
                 }
--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -18,7 +18,6 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::LeaderStanding;
@@ -27,6 +26,7 @@
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberLine;
 use cowslip_core::agreement::MemberMessage;
+use cowslip_core::agreement::ReplicaAction;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
@@ -255,7 +255,7 @@
             let actions = self.member.handle(self.started.elapsed(), events);
             let barred = actions
                 .iter()
-                .any(|act| matches!(act, AgreedAction::Barred));
+                .any(|act| matches!(act, ReplicaAction::Barred));
             for action in actions {
                 self.act(action).await;
             }
@@ -383,39 +383,39 @@
         LeaderAnswer::Elsewhere(view.address)
     }
 
-    async fn act(&mut self, action: AgreedAction) {
+    async fn act(&mut self, action: ReplicaAction) {
         match action {
-            AgreedAction::Write(batch) => {
+            ReplicaAction::Write(batch) => {
                 // Without a folder the member has nothing to write.
                 if let Some(store) = &self.store {
                     store.write(batch);
                 }
             }
-            AgreedAction::Send(address, message) => self.peers.send(address, message),
-            AgreedAction::Publish(snapshot) => {
+            ReplicaAction::Send(address, message) => self.peers.send(address, message),
+            ReplicaAction::Publish(snapshot) => {
                 // The fan-out task ends only with this one.
                 let _ = self.fanout.send(FanoutMessage::Publish(snapshot)).await;
             }
-            AgreedAction::AnswerChange(ticket, answer) => {
+            ReplicaAction::AnswerChange(ticket, answer) => {
                 self.metrics.change(&answer);
                 let reply = self.changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            AgreedAction::AnswerMembers(ticket, answer) => {
+            ReplicaAction::AnswerMembers(ticket, answer) => {
                 self.metrics.members(&answer);
                 let reply = self.member_changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            AgreedAction::Standing(standing) => self.show(&standing),
-            AgreedAction::Members(members) => {
+            ReplicaAction::Standing(standing) => self.show(&standing),
+            ReplicaAction::Members(members) => {
                 membership_log::members(
                     &self.instance,
                     &members,
                     self.member.agreement(),
                 );
             }
-            AgreedAction::Planned(note) => membership_log::plan(&self.instance, &note),
-            AgreedAction::Barred => {
+            ReplicaAction::Planned(note) => membership_log::plan(&self.instance, &note),
+            ReplicaAction::Barred => {
                 self.metrics.barred();
                 warn!(
                     "event=folder-rolled-back process=control instance={}",
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -67,7 +67,7 @@
 
 /// What a member wants done.
 #[derive(Clone, Debug)]
-pub enum AgreedAction {
+pub enum ReplicaAction {
     /// Write and sync, then tell the sequence back.
     Write(WriteBatch),
     /// Send, with no promise of arrival.
@@ -108,31 +108,35 @@
     ///
     /// Guards against an answer from another leader's entry at the same
     /// index: the operator would read somebody else's outcome.
-    fn decided(&self, entry: &LogEntry, outcome: Option<&ChangeOutcome>) -> AgreedAction {
+    fn decided(
+        &self,
+        entry: &LogEntry,
+        outcome: Option<&ChangeOutcome>,
+    ) -> ReplicaAction {
         if entry.version != self.version {
             return self.unknown();
         }
         match (self.kind, outcome) {
             (TicketKind::Change, Some(outcome)) => {
                 let answer = ChangeAnswer::Decided(outcome.clone());
-                AgreedAction::AnswerChange(self.ticket, answer)
+                ReplicaAction::AnswerChange(self.ticket, answer)
             }
             (TicketKind::Change, None) => self.unknown(),
             (TicketKind::Members, _) => {
                 let accepted = MemberAnswer::Accepted(self.version);
                 let answer = ChangeAnswer::Decided(accepted);
-                AgreedAction::AnswerMembers(self.ticket, answer)
+                ReplicaAction::AnswerMembers(self.ticket, answer)
             }
         }
     }
 
-    fn unknown(&self) -> AgreedAction {
+    fn unknown(&self) -> ReplicaAction {
         match self.kind {
             TicketKind::Change => {
-                AgreedAction::AnswerChange(self.ticket, ChangeAnswer::Unknown)
+                ReplicaAction::AnswerChange(self.ticket, ChangeAnswer::Unknown)
             }
             TicketKind::Members => {
-                AgreedAction::AnswerMembers(self.ticket, ChangeAnswer::Unknown)
+                ReplicaAction::AnswerMembers(self.ticket, ChangeAnswer::Unknown)
             }
         }
     }
@@ -150,7 +154,7 @@
     members: MemberList,
     barred: bool,
     waiting: BTreeMap<u64, Vec<WaitingTicket>>,
-    actions: Vec<AgreedAction>,
+    actions: Vec<ReplicaAction>,
 }
 
 impl StateReplica {
@@ -191,7 +195,7 @@
         &mut self,
         now: Duration,
         events: impl IntoIterator<Item = ReplicaEvent>,
-    ) -> Vec<AgreedAction> {
+    ) -> Vec<ReplicaAction> {
         for event in events {
             self.take(now, event);
         }
@@ -238,7 +242,7 @@
             if let Some(outcome) = self.state.answer(&entry.request_id) {
                 let answer = ChangeAnswer::Decided(outcome.clone());
                 self.actions
-                    .push(AgreedAction::AnswerChange(ticket, answer));
+                    .push(ReplicaAction::AnswerChange(ticket, answer));
                 return;
             }
         }
@@ -246,7 +250,7 @@
         let Some(version) = self.agreement.propose(now, body) else {
             let answer = ChangeAnswer::NotLeading;
             self.actions
-                .push(AgreedAction::AnswerChange(ticket, answer));
+                .push(ReplicaAction::AnswerChange(ticket, answer));
             return;
         };
         self.wait_for(version, ticket, TicketKind::Change);
@@ -284,25 +288,25 @@
             Some(refused) => {
                 let answer = ChangeAnswer::Decided(refused);
                 self.actions
-                    .push(AgreedAction::AnswerMembers(ticket, answer));
+                    .push(ReplicaAction::AnswerMembers(ticket, answer));
             }
             None => {
                 let answer = ChangeAnswer::NotLeading;
                 self.actions
-                    .push(AgreedAction::AnswerMembers(ticket, answer));
+                    .push(ReplicaAction::AnswerMembers(ticket, answer));
             }
         }
     }
 
     fn apply(&mut self, output: MemberOutput) {
         if let Some(write) = output.write {
-            self.actions.push(AgreedAction::Write(write));
+            self.actions.push(ReplicaAction::Write(write));
         }
         for (address, message) in output.messages {
-            self.actions.push(AgreedAction::Send(address, message));
+            self.actions.push(ReplicaAction::Send(address, message));
         }
         for note in output.notes {
-            self.actions.push(AgreedAction::Planned(note));
+            self.actions.push(ReplicaAction::Planned(note));
         }
         if let Some(snapshot) = output.restored {
             self.state = snapshot.state;
@@ -359,7 +363,7 @@
                 version: snapshot.version,
                 document: self.bare.of(&snapshot.document),
             };
-            self.actions.push(AgreedAction::Publish(published));
+            self.actions.push(ReplicaAction::Publish(published));
         }
     }
 
@@ -367,16 +371,16 @@
         let standing = self.agreement.standing(now);
         if standing != self.standing {
             self.standing = standing.clone();
-            self.actions.push(AgreedAction::Standing(standing));
+            self.actions.push(ReplicaAction::Standing(standing));
         }
         if *self.agreement.members() != self.members {
             self.members = self.agreement.members().clone();
             self.actions
-                .push(AgreedAction::Members(self.members.clone()));
+                .push(ReplicaAction::Members(self.members.clone()));
         }
         if self.agreement.is_barred() && !self.barred {
             self.barred = true;
-            self.actions.push(AgreedAction::Barred);
+            self.actions.push(ReplicaAction::Barred);
         }
     }
 }
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -11,7 +11,6 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use cowslip_core::agreement::AgreedAction;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
 use cowslip_core::agreement::MemberAnswer;
@@ -19,6 +18,7 @@
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberMessage;
 use cowslip_core::agreement::ReopenedFolder;
+use cowslip_core::agreement::ReplicaAction;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::StartMark;
@@ -315,9 +315,9 @@
         self.check(at);
     }
 
-    fn act(&mut self, at: usize, action: AgreedAction) {
+    fn act(&mut self, at: usize, action: ReplicaAction) {
         match action {
-            AgreedAction::Write(batch) => {
+            ReplicaAction::Write(batch) => {
                 let longest = if self.quick { 3 } else { 60 };
                 let delay = self.random.random_range(1..longest);
                 let due = self.now + Duration::from_millis(delay);
@@ -327,7 +327,7 @@
                 let due = due.max(self.instances[at].stalled_until);
                 self.instances[at].unsynced.push((due, batch));
             }
-            AgreedAction::Send(to, message) => {
+            ReplicaAction::Send(to, message) => {
                 for _ in 0..self.random.random_range(1..=2) {
                     let longest = if self.quick { 20 } else { 50 };
                     let delay = self.random.random_range(0..longest);
@@ -335,15 +335,15 @@
                     self.queue.push((due, to, message.clone()));
                 }
             }
-            AgreedAction::AnswerChange(ticket, answer) => {
+            ReplicaAction::AnswerChange(ticket, answer) => {
                 self.take_answer(ticket, answer);
             }
-            AgreedAction::AnswerMembers(_, answer) => self.member_answers.push(answer),
-            AgreedAction::Publish(_)
-            | AgreedAction::Standing(_)
-            | AgreedAction::Members(_)
-            | AgreedAction::Planned(_)
-            | AgreedAction::Barred => {}
+            ReplicaAction::AnswerMembers(_, answer) => self.member_answers.push(answer),
+            ReplicaAction::Publish(_)
+            | ReplicaAction::Standing(_)
+            | ReplicaAction::Members(_)
+            | ReplicaAction::Planned(_)
+            | ReplicaAction::Barred => {}
         }
     }
 
