--- a/crates/control/src/member_store/log_file.rs
+++ b/crates/control/src/member_store/log_file.rs
@@ -12,9 +12,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use cowslip_core::agreement::AgreedSnapshot;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::LogEntry;
+use cowslip_core::agreement::ReplicaSnapshot;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_wire::codec;
@@ -73,7 +73,7 @@
     pub fn open(
         path: &Path,
         folder: u64,
-        snapshot: &AgreedSnapshot,
+        snapshot: &ReplicaSnapshot,
     ) -> Result<(Self, SavedState), StoreError> {
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
@@ -136,7 +136,7 @@
 fn read_log(
     bytes: &[u8],
     folder: u64,
-    snapshot: &AgreedSnapshot,
+    snapshot: &ReplicaSnapshot,
 ) -> Result<(SavedState, usize), StoreError> {
     let damaged = |at| StoreError::Damaged { file: LOG_FILE, at };
     let (bodies, end) = record_frame::scan(bytes).map_err(|record| damaged(record.at))?;
--- a/crates/control/tests/member_store.rs
+++ b/crates/control/tests/member_store.rs
@@ -11,10 +11,10 @@
 use cowslip_control::member_store::FolderStore;
 use cowslip_control::member_store::MemberStore;
 use cowslip_control::member_store::StoreError;
-use cowslip_core::agreement::AgreedSnapshot;
 use cowslip_core::agreement::EntryBody;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::LogEntry;
+use cowslip_core::agreement::ReplicaSnapshot;
 use cowslip_core::agreement::SavedState;
 use cowslip_core::agreement::SnapshotWrite;
 use cowslip_core::agreement::WriteBatch;
@@ -45,9 +45,9 @@
 }
 
 fn snapshot_at(index: u64, rest: Vec<LogEntry>) -> WriteBatch {
-    let snapshot = AgreedSnapshot {
+    let snapshot = ReplicaSnapshot {
         version: ConfigVersion::new(1, index),
-        ..AgreedSnapshot::default()
+        ..ReplicaSnapshot::default()
     };
     let write = SnapshotWrite {
         snapshot,
--- a/crates/core/src/agreement/follower.rs
+++ b/crates/core/src/agreement/follower.rs
@@ -8,7 +8,7 @@
 use crate::agreement::member_message::LeaderPlace;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
-use crate::agreement::saved_state::AgreedSnapshot;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
 impl AgreementMember {
@@ -100,7 +100,7 @@
         true
     }
 
-    fn take_snapshot(&mut self, snapshot: AgreedSnapshot) {
+    fn take_snapshot(&mut self, snapshot: ReplicaSnapshot) {
         let index = snapshot.version.index;
         if index > self.commit {
             self.restore(snapshot);
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -28,10 +28,10 @@
 use crate::agreement::output_queue::OutputQueue;
 use crate::agreement::peer_memory::PeerMemory;
 use crate::agreement::replica_log::ReplicaLog;
-use crate::agreement::saved_state::AgreedSnapshot;
 use crate::agreement::saved_state::HardState;
 use crate::agreement::saved_state::MemberIdentity;
 use crate::agreement::saved_state::ReopenedFolder;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::SavedState;
 use crate::agreement::saved_state::WriteBatch;
 use crate::agreement::timing::ELECTION_MIN;
@@ -74,7 +74,7 @@
     /// To be sent, in any order; any may be lost.
     pub messages: Vec<AddressedMessage>,
     /// A snapshot that takes the place of the whole state.
-    pub restored: Option<AgreedSnapshot>,
+    pub restored: Option<ReplicaSnapshot>,
     /// Entries committed since, in order.
     pub committed: Vec<LogEntry>,
     /// What was newly decided about the members.
@@ -436,7 +436,7 @@
         }
     }
 
-    fn take_restored(&mut self) -> Option<AgreedSnapshot> {
+    fn take_restored(&mut self) -> Option<ReplicaSnapshot> {
         if !std::mem::take(&mut self.restored) {
             return None;
         }
--- a/crates/core/src/agreement/member_message.rs
+++ b/crates/core/src/agreement/member_message.rs
@@ -12,7 +12,7 @@
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::peer_memory::PeerMark;
 use crate::agreement::peer_memory::StartMark;
-use crate::agreement::saved_state::AgreedSnapshot;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
 /// A message with what every message tells of its sender.
@@ -115,7 +115,7 @@
     /// The leader's snapshot, for a member too far behind.
     Install {
         /// The snapshot.
-        snapshot: AgreedSnapshot,
+        snapshot: ReplicaSnapshot,
         /// Leader's clock, to be given back.
         sent_at: Duration,
     },
--- a/crates/core/src/agreement/member_writes.rs
+++ b/crates/core/src/agreement/member_writes.rs
@@ -2,8 +2,8 @@
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::saved_state::AgreedSnapshot;
 use crate::agreement::saved_state::HardState;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::SnapshotWrite;
 
 impl AgreementMember {
@@ -29,13 +29,13 @@
 
     /// Takes a snapshot of the state after `version`, which was handed out
     /// as committed.
-    pub fn compact(&mut self, mut snapshot: AgreedSnapshot) {
+    pub fn compact(&mut self, mut snapshot: ReplicaSnapshot) {
         snapshot.members = self.log.members_at(snapshot.version.index);
         self.log.compact(snapshot);
         self.write_snapshot();
     }
 
-    pub(super) fn restore(&mut self, snapshot: AgreedSnapshot) {
+    pub(super) fn restore(&mut self, snapshot: ReplicaSnapshot) {
         // Synced entries behind the old commit may be of another history.
         self.output.cut_from(self.commit + 1);
         self.commit = snapshot.version.index;
--- a/crates/core/src/agreement/replica_log.rs
+++ b/crates/core/src/agreement/replica_log.rs
@@ -5,7 +5,7 @@
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member_list::MemberList;
-use crate::agreement::saved_state::AgreedSnapshot;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
 /// Entries kept behind a snapshot, so that a member a little late needs no
@@ -15,7 +15,7 @@
 /// Snapshot, entries and the members that follow from both.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaLog {
-    snapshot: AgreedSnapshot,
+    snapshot: ReplicaSnapshot,
     /// Entry before the first one held.
     start: ConfigVersion,
     entries: VecDeque<LogEntry>,
@@ -25,7 +25,7 @@
 
 impl ReplicaLog {
     /// A log of what was found on disk.
-    pub fn new(snapshot: AgreedSnapshot, entries: Vec<LogEntry>) -> Self {
+    pub fn new(snapshot: ReplicaSnapshot, entries: Vec<LogEntry>) -> Self {
         let mut log = Self {
             snapshot,
             ..Self::default()
@@ -54,7 +54,7 @@
     }
 
     /// The last snapshot.
-    pub fn snapshot(&self) -> &AgreedSnapshot {
+    pub fn snapshot(&self) -> &ReplicaSnapshot {
         &self.snapshot
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Takes a snapshot of the own state and drops most entries in it.
-    pub fn compact(&mut self, snapshot: AgreedSnapshot) {
+    pub fn compact(&mut self, snapshot: ReplicaSnapshot) {
         let keep_from = snapshot.version.index.saturating_sub(KEPT_ENTRIES);
         self.snapshot = snapshot;
         while let Some(entry) = self.entries.front() {
@@ -158,7 +158,7 @@
 
     /// Takes the leader's snapshot in place of the log, but for entries
     /// that go on from it.
-    pub fn install(&mut self, snapshot: AgreedSnapshot) {
+    pub fn install(&mut self, snapshot: ReplicaSnapshot) {
         let base = snapshot.version;
         if self.version_at(base.index) != Some(base) {
             self.entries.clear();
--- a/crates/core/src/agreement/saved_state.rs
+++ b/crates/core/src/agreement/saved_state.rs
@@ -39,7 +39,7 @@
 
 /// The state after the entry at `version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgreedSnapshot {
+pub struct ReplicaSnapshot {
     /// Last entry in it.
     pub version: ConfigVersion,
     /// Members as of that entry.
@@ -54,7 +54,7 @@
     /// Term and vote.
     pub hard: HardState,
     /// Last snapshot; empty at version zero where none was taken.
-    pub snapshot: AgreedSnapshot,
+    pub snapshot: ReplicaSnapshot,
     /// Entries of the log, in order, without gaps.
     pub entries: Vec<LogEntry>,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotWrite {
     /// The snapshot.
-    pub snapshot: AgreedSnapshot,
+    pub snapshot: ReplicaSnapshot,
     /// Term and vote at the time, for the new log file.
     pub hard: HardState,
     /// Entries that the new log file starts with.
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -16,8 +16,8 @@
 use crate::agreement::membership::MemberAnswer;
 use crate::agreement::membership::MemberChange;
 use crate::agreement::membership::MemberLine;
-use crate::agreement::saved_state::AgreedSnapshot;
 use crate::agreement::saved_state::ReopenedFolder;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::WriteBatch;
 use crate::agreement::voter_plan::PlanNote;
 use crate::change::ChangeEntry;
@@ -332,10 +332,10 @@
     }
 
     fn compact(&mut self) {
-        let snapshot = AgreedSnapshot {
+        let snapshot = ReplicaSnapshot {
             version: self.applied,
             state: Arc::clone(&self.state),
-            ..AgreedSnapshot::default()
+            ..ReplicaSnapshot::default()
         };
         self.agreement.compact(snapshot);
     }
