--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -20,7 +20,7 @@
 
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
-use cowslip_core::agreement::LeaderStanding;
+use cowslip_core::agreement::LeaderStatus;
 use cowslip_core::agreement::MemberAnswer;
 use cowslip_core::agreement::MemberChange;
 use cowslip_core::agreement::MemberIdentity;
@@ -443,7 +443,7 @@
         let _ = reply.send(answer);
     }
 
-    fn show(&self, standing: &LeaderStanding) {
+    fn show(&self, standing: &LeaderStatus) {
         let leader = standing.leader.as_ref();
         let view = LeaderView {
             address: leader.map(|leader| leader.address),
--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -10,7 +10,7 @@
 pub use self::log_entry::EntryBody;
 pub use self::log_entry::LogEntry;
 pub use self::member::AgreementMember;
-pub use self::member::LeaderStanding;
+pub use self::member::LeaderStatus;
 pub use self::member_list::MemberList;
 pub use self::member_list::MemberRecord;
 pub use self::member_list::MemberRole;
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -56,7 +56,7 @@
 
 /// Who leads, as a member knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeaderStanding {
+pub struct LeaderStatus {
     /// Where the leader is, if known.
     pub leader: Option<LeaderPlace>,
     /// True where this member leads, holds the lease and has applied all
@@ -225,7 +225,7 @@
     }
 
     /// Who leads, as far as this member knows.
-    pub fn standing(&self, now: Duration) -> LeaderStanding {
+    pub fn standing(&self, now: Duration) -> LeaderStatus {
         if let MemberStage::Leader(leadership) = &self.stage {
             let lease_until = leadership.lease_until(self, now);
             let leading = lease_until.is_some();
@@ -233,7 +233,7 @@
                 instance: Arc::clone(&self.identity.instance),
                 address: self.identity.address,
             });
-            return LeaderStanding {
+            return LeaderStatus {
                 leader,
                 leading,
                 lease_until,
@@ -242,7 +242,7 @@
         let heard = self.leader_heard.is_some_and(|at| now < at + STEP_DOWN);
         let hint = self.hint.as_ref().filter(|(_, at)| now < *at + STEP_DOWN);
         let hinted = hint.map(|(leader, _)| leader.clone());
-        LeaderStanding {
+        LeaderStatus {
             leader: self.leader.clone().filter(|_| heard).or(hinted),
             leading: false,
             lease_until: None,
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -9,7 +9,7 @@
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::LeaderStanding;
+use crate::agreement::member::LeaderStatus;
 use crate::agreement::member::MemberOutput;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_message::MemberMessage;
@@ -79,7 +79,7 @@
     /// Answer an operator's change of members.
     AnswerMembers(u64, ChangeAnswer<MemberAnswer>),
     /// The leader or the lease has changed.
-    Standing(LeaderStanding),
+    Standing(LeaderStatus),
     /// The log names other members than before.
     Members(MemberList),
     /// As a leader, a new verdict on who should be a member.
@@ -150,7 +150,7 @@
     applied: ConfigVersion,
     published: ConfigVersion,
     bare: BareDocument,
-    standing: LeaderStanding,
+    standing: LeaderStatus,
     members: MemberList,
     barred: bool,
     waiting: BTreeMap<u64, Vec<WaitingTicket>>,
@@ -166,7 +166,7 @@
             applied: ConfigVersion::ZERO,
             published: ConfigVersion::ZERO,
             bare: BareDocument::default(),
-            standing: LeaderStanding::default(),
+            standing: LeaderStatus::default(),
             members: MemberList::default(),
             barred: false,
             waiting: BTreeMap::new(),
