--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -406,7 +406,7 @@
                 let reply = self.member_changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            ReplicaAction::Standing(standing) => self.show(&standing),
+            ReplicaAction::LeaderStatus(standing) => self.show(&standing),
             ReplicaAction::Members(members) => {
                 membership_log::members(
                     &self.instance,
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -79,7 +79,7 @@
     /// Answer an operator's change of members.
     AnswerMembers(u64, ChangeAnswer<MemberAnswer>),
     /// The leader or the lease has changed.
-    Standing(LeaderStatus),
+    LeaderStatus(LeaderStatus),
     /// The log names other members than before.
     Members(MemberList),
     /// As a leader, a new verdict on who should be a member.
@@ -371,7 +371,7 @@
         let standing = self.agreement.standing(now);
         if standing != self.standing {
             self.standing = standing.clone();
-            self.actions.push(ReplicaAction::Standing(standing));
+            self.actions.push(ReplicaAction::LeaderStatus(standing));
         }
         if *self.agreement.members() != self.members {
             self.members = self.agreement.members().clone();
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -340,7 +340,7 @@
             }
             ReplicaAction::AnswerMembers(_, answer) => self.member_answers.push(answer),
             ReplicaAction::Publish(_)
-            | ReplicaAction::Standing(_)
+            | ReplicaAction::LeaderStatus(_)
             | ReplicaAction::Members(_)
             | ReplicaAction::Planned(_)
             | ReplicaAction::Barred => {}
