--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -20,10 +20,10 @@
 use cowslip_control::control_settings::MemberAddress;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ProcessStart;
 use cowslip_core::agreement::ReplicaAction;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
@@ -222,7 +222,7 @@
                 instance: Arc::clone(instance),
                 address: *address,
                 folder: number as u64 + 1,
-                start: StartMark { count: 1, nonce: 1 },
+                start: ProcessStart { count: 1, nonce: 1 },
             };
             let saved = SavedState::default();
             let zero = Duration::ZERO;
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -14,8 +14,8 @@
 
 use thiserror::Error;
 
+use cowslip_core::agreement::ProcessStart;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_wire::codec::CodecError;
 
@@ -102,7 +102,7 @@
     /// Random number of the folder.
     pub folder: u64,
     /// This start.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// Log and snapshot.
     pub saved: SavedState,
     /// Where to write.
--- a/crates/control/src/member_store/identity_file.rs
+++ b/crates/control/src/member_store/identity_file.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::ProcessStart;
 
 use crate::member_store::whole_file;
 use crate::member_store::StoreError;
@@ -23,7 +23,7 @@
     /// Random number of the folder, made with it.
     pub folder: u64,
     /// Last start.
-    pub start: StartMark,
+    pub start: ProcessStart,
 }
 
 impl IdentityRecord {
@@ -32,13 +32,13 @@
         Self {
             instance: instance.to_owned(),
             folder: rand::rng().random_range(1..NUMBER_MAX),
-            start: StartMark::default(),
+            start: ProcessStart::default(),
         }
     }
 
     /// The same folder's, one start later.
     pub fn next_start(mut self) -> Self {
-        self.start = StartMark {
+        self.start = ProcessStart {
             count: self.start.count + 1,
             nonce: rand::rng().random_range(1..NUMBER_MAX),
         };
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -23,10 +23,10 @@
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ProcessStart;
 use cowslip_core::agreement::ReopenedFolder;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_core::change::ChangeEntry;
@@ -66,7 +66,7 @@
         Ok(FolderOpening {
             folder: ReopenedFolder {
                 folder: 1,
-                start: StartMark { count: 2, nonce: 2 },
+                start: ProcessStart { count: 2, nonce: 2 },
                 saved: SavedState::default(),
                 seed: 2,
             },
@@ -242,7 +242,7 @@
         instance: Arc::clone(&settings.instance),
         address: settings.address(),
         folder: 1,
-        start: StartMark { count: 1, nonce: 1 },
+        start: ProcessStart { count: 1, nonce: 1 },
     };
     let saved = SavedState::default();
     let founders = settings.founders();
--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -21,7 +21,7 @@
 pub use self::membership::MemberLine;
 pub use self::membership::MemberRefusal;
 pub use self::peer_memory::PeerMark;
-pub use self::peer_memory::StartMark;
+pub use self::peer_memory::ProcessStart;
 pub use self::saved_state::HardState;
 pub use self::saved_state::MemberIdentity;
 pub use self::saved_state::ReopenedFolder;
--- a/crates/core/src/agreement/member_message.rs
+++ b/crates/core/src/agreement/member_message.rs
@@ -11,7 +11,7 @@
 use crate::agreement::contact_book::ContactPlace;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::peer_memory::PeerMark;
-use crate::agreement::peer_memory::StartMark;
+use crate::agreement::peer_memory::ProcessStart;
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
@@ -25,7 +25,7 @@
     /// Sender's data folder.
     pub folder: u64,
     /// Sender's start.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// Last index that the sender had synced.
     pub synced: u64,
     /// Sender's term, synced.
@@ -62,7 +62,7 @@
         /// True where the answering instance has never held any entry.
         fresh: bool,
         /// Start of the greeting instance.
-        greeted: StartMark,
+        greeted: ProcessStart,
         /// The members, or else the contacts, that the answering instance
         /// knows.
         #[serde(default)]
--- a/crates/core/src/agreement/peer_memory.rs
+++ b/crates/core/src/agreement/peer_memory.rs
@@ -8,7 +8,7 @@
 
 /// One start of a process on a data folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartMark {
+pub struct ProcessStart {
     /// How often the folder was opened, counted in the folder itself.
     pub count: u64,
     /// Random number of this start.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerMark {
     /// Start that showed it.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// Index that it acknowledged as synced and that is committed, so that
     /// no later leader can have cut it off.
     pub synced: u64,
@@ -89,7 +89,7 @@
 impl PeerMark {
     /// True where this mark of the own folder proves that the folder, at
     /// `start`, has lost what it once held.
-    pub fn accuses(&self, start: StartMark, synced: u64, term: u64) -> bool {
+    pub fn accuses(&self, start: ProcessStart, synced: u64, term: u64) -> bool {
         if self.start == start {
             return false;
         }
--- a/crates/core/src/agreement/saved_state.rs
+++ b/crates/core/src/agreement/saved_state.rs
@@ -8,7 +8,7 @@
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member_list::MemberList;
-use crate::agreement::peer_memory::StartMark;
+use crate::agreement::peer_memory::ProcessStart;
 use crate::control_state::ControlState;
 use crate::version::ConfigVersion;
 
@@ -22,7 +22,7 @@
     /// Random number of its data folder.
     pub folder: u64,
     /// This start of the process.
-    pub start: StartMark,
+    pub start: ProcessStart,
 }
 
 /// Term and vote; synced before a message of the term leaves.
@@ -66,7 +66,7 @@
     /// Random number of the folder.
     pub folder: u64,
     /// This start on it.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// What it holds.
     pub saved: SavedState,
     /// Seed of what the member draws.
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -17,11 +17,11 @@
 use cowslip_core::agreement::MemberChange;
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberMessage;
+use cowslip_core::agreement::ProcessStart;
 use cowslip_core::agreement::ReopenedFolder;
 use cowslip_core::agreement::ReplicaAction;
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
 use cowslip_core::agreement::StateReplica;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_core::change::ChangeEntry;
@@ -183,7 +183,7 @@
             instance: name(at),
             address: address(at),
             folder: instance.folder,
-            start: StartMark {
+            start: ProcessStart {
                 count: instance.starts,
                 nonce,
             },
@@ -251,7 +251,7 @@
         instance.starts += 1;
         let opened = ReopenedFolder {
             folder: instance.folder,
-            start: StartMark {
+            start: ProcessStart {
                 count: instance.starts,
                 nonce,
             },
