--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -176,7 +176,7 @@
     if let Some(joining) = settings.joining {
         member.see_to_voters(joining.voters);
         if !joining.first_start || renewed {
-            member.forbid_founding();
+            member.forbid_bootstrap();
         }
     }
     let member = StateReplica::new(member);
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -205,7 +205,7 @@
     /// Guards against an instance that comes back with an empty folder while
     /// all others are away: it would found a second log, and operators would
     /// read that nothing was ever accepted.
-    pub fn forbid_founding(&mut self) {
+    pub fn forbid_bootstrap(&mut self) {
         self.may_found = false;
     }
 
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -194,7 +194,7 @@
         if self.voters_wanted > 0 {
             agreement.see_to_voters(self.voters_wanted);
             if self.now > Duration::ZERO {
-                agreement.forbid_founding();
+                agreement.forbid_bootstrap();
             }
         }
         instance.member = Some(StateReplica::new(agreement));
