--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -174,7 +174,7 @@
     let mut member =
         AgreementMember::open(identity, founders, folder.saved, zero, folder.seed);
     if let Some(joining) = settings.joining {
-        member.see_to_voters(joining.voters);
+        member.set_voter_target(joining.voters);
         if !joining.first_start || renewed {
             member.forbid_bootstrap();
         }
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -211,7 +211,7 @@
 
     /// As a leader, adds instances that greet until there are `wanted`
     /// voters, and puts returned ones in the place of their lost folders.
-    pub fn see_to_voters(&mut self, wanted: usize) {
+    pub fn set_voter_target(&mut self, wanted: usize) {
         self.voters_wanted = wanted;
     }
 
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -192,7 +192,7 @@
         let zero = Duration::ZERO;
         let mut agreement = AgreementMember::open(identity, founders, saved, zero, seed);
         if self.voters_wanted > 0 {
-            agreement.see_to_voters(self.voters_wanted);
+            agreement.set_voter_target(self.voters_wanted);
             if self.now > Duration::ZERO {
                 agreement.forbid_bootstrap();
             }
