--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -362,7 +362,7 @@
             AgreedMessage::Peer(messages) => {
                 events.extend(messages.into_iter().map(ReplicaEvent::Message));
             }
-            AgreedMessage::Greet(others) => events.push(ReplicaEvent::Greet(others)),
+            AgreedMessage::Greet(others) => events.push(ReplicaEvent::SetSeeds(others)),
             AgreedMessage::HandOver(reply) => {
                 self.hand_overs.push(reply);
                 events.push(ReplicaEvent::HandOver);
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -49,7 +49,7 @@
     /// An operator's change of members; the answer carries the ticket.
     Members(u64, MemberChange),
     /// Instances to greet, besides the members.
-    Greet(Vec<(Arc<str>, SocketAddr)>),
+    SetSeeds(Vec<(Arc<str>, SocketAddr)>),
     /// This instance is about to stop.
     HandOver,
 }
@@ -221,7 +221,7 @@
             ReplicaEvent::Members(ticket, change) => {
                 self.change_members(now, ticket, &change);
             }
-            ReplicaEvent::Greet(others) => self.agreement.greet_also(others),
+            ReplicaEvent::SetSeeds(others) => self.agreement.greet_also(others),
             ReplicaEvent::HandOver => self.agreement.hand_over(now),
         }
     }
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -225,7 +225,7 @@
     pub fn reload(&mut self, at: usize, seeds: Vec<usize>) {
         let named = self.named(&seeds);
         self.instances[at].seeds = seeds;
-        self.event(at, ReplicaEvent::Greet(named));
+        self.event(at, ReplicaEvent::SetSeeds(named));
     }
 
     /// Tells an instance that it is about to stop.
