--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -18,13 +18,13 @@
 use cowslip_control::control_daemon::ControlSockets;
 use cowslip_control::control_settings::ControlSettings;
 use cowslip_control::control_settings::MemberAddress;
-use cowslip_core::agreement::AgreedAction;
-use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ProcessStart;
+use cowslip_core::agreement::ReplicaAction;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::change::ConfigChange;
@@ -201,8 +201,8 @@
 
 /// Members in one thread; messages and syncs take no time.
 struct CoreFleet {
-    members: Vec<AgreedMember>,
-    queue: VecDeque<(usize, AgreedEvent)>,
+    members: Vec<StateReplica>,
+    queue: VecDeque<(usize, ReplicaEvent)>,
     now: Duration,
     leader_bytes: usize,
     leader_time: Duration,
@@ -222,13 +222,13 @@
                 instance: Arc::clone(instance),
                 address: *address,
                 folder: number as u64 + 1,
-                start: StartMark { count: 1, nonce: 1 },
+                start: ProcessStart { count: 1, nonce: 1 },
             };
             let saved = SavedState::default();
             let zero = Duration::ZERO;
             let member =
                 AgreementMember::open(identity, founders.clone(), saved, zero, 1);
-            members.push(AgreedMember::new(member));
+            members.push(StateReplica::new(member));
         }
         Self {
             members,
@@ -253,18 +253,18 @@
         }
     }
 
-    fn act(&mut self, at: usize, action: AgreedAction) {
+    fn act(&mut self, at: usize, action: ReplicaAction) {
         match action {
-            AgreedAction::Write(batch) => {
-                let event = AgreedEvent::Persisted(batch.sequence);
+            ReplicaAction::Write(batch) => {
+                let event = ReplicaEvent::Persisted(batch.sequence);
                 self.queue.push_back((at, event));
             }
-            AgreedAction::Send(address, message) => {
+            ReplicaAction::Send(address, message) => {
                 if at == 0 {
                     self.leader_bytes += codec::encode(&message).map_or(0, |m| m.len());
                 }
                 let to = usize::from(address.port()) - 1_000;
-                self.queue.push_back((to, AgreedEvent::Message(message)));
+                self.queue.push_back((to, ReplicaEvent::Message(message)));
             }
             _ => {}
         }
@@ -273,13 +273,13 @@
     fn tick(&mut self) {
         self.now += Duration::from_millis(25);
         for at in 0..self.members.len() {
-            self.queue.push_back((at, AgreedEvent::Tick));
+            self.queue.push_back((at, ReplicaEvent::Tick));
         }
         self.run();
     }
 
     fn change(&mut self, entry: ChangeEntry) {
-        self.queue.push_back((0, AgreedEvent::Change(1, entry)));
+        self.queue.push_back((0, ReplicaEvent::Change(1, entry)));
         self.run();
     }
 }
--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreed_task.rs
@@ -18,17 +18,17 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use cowslip_core::agreement::AgreedAction;
-use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::ChangeAnswer;
-use cowslip_core::agreement::LeaderStanding;
+use cowslip_core::agreement::LeaderStatus;
 use cowslip_core::agreement::MemberAnswer;
 use cowslip_core::agreement::MemberChange;
 use cowslip_core::agreement::MemberIdentity;
 use cowslip_core::agreement::MemberLine;
 use cowslip_core::agreement::MemberMessage;
+use cowslip_core::agreement::ReplicaAction;
+use cowslip_core::agreement::ReplicaEvent;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::control_state::AcceptedChange;
@@ -123,7 +123,7 @@
 
 struct AgreedTask {
     instance: Arc<str>,
-    member: AgreedMember,
+    member: StateReplica,
     started: BootInstant,
     store: Option<StoreHandle>,
     /// Opens the folder again after a failure.
@@ -174,12 +174,12 @@
     let mut member =
         AgreementMember::open(identity, founders, folder.saved, zero, folder.seed);
     if let Some(joining) = settings.joining {
-        member.see_to_voters(joining.voters);
+        member.set_voter_target(joining.voters);
         if !joining.first_start || renewed {
-            member.forbid_founding();
+            member.forbid_bootstrap();
         }
     }
-    let member = AgreedMember::new(member);
+    let member = StateReplica::new(member);
     spawn_member(settings, member, store, Arc::new(source), fanout, metrics)
 }
 
@@ -187,7 +187,7 @@
 /// fails, `source` is asked for the folder again.
 pub fn spawn_member(
     settings: &ControlSettings,
-    member: AgreedMember,
+    member: StateReplica,
     store: Box<dyn MemberStore>,
     source: Arc<dyn FolderSource>,
     fanout: mpsc::Sender<FanoutMessage>,
@@ -222,7 +222,7 @@
     async fn run(
         mut self,
         mut receiver: mpsc::Receiver<AgreedMessage>,
-        mut disk: mpsc::UnboundedReceiver<AgreedEvent>,
+        mut disk: mpsc::UnboundedReceiver<ReplicaEvent>,
     ) {
         let mut tick = actix_rt::time::interval(TICK);
         let (opened, mut openings) = mpsc::unbounded_channel();
@@ -241,7 +241,7 @@
                         disk = reports;
                     }
                 }
-                _ = tick.tick() => events.push(AgreedEvent::Tick),
+                _ = tick.tick() => events.push(ReplicaEvent::Tick),
             }
             while let Ok(report) = disk.try_recv() {
                 events.push(report);
@@ -251,11 +251,11 @@
             }
             let failed = events
                 .iter()
-                .any(|event| matches!(event, AgreedEvent::DiskFailed));
+                .any(|event| matches!(event, ReplicaEvent::DiskFailed));
             let actions = self.member.handle(self.started.elapsed(), events);
             let barred = actions
                 .iter()
-                .any(|act| matches!(act, AgreedAction::Barred));
+                .any(|act| matches!(act, ReplicaAction::Barred));
             for action in actions {
                 self.act(action).await;
             }
@@ -271,7 +271,7 @@
     /// that is under way.
     fn leave_folder(
         &mut self,
-        disk: &mut mpsc::UnboundedReceiver<AgreedEvent>,
+        disk: &mut mpsc::UnboundedReceiver<ReplicaEvent>,
         opened: &mpsc::UnboundedSender<FolderOpening>,
     ) {
         if self.store.take().is_none() {
@@ -294,8 +294,8 @@
     fn reopen(
         &mut self,
         opening: FolderOpening,
-        events: &mut Vec<AgreedEvent>,
-    ) -> Option<mpsc::UnboundedReceiver<AgreedEvent>> {
+        events: &mut Vec<ReplicaEvent>,
+    ) -> Option<mpsc::UnboundedReceiver<ReplicaEvent>> {
         let (reports, disk) = mpsc::unbounded_channel();
         let store = match store_thread::spawn(opening.store, reports) {
             Ok(store) => store,
@@ -319,24 +319,24 @@
             folder.saved.entries.len()
         );
         self.store = Some(store);
-        events.push(AgreedEvent::Reopened(folder));
+        events.push(ReplicaEvent::Reopened(folder));
         Some(disk)
     }
 
     /// Turns a message into events, or answers it at once. A reply that
     /// nobody waits for any more is dropped: its caller has given up and
     /// will ask again.
-    fn take(&mut self, message: AgreedMessage, events: &mut Vec<AgreedEvent>) {
+    fn take(&mut self, message: AgreedMessage, events: &mut Vec<ReplicaEvent>) {
         match message {
             AgreedMessage::Change(entry, reply) => {
                 let ticket = self.ticket();
                 self.changes.insert(ticket, reply);
-                events.push(AgreedEvent::Change(ticket, *entry));
+                events.push(ReplicaEvent::Change(ticket, *entry));
             }
             AgreedMessage::Member(change, reply) => {
                 let ticket = self.ticket();
                 self.member_changes.insert(ticket, reply);
-                events.push(AgreedEvent::Members(ticket, change));
+                events.push(ReplicaEvent::Members(ticket, change));
             }
             AgreedMessage::History(reply) => {
                 let history = self.member.state().history();
@@ -360,12 +360,12 @@
                 let _ = reply.send(self.leading(|| self.member.member_lines(now)));
             }
             AgreedMessage::Peer(messages) => {
-                events.extend(messages.into_iter().map(AgreedEvent::Message));
+                events.extend(messages.into_iter().map(ReplicaEvent::Message));
             }
-            AgreedMessage::Greet(others) => events.push(AgreedEvent::Greet(others)),
+            AgreedMessage::Greet(others) => events.push(ReplicaEvent::SetSeeds(others)),
             AgreedMessage::HandOver(reply) => {
                 self.hand_overs.push(reply);
-                events.push(AgreedEvent::HandOver);
+                events.push(ReplicaEvent::HandOver);
             }
         }
     }
@@ -383,39 +383,39 @@
         LeaderAnswer::Elsewhere(view.address)
     }
 
-    async fn act(&mut self, action: AgreedAction) {
+    async fn act(&mut self, action: ReplicaAction) {
         match action {
-            AgreedAction::Write(batch) => {
+            ReplicaAction::Write(batch) => {
                 // Without a folder the member has nothing to write.
                 if let Some(store) = &self.store {
                     store.write(batch);
                 }
             }
-            AgreedAction::Send(address, message) => self.peers.send(address, message),
-            AgreedAction::Publish(snapshot) => {
+            ReplicaAction::Send(address, message) => self.peers.send(address, message),
+            ReplicaAction::Publish(snapshot) => {
                 // The fan-out task ends only with this one.
                 let _ = self.fanout.send(FanoutMessage::Publish(snapshot)).await;
             }
-            AgreedAction::AnswerChange(ticket, answer) => {
+            ReplicaAction::AnswerChange(ticket, answer) => {
                 self.metrics.change(&answer);
                 let reply = self.changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            AgreedAction::AnswerMembers(ticket, answer) => {
+            ReplicaAction::AnswerMembers(ticket, answer) => {
                 self.metrics.members(&answer);
                 let reply = self.member_changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            AgreedAction::Standing(standing) => self.show(&standing),
-            AgreedAction::Members(members) => {
+            ReplicaAction::LeaderStatus(standing) => self.show(&standing),
+            ReplicaAction::Members(members) => {
                 membership_log::members(
                     &self.instance,
                     &members,
                     self.member.agreement(),
                 );
             }
-            AgreedAction::Planned(note) => membership_log::plan(&self.instance, &note),
-            AgreedAction::Barred => {
+            ReplicaAction::Planned(note) => membership_log::plan(&self.instance, &note),
+            ReplicaAction::Barred => {
                 self.metrics.barred();
                 warn!(
                     "event=folder-rolled-back process=control instance={}",
@@ -443,7 +443,7 @@
         let _ = reply.send(answer);
     }
 
-    fn show(&self, standing: &LeaderStanding) {
+    fn show(&self, standing: &LeaderStatus) {
         let leader = standing.leader.as_ref();
         let view = LeaderView {
             address: leader.map(|leader| leader.address),
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -20,14 +20,14 @@
 use cowslip_control::member_store::MemberStore;
 use cowslip_control::member_store::StoreError;
 use cowslip_control::store_thread;
-use cowslip_core::agreement::AgreedEvent;
-use cowslip_core::agreement::AgreedMember;
 use cowslip_core::agreement::AgreementMember;
 use cowslip_core::agreement::HardState;
 use cowslip_core::agreement::MemberIdentity;
+use cowslip_core::agreement::ProcessStart;
 use cowslip_core::agreement::ReopenedFolder;
+use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::SavedState;
-use cowslip_core::agreement::StartMark;
+use cowslip_core::agreement::StateReplica;
 use cowslip_core::agreement::WriteBatch;
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ConfigChange;
@@ -66,7 +66,7 @@
         Ok(FolderOpening {
             folder: ReopenedFolder {
                 folder: 1,
-                start: StartMark { count: 2, nonce: 2 },
+                start: ProcessStart { count: 2, nonce: 2 },
                 saved: SavedState::default(),
                 seed: 2,
             },
@@ -120,12 +120,12 @@
     store.write(batch(1));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(1))
+        Some(ReplicaEvent::Persisted(1))
     ));
     store.write(batch(2));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::DiskFailed)
+        Some(ReplicaEvent::DiskFailed)
     ));
     store.write(batch(3));
     assert!(told.blocking_recv().is_none());
@@ -151,11 +151,11 @@
     let_go.send(()).expect("the disk waits");
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(1))
+        Some(ReplicaEvent::Persisted(1))
     ));
     assert!(matches!(
         told.blocking_recv(),
-        Some(AgreedEvent::Persisted(100))
+        Some(ReplicaEvent::Persisted(100))
     ));
 }
 
@@ -237,17 +237,17 @@
     handle.expect("it starts")
 }
 
-fn lone_member(settings: &ControlSettings) -> AgreedMember {
+fn lone_member(settings: &ControlSettings) -> StateReplica {
     let identity = MemberIdentity {
         instance: Arc::clone(&settings.instance),
         address: settings.address(),
         folder: 1,
-        start: StartMark { count: 1, nonce: 1 },
+        start: ProcessStart { count: 1, nonce: 1 },
     };
     let saved = SavedState::default();
     let founders = settings.founders();
     let member = AgreementMember::open(identity, founders, saved, Duration::ZERO, 1);
-    AgreedMember::new(member)
+    StateReplica::new(member)
 }
 
 async fn ask(
--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -2,19 +2,15 @@
 //!
 //! A replicated log with terms, pre-vote, a leader lease, snapshots and
 //! membership change one member at a time. [`AgreementMember`] is one
-//! member's part of it, [`AgreedMember`] adds the state made of the log.
+//! member's part of it, [`StateReplica`] adds the state made of the log.
 //! Neither touches a disk, a socket or a clock: the holder passes in the
 //! time and what arrived, and carries out the actions that come back.
 
-pub use self::agreed_member::AgreedAction;
-pub use self::agreed_member::AgreedEvent;
-pub use self::agreed_member::AgreedMember;
-pub use self::agreed_member::ChangeAnswer;
 pub use self::contact_book::ContactPlace;
 pub use self::log_entry::EntryBody;
 pub use self::log_entry::LogEntry;
 pub use self::member::AgreementMember;
-pub use self::member::LeaderStanding;
+pub use self::member::LeaderStatus;
 pub use self::member_list::MemberList;
 pub use self::member_list::MemberRecord;
 pub use self::member_list::MemberRole;
@@ -25,20 +21,23 @@
 pub use self::membership::MemberLine;
 pub use self::membership::MemberRefusal;
 pub use self::peer_memory::PeerMark;
-pub use self::peer_memory::StartMark;
-pub use self::saved_state::AgreedSnapshot;
+pub use self::peer_memory::ProcessStart;
 pub use self::saved_state::HardState;
 pub use self::saved_state::MemberIdentity;
 pub use self::saved_state::ReopenedFolder;
+pub use self::saved_state::ReplicaSnapshot;
 pub use self::saved_state::SavedState;
 pub use self::saved_state::SnapshotWrite;
 pub use self::saved_state::WriteBatch;
+pub use self::state_replica::ChangeAnswer;
+pub use self::state_replica::ReplicaAction;
+pub use self::state_replica::ReplicaEvent;
+pub use self::state_replica::StateReplica;
 pub use self::voter_plan::PlanNote;
 pub use self::voter_plan::PlanVerdict;
 
 pub mod timing;
 
-mod agreed_member;
 mod contact_book;
 mod election;
 mod follower;
@@ -55,4 +54,5 @@
 mod peer_memory;
 mod replica_log;
 mod saved_state;
+mod state_replica;
 mod voter_plan;
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -28,10 +28,10 @@
 use crate::agreement::output_queue::OutputQueue;
 use crate::agreement::peer_memory::PeerMemory;
 use crate::agreement::replica_log::ReplicaLog;
-use crate::agreement::saved_state::AgreedSnapshot;
 use crate::agreement::saved_state::HardState;
 use crate::agreement::saved_state::MemberIdentity;
 use crate::agreement::saved_state::ReopenedFolder;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::SavedState;
 use crate::agreement::saved_state::WriteBatch;
 use crate::agreement::timing::ELECTION_MIN;
@@ -56,7 +56,7 @@
 
 /// Who leads, as a member knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeaderStanding {
+pub struct LeaderStatus {
     /// Where the leader is, if known.
     pub leader: Option<LeaderPlace>,
     /// True where this member leads, holds the lease and has applied all
@@ -74,7 +74,7 @@
     /// To be sent, in any order; any may be lost.
     pub messages: Vec<AddressedMessage>,
     /// A snapshot that takes the place of the whole state.
-    pub restored: Option<AgreedSnapshot>,
+    pub restored: Option<ReplicaSnapshot>,
     /// Entries committed since, in order.
     pub committed: Vec<LogEntry>,
     /// What was newly decided about the members.
@@ -205,13 +205,13 @@
     /// Guards against an instance that comes back with an empty folder while
     /// all others are away: it would found a second log, and operators would
     /// read that nothing was ever accepted.
-    pub fn forbid_founding(&mut self) {
+    pub fn forbid_bootstrap(&mut self) {
         self.may_found = false;
     }
 
     /// As a leader, adds instances that greet until there are `wanted`
     /// voters, and puts returned ones in the place of their lost folders.
-    pub fn see_to_voters(&mut self, wanted: usize) {
+    pub fn set_voter_target(&mut self, wanted: usize) {
         self.voters_wanted = wanted;
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Who leads, as far as this member knows.
-    pub fn standing(&self, now: Duration) -> LeaderStanding {
+    pub fn standing(&self, now: Duration) -> LeaderStatus {
         if let MemberStage::Leader(leadership) = &self.stage {
             let lease_until = leadership.lease_until(self, now);
             let leading = lease_until.is_some();
@@ -233,7 +233,7 @@
                 instance: Arc::clone(&self.identity.instance),
                 address: self.identity.address,
             });
-            return LeaderStanding {
+            return LeaderStatus {
                 leader,
                 leading,
                 lease_until,
@@ -242,7 +242,7 @@
         let heard = self.leader_heard.is_some_and(|at| now < at + STEP_DOWN);
         let hint = self.hint.as_ref().filter(|(_, at)| now < *at + STEP_DOWN);
         let hinted = hint.map(|(leader, _)| leader.clone());
-        LeaderStanding {
+        LeaderStatus {
             leader: self.leader.clone().filter(|_| heard).or(hinted),
             leading: false,
             lease_until: None,
@@ -436,7 +436,7 @@
         }
     }
 
-    fn take_restored(&mut self) -> Option<AgreedSnapshot> {
+    fn take_restored(&mut self) -> Option<ReplicaSnapshot> {
         if !std::mem::take(&mut self.restored) {
             return None;
         }
--- a/crates/core/src/agreement/saved_state.rs
+++ b/crates/core/src/agreement/saved_state.rs
@@ -8,7 +8,7 @@
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member_list::MemberList;
-use crate::agreement::peer_memory::StartMark;
+use crate::agreement::peer_memory::ProcessStart;
 use crate::control_state::ControlState;
 use crate::version::ConfigVersion;
 
@@ -22,7 +22,7 @@
     /// Random number of its data folder.
     pub folder: u64,
     /// This start of the process.
-    pub start: StartMark,
+    pub start: ProcessStart,
 }
 
 /// Term and vote; synced before a message of the term leaves.
@@ -39,7 +39,7 @@
 
 /// The state after the entry at `version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgreedSnapshot {
+pub struct ReplicaSnapshot {
     /// Last entry in it.
     pub version: ConfigVersion,
     /// Members as of that entry.
@@ -54,7 +54,7 @@
     /// Term and vote.
     pub hard: HardState,
     /// Last snapshot; empty at version zero where none was taken.
-    pub snapshot: AgreedSnapshot,
+    pub snapshot: ReplicaSnapshot,
     /// Entries of the log, in order, without gaps.
     pub entries: Vec<LogEntry>,
 }
@@ -66,7 +66,7 @@
     /// Random number of the folder.
     pub folder: u64,
     /// This start on it.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// What it holds.
     pub saved: SavedState,
     /// Seed of what the member draws.
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotWrite {
     /// The snapshot.
-    pub snapshot: AgreedSnapshot,
+    pub snapshot: ReplicaSnapshot,
     /// Term and vote at the time, for the new log file.
     pub hard: HardState,
     /// Entries that the new log file starts with.
--- a/crates/core/src/agreement/agreed_member.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -9,15 +9,15 @@
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::LeaderStanding;
+use crate::agreement::member::LeaderStatus;
 use crate::agreement::member::MemberOutput;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::membership::MemberAnswer;
 use crate::agreement::membership::MemberChange;
 use crate::agreement::membership::MemberLine;
-use crate::agreement::saved_state::AgreedSnapshot;
 use crate::agreement::saved_state::ReopenedFolder;
+use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::WriteBatch;
 use crate::agreement::voter_plan::PlanNote;
 use crate::change::ChangeEntry;
@@ -33,7 +33,7 @@
 
 /// What can happen to a member.
 #[derive(Clone, Debug)]
-pub enum AgreedEvent {
+pub enum ReplicaEvent {
     /// Time has passed.
     Tick,
     /// A message from another instance.
@@ -49,7 +49,7 @@
     /// An operator's change of members; the answer carries the ticket.
     Members(u64, MemberChange),
     /// Instances to greet, besides the members.
-    Greet(Vec<(Arc<str>, SocketAddr)>),
+    SetSeeds(Vec<(Arc<str>, SocketAddr)>),
     /// This instance is about to stop.
     HandOver,
 }
@@ -67,7 +67,7 @@
 
 /// What a member wants done.
 #[derive(Clone, Debug)]
-pub enum AgreedAction {
+pub enum ReplicaAction {
     /// Write and sync, then tell the sequence back.
     Write(WriteBatch),
     /// Send, with no promise of arrival.
@@ -79,7 +79,7 @@
     /// Answer an operator's change of members.
     AnswerMembers(u64, ChangeAnswer<MemberAnswer>),
     /// The leader or the lease has changed.
-    Standing(LeaderStanding),
+    LeaderStatus(LeaderStatus),
     /// The log names other members than before.
     Members(MemberList),
     /// As a leader, a new verdict on who should be a member.
@@ -108,31 +108,35 @@
     ///
     /// Guards against an answer from another leader's entry at the same
     /// index: the operator would read somebody else's outcome.
-    fn decided(&self, entry: &LogEntry, outcome: Option<&ChangeOutcome>) -> AgreedAction {
+    fn decided(
+        &self,
+        entry: &LogEntry,
+        outcome: Option<&ChangeOutcome>,
+    ) -> ReplicaAction {
         if entry.version != self.version {
             return self.unknown();
         }
         match (self.kind, outcome) {
             (TicketKind::Change, Some(outcome)) => {
                 let answer = ChangeAnswer::Decided(outcome.clone());
-                AgreedAction::AnswerChange(self.ticket, answer)
+                ReplicaAction::AnswerChange(self.ticket, answer)
             }
             (TicketKind::Change, None) => self.unknown(),
             (TicketKind::Members, _) => {
                 let accepted = MemberAnswer::Accepted(self.version);
                 let answer = ChangeAnswer::Decided(accepted);
-                AgreedAction::AnswerMembers(self.ticket, answer)
+                ReplicaAction::AnswerMembers(self.ticket, answer)
             }
         }
     }
 
-    fn unknown(&self) -> AgreedAction {
+    fn unknown(&self) -> ReplicaAction {
         match self.kind {
             TicketKind::Change => {
-                AgreedAction::AnswerChange(self.ticket, ChangeAnswer::Unknown)
+                ReplicaAction::AnswerChange(self.ticket, ChangeAnswer::Unknown)
             }
             TicketKind::Members => {
-                AgreedAction::AnswerMembers(self.ticket, ChangeAnswer::Unknown)
+                ReplicaAction::AnswerMembers(self.ticket, ChangeAnswer::Unknown)
             }
         }
     }
@@ -140,20 +144,20 @@
 
 /// A member and its replicated state.
 #[derive(Clone, Debug)]
-pub struct AgreedMember {
+pub struct StateReplica {
     agreement: AgreementMember,
     state: Arc<ControlState>,
     applied: ConfigVersion,
     published: ConfigVersion,
     bare: BareDocument,
-    standing: LeaderStanding,
+    standing: LeaderStatus,
     members: MemberList,
     barred: bool,
     waiting: BTreeMap<u64, Vec<WaitingTicket>>,
-    actions: Vec<AgreedAction>,
+    actions: Vec<ReplicaAction>,
 }
 
-impl AgreedMember {
+impl StateReplica {
     /// Puts the state on top of a member that has just opened.
     pub fn new(agreement: AgreementMember) -> Self {
         Self {
@@ -162,7 +166,7 @@
             applied: ConfigVersion::ZERO,
             published: ConfigVersion::ZERO,
             bare: BareDocument::default(),
-            standing: LeaderStanding::default(),
+            standing: LeaderStatus::default(),
             members: MemberList::default(),
             barred: false,
             waiting: BTreeMap::new(),
@@ -190,8 +194,8 @@
     pub fn handle(
         &mut self,
         now: Duration,
-        events: impl IntoIterator<Item = AgreedEvent>,
-    ) -> Vec<AgreedAction> {
+        events: impl IntoIterator<Item = ReplicaEvent>,
+    ) -> Vec<ReplicaAction> {
         for event in events {
             self.take(now, event);
         }
@@ -206,19 +210,19 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, now: Duration, event: AgreedEvent) {
+    fn take(&mut self, now: Duration, event: ReplicaEvent) {
         match event {
-            AgreedEvent::Tick => self.agreement.tick(now),
-            AgreedEvent::Message(message) => self.agreement.receive(now, message),
-            AgreedEvent::Persisted(sequence) => self.agreement.persisted(now, sequence),
-            AgreedEvent::DiskFailed => self.agreement.disk_failed(),
-            AgreedEvent::Reopened(opened) => self.reopen(now, opened),
-            AgreedEvent::Change(ticket, entry) => self.change(now, ticket, entry),
-            AgreedEvent::Members(ticket, change) => {
+            ReplicaEvent::Tick => self.agreement.tick(now),
+            ReplicaEvent::Message(message) => self.agreement.receive(now, message),
+            ReplicaEvent::Persisted(sequence) => self.agreement.persisted(now, sequence),
+            ReplicaEvent::DiskFailed => self.agreement.disk_failed(),
+            ReplicaEvent::Reopened(opened) => self.reopen(now, opened),
+            ReplicaEvent::Change(ticket, entry) => self.change(now, ticket, entry),
+            ReplicaEvent::Members(ticket, change) => {
                 self.change_members(now, ticket, &change);
             }
-            AgreedEvent::Greet(others) => self.agreement.greet_also(others),
-            AgreedEvent::HandOver => self.agreement.hand_over(now),
+            ReplicaEvent::SetSeeds(others) => self.agreement.greet_also(others),
+            ReplicaEvent::HandOver => self.agreement.hand_over(now),
         }
     }
 
@@ -238,7 +242,7 @@
             if let Some(outcome) = self.state.answer(&entry.request_id) {
                 let answer = ChangeAnswer::Decided(outcome.clone());
                 self.actions
-                    .push(AgreedAction::AnswerChange(ticket, answer));
+                    .push(ReplicaAction::AnswerChange(ticket, answer));
                 return;
             }
         }
@@ -246,7 +250,7 @@
         let Some(version) = self.agreement.propose(now, body) else {
             let answer = ChangeAnswer::NotLeading;
             self.actions
-                .push(AgreedAction::AnswerChange(ticket, answer));
+                .push(ReplicaAction::AnswerChange(ticket, answer));
             return;
         };
         self.wait_for(version, ticket, TicketKind::Change);
@@ -284,25 +288,25 @@
             Some(refused) => {
                 let answer = ChangeAnswer::Decided(refused);
                 self.actions
-                    .push(AgreedAction::AnswerMembers(ticket, answer));
+                    .push(ReplicaAction::AnswerMembers(ticket, answer));
             }
             None => {
                 let answer = ChangeAnswer::NotLeading;
                 self.actions
-                    .push(AgreedAction::AnswerMembers(ticket, answer));
+                    .push(ReplicaAction::AnswerMembers(ticket, answer));
             }
         }
     }
 
     fn apply(&mut self, output: MemberOutput) {
         if let Some(write) = output.write {
-            self.actions.push(AgreedAction::Write(write));
+            self.actions.push(ReplicaAction::Write(write));
         }
         for (address, message) in output.messages {
-            self.actions.push(AgreedAction::Send(address, message));
+            self.actions.push(ReplicaAction::Send(address, message));
         }
         for note in output.notes {
-            self.actions.push(AgreedAction::Planned(note));
+            self.actions.push(ReplicaAction::Planned(note));
         }
         if let Some(snapshot) = output.restored {
             self.state = snapshot.state;
@@ -328,10 +332,10 @@
     }
 
     fn compact(&mut self) {
-        let snapshot = AgreedSnapshot {
+        let snapshot = ReplicaSnapshot {
             version: self.applied,
             state: Arc::clone(&self.state),
-            ..AgreedSnapshot::default()
+            ..ReplicaSnapshot::default()
         };
         self.agreement.compact(snapshot);
     }
@@ -359,7 +363,7 @@
                 version: snapshot.version,
                 document: self.bare.of(&snapshot.document),
             };
-            self.actions.push(AgreedAction::Publish(published));
+            self.actions.push(ReplicaAction::Publish(published));
         }
     }
 
@@ -367,16 +371,16 @@
         let standing = self.agreement.standing(now);
         if standing != self.standing {
             self.standing = standing.clone();
-            self.actions.push(AgreedAction::Standing(standing));
+            self.actions.push(ReplicaAction::LeaderStatus(standing));
         }
         if *self.agreement.members() != self.members {
             self.members = self.agreement.members().clone();
             self.actions
-                .push(AgreedAction::Members(self.members.clone()));
+                .push(ReplicaAction::Members(self.members.clone()));
         }
         if self.agreement.is_barred() && !self.barred {
             self.barred = true;
-            self.actions.push(AgreedAction::Barred);
+            self.actions.push(ReplicaAction::Barred);
         }
     }
 }
