--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -17,7 +17,7 @@
 use cowslip_core::change::ConfigChange;
 use cowslip_core::document::ExceptionEntry;
 use cowslip_core::document::ExceptionScope;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::tuning::TuningKey;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::command_args;
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -9,7 +9,7 @@
 use bpaf::Parser;
 
 use cowslip_core::change::ConfigChange;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::TakeBackCause;
--- a/crates/cli/src/cmd/moves/move_entry.rs
+++ b/crates/cli/src/cmd/moves/move_entry.rs
@@ -3,7 +3,7 @@
 
 use serde::Serialize;
 
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::rollout::rollout_record::RolloutEnd;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::version::ConfigVersion;
--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -16,7 +16,7 @@
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::change::ConfigChange;
 use cowslip_core::document::FleetDocument;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveDue;
 use cowslip_core::rollout::rollout_change::TakeBackCause;
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -18,7 +18,7 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::follower_queue::FollowerId;
-use cowslip_core::move_board::MoveProgress;
+use cowslip_core::move_tracker::MoveProgress;
 use cowslip_core::news_source::LeaderNews;
 use cowslip_core::news_source::NewsSource;
 use cowslip_core::news_source::SourceIdentity;
--- a/crates/control/src/operator_desk.rs
+++ b/crates/control/src/operator_desk.rs
@@ -21,7 +21,7 @@
 use cowslip_core::document::validate_edit;
 use cowslip_core::document::DocumentFault;
 use cowslip_core::document::FleetDocument;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveDue;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -16,7 +16,7 @@
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::change::ConfigChange;
 use cowslip_core::directory::EndpointRecord;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
 use cowslip_core::rollout::fleet_sight::FleetWatch;
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -9,7 +9,7 @@
 use crate::config_history::ConfigNews;
 use crate::directory_follower::DirectoryAsk;
 use crate::directory_follower::DirectoryNews;
-use crate::move_board::NodeReport;
+use crate::move_tracker::NodeReport;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod follow_exchange;
 pub mod follower_queue;
 pub mod load;
-pub mod move_board;
+pub mod move_tracker;
 pub mod news_source;
 pub mod node_presence;
 pub mod outbound_calls;
--- a/crates/core/src/move_board.rs
+++ b/crates/core/src/move_tracker.rs
@@ -74,7 +74,7 @@
 /// board counts nodes by version as reports arrive and looks only at those
 /// counts: a report costs a few tree steps, whatever waits.
 #[derive(Clone, Debug, Default)]
-pub struct MoveBoard {
+pub struct MoveTracker {
     nodes: BTreeMap<Arc<str>, HeardReport>,
     by_age: BTreeSet<(Duration, Arc<str>)>,
     applied: VersionCounts,
@@ -132,7 +132,7 @@
     }
 }
 
-impl MoveBoard {
+impl MoveTracker {
     /// Takes a node's report, heard at `heard_at`. A late one does not lower
     /// what the node is known to have applied.
     pub fn hear(&mut self, heard_at: Duration, mut report: NodeReport) {
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -25,7 +25,7 @@
 use crate::follower_queue::FollowerId;
 use crate::follower_queue::FollowerPlace;
 use crate::follower_queue::FollowerQueue;
-use crate::move_board::MoveBoard;
+use crate::move_tracker::MoveTracker;
 use crate::node_presence::NodePresence;
 use crate::reconnect_admission::ReconnectAdmission;
 use crate::reconnect_admission::ReconnectCost;
@@ -101,7 +101,7 @@
     history: ConfigHistory,
     directory: EndpointDirectory,
     leases: LeaseTable,
-    board: MoveBoard,
+    board: MoveTracker,
     acks: AckMemory,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
@@ -123,7 +123,7 @@
             history: ConfigHistory::default(),
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
-            board: MoveBoard::default(),
+            board: MoveTracker::default(),
             acks: AckMemory::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
@@ -150,7 +150,7 @@
     }
 
     /// Which nodes have applied what.
-    pub fn board(&self) -> &MoveBoard {
+    pub fn board(&self) -> &MoveTracker {
         &self.board
     }
 
--- a/crates/core/src/report_gather.rs
+++ b/crates/core/src/report_gather.rs
@@ -19,7 +19,7 @@
 
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
-use crate::move_board::NodeReport;
+use crate::move_tracker::NodeReport;
 use crate::node_presence::NodePresence;
 use crate::version::ConfigVersion;
 
--- a/crates/core/src/rollout/fleet_sight.rs
+++ b/crates/core/src/rollout/fleet_sight.rs
@@ -7,7 +7,7 @@
 
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
-use crate::move_board::NodeReport;
+use crate::move_tracker::NodeReport;
 use crate::rollout::evidence_ledger::EvidenceLedger;
 use crate::rollout::rollout_record::RolloutRecord;
 
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -16,7 +16,7 @@
 use cowslip_core::follow_exchange::FollowReply;
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::follower_queue::BATCH_TIME;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::news_source::LeaderNews;
 use cowslip_core::news_source::NewsSource;
 use cowslip_core::news_source::SourceIdentity;
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -16,7 +16,7 @@
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::document::FleetDocument;
 use cowslip_core::document::ServiceSpec;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
 use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -24,7 +24,7 @@
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::load::repeat_share::RepeatShare;
 use cowslip_core::load::server_load::ToldLoad;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::refusal::RetryReason;
 use cowslip_core::rollout::evidence::EvidenceReport;
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -16,7 +16,7 @@
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory_follower::DirectoryFollower;
 use cowslip_core::directory_follower::DirectoryNews;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
 use cowslip_core::report_gather::ReportBatch;
 use cowslip_core::source_ring::SourceRing;
--- a/crates/wire/src/evidence_messages.rs
+++ b/crates/wire/src/evidence_messages.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use cowslip_core::move_board::MoveProgress;
-use cowslip_core::move_board::MoveState;
+use cowslip_core::move_tracker::MoveProgress;
+use cowslip_core::move_tracker::MoveState;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -11,8 +11,8 @@
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
-use cowslip_core::move_board::MoveProgress;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::MoveProgress;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::version::ConfigVersion;
 
 /// Which key a message needs.
