--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -18,7 +18,7 @@
 use crate::document::validate_edit;
 use crate::document::DocumentFault;
 use crate::document::FleetDocument;
-use crate::rollout::rollout_book::RolloutBook;
+use crate::rollout::rollout_registry::RolloutRegistry;
 use crate::version::ConfigVersion;
 
 /// Answers kept for resends. At 13,000 changes a day this is over five days
@@ -60,7 +60,7 @@
     answer_order: VecDeque<Arc<str>>,
     history: VecDeque<AcceptedChange>,
     #[serde(default)]
-    rollouts: RolloutBook,
+    rollouts: RolloutRegistry,
     /// Operators' number of the revision in force; 0 before the first.
     #[serde(default)]
     revision: u64,
@@ -78,7 +78,7 @@
     }
 
     /// Moves of backend server versions.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutRegistry {
         &self.rollouts
     }
 
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -7,7 +7,7 @@
 //! stops the new version there at once, and at the leader over the sum of
 //! all nodes ([`rollout_driver`]), which steps the share along a plan
 //! ([`share_plan`]), takes the move back or finishes it. Every such step is
-//! an entry of the agreed log ([`rollout_book`]).
+//! an entry of the agreed log ([`rollout_registry`]).
 
 pub mod cold_start;
 pub mod evidence;
@@ -17,11 +17,11 @@
 pub mod latency_sketch;
 pub mod move_pace;
 pub mod node_guard;
-pub mod rollout_book;
 pub mod rollout_change;
 pub mod rollout_driver;
 pub mod rollout_judge;
 pub mod rollout_record;
+pub mod rollout_registry;
 pub mod sequential_test;
 pub mod share_plan;
 pub mod start_check;
--- a/crates/core/src/rollout/rollout_book.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -37,7 +37,7 @@
 
 /// All moves that run, and the last ones that are over.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     running: BTreeMap<Arc<str>, RolloutRecord>,
     over: VecDeque<RolloutRecord>,
 }
@@ -49,7 +49,7 @@
     Err(vec![DocumentFault { path, problem }])
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Moves that run, by service.
     pub fn running(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.running.values()
@@ -293,7 +293,7 @@
     }
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Guards against a file printed during a move and applied after it,
     /// which would put a version that was taken back into service again.
     fn stale_candidates(&self, edited: &FleetDocument) -> Vec<DocumentFault> {
