--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -18,7 +18,7 @@
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_sight::FleetWatch;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
@@ -90,7 +90,7 @@
     fanout: mpsc::Sender<FanoutMessage>,
     client: PeerClient,
     leading: bool,
-    ledger: EvidenceLedger,
+    ledger: EvidenceTotals,
     watch: FleetWatch,
     drivers: BTreeMap<ConfigVersion, RolloutDriver>,
     courses: BTreeMap<ConfigVersion, RolloutCourse>,
@@ -113,7 +113,7 @@
         fanout,
         client,
         leading: false,
-        ledger: EvidenceLedger::default(),
+        ledger: EvidenceTotals::default(),
         watch: FleetWatch::default(),
         drivers: BTreeMap::new(),
         courses: BTreeMap::new(),
@@ -240,7 +240,7 @@
             return;
         }
         self.leading = false;
-        self.ledger = EvidenceLedger::default();
+        self.ledger = EvidenceTotals::default();
         self.watch = FleetWatch::default();
         self.drivers.clear();
         self.courses.clear();
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -11,7 +11,7 @@
 
 pub mod cold_start;
 pub mod evidence;
-pub mod evidence_ledger;
+pub mod evidence_totals;
 pub mod fleet_sight;
 pub mod last_server;
 pub mod latency_sketch;
--- a/crates/core/src/rollout/evidence_ledger.rs
+++ b/crates/core/src/rollout/evidence_totals.rs
@@ -21,7 +21,7 @@
 
 /// Sums of all nodes' counts, by move.
 #[derive(Debug, Default)]
-pub struct EvidenceLedger {
+pub struct EvidenceTotals {
     nodes: BTreeMap<Arc<str>, HeardNode>,
     totals: BTreeMap<ConfigVersion, RolloutTally>,
     stops: BTreeMap<ConfigVersion, NodeStop>,
@@ -33,7 +33,7 @@
     heard_at: Duration,
 }
 
-impl EvidenceLedger {
+impl EvidenceTotals {
     /// Takes a report, heard at `now`. True where it was news.
     pub fn hear(&mut self, now: Duration, report: EvidenceReport) -> bool {
         let order = (report.incarnation, report.sequence);
--- a/crates/core/src/rollout/fleet_sight.rs
+++ b/crates/core/src/rollout/fleet_sight.rs
@@ -8,7 +8,7 @@
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
 use crate::move_tracker::NodeReport;
-use crate::rollout::evidence_ledger::EvidenceLedger;
+use crate::rollout::evidence_totals::EvidenceTotals;
 use crate::rollout::rollout_record::RolloutRecord;
 
 /// A server counts half its slots for this long after it was first seen:
@@ -64,7 +64,7 @@
         rollout: &RolloutRecord,
         records: impl Iterator<Item = &'a EndpointRecord>,
         nodes: &[NodeReport],
-        ledger: &EvidenceLedger,
+        ledger: &EvidenceTotals,
     ) -> FleetSight {
         let mut sight = FleetSight::default();
         for record in records {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use crate::rollout::evidence::RolloutTally;
-use crate::rollout::evidence_ledger::EvidenceLedger;
+use crate::rollout::evidence_totals::EvidenceTotals;
 use crate::rollout::fleet_sight::FleetSight;
 use crate::rollout::move_pace::FleetTrouble;
 use crate::rollout::move_pace::MoveTime;
@@ -190,7 +190,7 @@
         now: Duration,
         record: &RolloutRecord,
         sight: &FleetSight,
-        ledger: &EvidenceLedger,
+        ledger: &EvidenceTotals,
     ) -> Option<MoveChange> {
         let nothing = RolloutTally::default();
         let tally = ledger.total(record.rollout).unwrap_or(&nothing);
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -11,7 +11,7 @@
 use cowslip_core::rollout::evidence::RolloutTally;
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TryEnd;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::version::ConfigVersion;
 
 const MOVE: ConfigVersion = ConfigVersion { term: 1, index: 2 };
@@ -101,7 +101,7 @@
         for at in 0..3 {
             lasts.push(report(at, orders[at], &tallies[at]));
         }
-        let mut ledger = EvidenceLedger::default();
+        let mut ledger = EvidenceTotals::default();
         // Crossed and repeated arrivals within the first incarnations, then
         // what is certain to arrive, in the order of incarnations.
         for (pick, twice) in &arrivals {
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -6,7 +6,7 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_sight::FleetSight;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
@@ -98,7 +98,7 @@
     calls_each_look: u64,
 ) -> DrivenMove {
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceLedger::default();
+    let mut ledger = EvidenceTotals::default();
     let mut calls = 0;
     let mut new_calls = 0;
     let mut wait = None;
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -16,7 +16,7 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_sight::FleetSight;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
@@ -165,7 +165,7 @@
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let mut record = record();
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceLedger::default();
+    let mut ledger = EvidenceTotals::default();
     let pool = new_servers();
     let mut begun = vec![CallSums::default()];
     let looks = (WHOLE.as_millis() / DRIVER_PAUSE.as_millis()) as usize;
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -19,7 +19,7 @@
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_sight::FleetWatch;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
@@ -146,7 +146,7 @@
     nodes: Vec<StudyNode>,
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
-    ledger: EvidenceLedger,
+    ledger: EvidenceTotals,
     watch: FleetWatch,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
@@ -247,7 +247,7 @@
             nodes,
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
-            ledger: EvidenceLedger::default(),
+            ledger: EvidenceTotals::default(),
             watch: FleetWatch::default(),
             driver,
             servers: servers(),
@@ -414,7 +414,7 @@
     /// The new leader has the log and nothing else of the old one.
     fn change_leader(&mut self) {
         self.term += 1;
-        self.ledger = EvidenceLedger::default();
+        self.ledger = EvidenceTotals::default();
         self.watch = FleetWatch::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
