--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -19,7 +19,7 @@
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_sight::FleetWatch;
+use cowslip_core::rollout::fleet_snapshot::FleetWatch;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -12,7 +12,7 @@
 pub mod cold_start;
 pub mod evidence;
 pub mod evidence_totals;
-pub mod fleet_sight;
+pub mod fleet_snapshot;
 pub mod last_server;
 pub mod latency_sketch;
 pub mod move_pace;
--- a/crates/core/src/rollout/fleet_sight.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -21,7 +21,7 @@
 
 /// What one look of the leader sees of one move's fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FleetSight {
+pub struct FleetSnapshot {
     /// Slots of the old version's serving servers.
     pub old_slots: u32,
     /// Slots of the new version's, cold ones by half.
@@ -65,8 +65,8 @@
         records: impl Iterator<Item = &'a EndpointRecord>,
         nodes: &[NodeReport],
         ledger: &EvidenceTotals,
-    ) -> FleetSight {
-        let mut sight = FleetSight::default();
+    ) -> FleetSnapshot {
+        let mut sight = FleetSnapshot::default();
         for record in records {
             let serving = record.standing == EndpointStanding::Serving;
             if !serving || record.service != rollout.service {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -13,7 +13,7 @@
 
 use crate::rollout::evidence::RolloutTally;
 use crate::rollout::evidence_totals::EvidenceTotals;
-use crate::rollout::fleet_sight::FleetSight;
+use crate::rollout::fleet_snapshot::FleetSnapshot;
 use crate::rollout::move_pace::FleetTrouble;
 use crate::rollout::move_pace::MoveTime;
 use crate::rollout::move_pace::SlotDemand;
@@ -189,7 +189,7 @@
         &mut self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         ledger: &EvidenceTotals,
     ) -> Option<MoveChange> {
         let nothing = RolloutTally::default();
@@ -297,7 +297,7 @@
         &self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         counts: MoveCounts,
         telling: u64,
     ) -> Result<MoveChange, Option<StepWait>> {
@@ -356,7 +356,7 @@
         &self,
         time: &MoveTime,
         record: &RolloutRecord,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         counts: MoveCounts,
     ) -> Result<MoveChange, Option<StepWait>> {
         if !self.plan.is_over(time.elapsed, time.whole) {
@@ -382,7 +382,7 @@
     fn check(
         &self,
         time: &MoveTime,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         level: f64,
         on_trial: bool,
     ) -> Result<(), Option<StepWait>> {
@@ -408,7 +408,7 @@
     }
 
     /// Greatest share that the new version's slots carry.
-    fn carried(&self, sight: &FleetSight) -> u16 {
+    fn carried(&self, sight: &FleetSnapshot) -> u16 {
         if sight.new_slots == 0 {
             return 0;
         }
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -7,7 +7,7 @@
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_sight::FleetSight;
+use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
@@ -48,8 +48,8 @@
     }
 }
 
-fn sound_fleet() -> FleetSight {
-    FleetSight {
+fn sound_fleet() -> FleetSnapshot {
+    FleetSnapshot {
         old_slots: 30,
         new_slots: 30,
         nodes: 4,
@@ -94,7 +94,7 @@
 
 fn drive(
     mut record: RolloutRecord,
-    sight: impl Fn(Duration) -> FleetSight,
+    sight: impl Fn(Duration) -> FleetSnapshot,
     calls_each_look: u64,
 ) -> DrivenMove {
     let mut driver = RolloutDriver::new(&record);
@@ -162,7 +162,7 @@
 #[test]
 fn silence_is_not_health() {
     let cut = Duration::from_secs(20);
-    let sight = |now| FleetSight {
+    let sight = |now| FleetSnapshot {
         nodes_silent: if now < cut { 0 } else { 2 },
         ..sound_fleet()
     };
@@ -190,7 +190,7 @@
 // uses 16 slots. No step may ask more of the new servers than they carry.
 #[test]
 fn no_step_asks_more_than_the_new_slots_carry() {
-    let sight = |_| FleetSight {
+    let sight = |_| FleetSnapshot {
         new_slots: 10,
         ..sound_fleet()
     };
@@ -208,7 +208,7 @@
 // old version. The move must not be called finished.
 #[test]
 fn a_node_behind_keeps_the_move_open() {
-    let sight = |_| FleetSight {
+    let sight = |_| FleetSnapshot {
         nodes_behind: 1,
         ..sound_fleet()
     };
@@ -258,7 +258,7 @@
 #[test]
 fn a_late_move_on_trial_still_holds_each_step() {
     let held_up = Duration::from_secs(40);
-    let sight = |now| FleetSight {
+    let sight = |now| FleetSnapshot {
         nodes_silent: if now < held_up { 2 } else { 0 },
         ..sound_fleet()
     };
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -17,7 +17,7 @@
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_sight::FleetSight;
+use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
@@ -194,7 +194,7 @@
         }
         let ended = begun[look.saturating_sub(LAG_LOOKS)];
         ledger.hear(now, report(look, ended));
-        let sight = FleetSight {
+        let sight = FleetSnapshot {
             old_slots: 24,
             new_slots: 24,
             nodes: 16,
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -20,7 +20,7 @@
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_sight::FleetWatch;
+use cowslip_core::rollout::fleet_snapshot::FleetWatch;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
 use cowslip_core::rollout::node_guard::LOOK_PAUSE;
