--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -19,7 +19,7 @@
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_snapshot::FleetWatch;
+use cowslip_core::rollout::fleet_snapshot::FleetMonitor;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
@@ -91,7 +91,7 @@
     client: PeerClient,
     leading: bool,
     ledger: EvidenceTotals,
-    watch: FleetWatch,
+    watch: FleetMonitor,
     drivers: BTreeMap<ConfigVersion, RolloutDriver>,
     courses: BTreeMap<ConfigVersion, RolloutCourse>,
     gathered: BTreeMap<Arc<str>, EvidenceReport>,
@@ -114,7 +114,7 @@
         client,
         leading: false,
         ledger: EvidenceTotals::default(),
-        watch: FleetWatch::default(),
+        watch: FleetMonitor::default(),
         drivers: BTreeMap::new(),
         courses: BTreeMap::new(),
         gathered: BTreeMap::new(),
@@ -241,7 +241,7 @@
         }
         self.leading = false;
         self.ledger = EvidenceTotals::default();
-        self.watch = FleetWatch::default();
+        self.watch = FleetMonitor::default();
         self.drivers.clear();
         self.courses.clear();
     }
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -36,11 +36,11 @@
 
 /// When each server was first seen, by its node's incarnation.
 #[derive(Debug, Default)]
-pub struct FleetWatch {
+pub struct FleetMonitor {
     first_seen: BTreeMap<Arc<str>, (u64, Duration)>,
 }
 
-impl FleetWatch {
+impl FleetMonitor {
     /// Takes note of the servers known at `now`.
     pub fn note<'a>(
         &mut self,
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -20,7 +20,7 @@
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
-use cowslip_core::rollout::fleet_snapshot::FleetWatch;
+use cowslip_core::rollout::fleet_snapshot::FleetMonitor;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
 use cowslip_core::rollout::node_guard::LOOK_PAUSE;
@@ -147,7 +147,7 @@
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
     ledger: EvidenceTotals,
-    watch: FleetWatch,
+    watch: FleetMonitor,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
     served: [u32; SERVERS],
@@ -248,7 +248,7 @@
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
             ledger: EvidenceTotals::default(),
-            watch: FleetWatch::default(),
+            watch: FleetMonitor::default(),
             driver,
             servers: servers(),
             served: [0; SERVERS],
@@ -415,7 +415,7 @@
     fn change_leader(&mut self) {
         self.term += 1;
         self.ledger = EvidenceTotals::default();
-        self.watch = FleetWatch::default();
+        self.watch = FleetMonitor::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
             self.driver = driver(&self.parts, record);
