--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -25,7 +25,7 @@
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::CoursePoint;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::evidence_messages::EvidenceCall;
@@ -132,7 +132,7 @@
         mut receiver: mpsc::Receiver<RolloutMessage>,
         mut decisions: mpsc::UnboundedReceiver<ConfigVersion>,
     ) {
-        let mut look = actix_rt::time::interval(DRIVER_PAUSE);
+        let mut look = actix_rt::time::interval(DRIVER_INTERVAL);
         let mut pass = actix_rt::time::interval(GATHER_TIME);
         loop {
             tokio::select! {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -41,7 +41,7 @@
 
 /// Pause between two looks of the leader. Three looks decide against gross
 /// badness, so each counts in what a bad version gets.
-pub const DRIVER_PAUSE: Duration = Duration::from_millis(150);
+pub const DRIVER_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Part of the evidence needed for a verdict at which growth waits: about
 /// two failures where the share is small.
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -13,7 +13,7 @@
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::ExposureBound;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::rollout::rollout_record::ShareStep;
@@ -102,9 +102,9 @@
     let mut calls = 0;
     let mut new_calls = 0;
     let mut wait = None;
-    let looks = WHOLE_MS as u32 / DRIVER_PAUSE.as_millis() as u32;
+    let looks = WHOLE_MS as u32 / DRIVER_INTERVAL.as_millis() as u32;
     for look in 1..=looks {
-        let now = DRIVER_PAUSE * look;
+        let now = DRIVER_INTERVAL * look;
         calls += calls_each_look;
         new_calls += calls_each_look * u64::from(record.share()) / 1_000;
         ledger.hear(now, counts(u64::from(look), calls, new_calls));
@@ -195,7 +195,7 @@
         ..sound_fleet()
     };
     // 1,600 calls of 10 ms in a second keep 16 slots busy.
-    let each_look = 1_600 * DRIVER_PAUSE.as_millis() as u64 / 1_000;
+    let each_look = 1_600 * DRIVER_INTERVAL.as_millis() as u64 / 1_000;
     let driven = drive(record(QuietChoice::Finish), sight, each_look);
     assert_eq!(driven.finished_at, None);
     assert_eq!(driven.wait, Some(StepWait::FewSlots));
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -22,7 +22,7 @@
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::ExposureBound;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::rollout::rollout_record::ShareStep;
@@ -168,14 +168,14 @@
     let mut ledger = EvidenceTotals::default();
     let pool = new_servers();
     let mut begun = vec![CallSums::default()];
-    let looks = (WHOLE.as_millis() / DRIVER_PAUSE.as_millis()) as usize;
+    let looks = (WHOLE.as_millis() / DRIVER_INTERVAL.as_millis()) as usize;
     let mut shares = vec![record.share(); looks + LAG_LOOKS + 2];
     let mut taken_back = false;
     let mut finished = false;
     for look in 1..=looks {
-        let now = DRIVER_PAUSE * look as u32;
+        let now = DRIVER_INTERVAL * look as u32;
         let share = shares[look];
-        let due = CALLS_PER_SECOND * DRIVER_PAUSE.as_secs_f64() * 2.0;
+        let due = CALLS_PER_SECOND * DRIVER_INTERVAL.as_secs_f64() * 2.0;
         let calls = drawn(&mut rng, due, 0.5);
         let new = drawn(&mut rng, calls, f64::from(share) / 1_000.0);
         let old = calls - new;
