--- a/crates/core/src/rollout/node_guard.rs
+++ b/crates/core/src/rollout/node_guard.rs
@@ -21,7 +21,7 @@
 
 /// Pause between two looks at the counts. Seven looks decide against gross
 /// badness, so a node stops within two seconds of seeing it.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(250);
+pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// One try that ended.
 #[derive(Clone, Debug)]
@@ -144,7 +144,7 @@
     /// Looks at the counts if it is time, and stops versions found bad.
     pub fn tick(&mut self, now: Duration) -> Vec<StoppedVersion> {
         let mut stopped = Vec::new();
-        if now.saturating_sub(self.looked_at) < LOOK_PAUSE {
+        if now.saturating_sub(self.looked_at) < EVALUATION_INTERVAL {
             return stopped;
         }
         self.looked_at = now;
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -16,7 +16,7 @@
 use cowslip_core::rollout::last_server::is_last_of_old;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
-use cowslip_core::rollout::node_guard::LOOK_PAUSE;
+use cowslip_core::rollout::node_guard::EVALUATION_INTERVAL;
 use cowslip_core::verdict::CallVerdict;
 use cowslip_core::version::ConfigVersion;
 
@@ -59,7 +59,7 @@
             guard.record(&ended("v1", TryEnd::Answered));
             guard.record(&ended("v2", end));
         }
-        guard.tick(LOOK_PAUSE * look);
+        guard.tick(EVALUATION_INTERVAL * look);
     }
     guard
 }
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -23,7 +23,7 @@
 use cowslip_core::rollout::fleet_snapshot::FleetMonitor;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
-use cowslip_core::rollout::node_guard::LOOK_PAUSE;
+use cowslip_core::rollout::node_guard::EVALUATION_INTERVAL;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveDue;
 use cowslip_core::rollout::rollout_change::StepWait;
@@ -160,7 +160,7 @@
     let whole = Duration::from_secs(case.window_s);
     let mut now = Duration::ZERO;
     while now < whole + whole / 4 {
-        now += LOOK_PAUSE;
+        now += EVALUATION_INTERVAL;
         fleet.tick(now);
         if fleet.is_over() {
             break;
@@ -318,7 +318,7 @@
         let share = candidate.map_or(0, |candidate| candidate.share_per_mille);
         let share = f64::from(share) / 1_000.0;
         let spread = 0.5 + self.rng.random::<f64>();
-        let a_look = self.case.rate / NODES as f64 * LOOK_PAUSE.as_secs_f64();
+        let a_look = self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
         node.due_calls += a_look * spread;
         while node.due_calls >= 1.0 {
             node.due_calls -= 1.0;
--- a/crates/node/src/evidence_task.rs
+++ b/crates/node/src/evidence_task.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use cowslip_core::rollout::evidence::EvidenceReport;
-use cowslip_core::rollout::node_guard::LOOK_PAUSE;
+use cowslip_core::rollout::node_guard::EVALUATION_INTERVAL;
 use cowslip_wire::evidence_messages::EvidenceCall;
 use cowslip_wire::peer_client::PeerClient;
 use cowslip_wire::process_log::LogValue;
@@ -39,7 +39,7 @@
     newest: watch::Sender<Option<EvidenceReport>>,
     pause: Duration,
 ) {
-    let between = LOOK_PAUSE.min(pause);
+    let between = EVALUATION_INTERVAL.min(pause);
     let mut since_report = Duration::ZERO;
     loop {
         actix_rt::time::sleep(between).await;
