--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -26,7 +26,7 @@
 
 /// How a try ended, as far as the version is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum TryOutcome {
     /// The backend server answered, be it that the caller was at fault.
     Answered,
     /// The backend server failed the call: it answered with a fault of its
@@ -40,7 +40,7 @@
     Left,
 }
 
-impl TryEnd {
+impl TryOutcome {
     /// The end of a try that a backend server answered with `status`.
     pub fn of_status(status: u16) -> Self {
         if status >= SERVER_FAULT_STATUS {
@@ -64,7 +64,7 @@
     /// Time from sending the request until the answer, or the failure.
     pub took: Duration,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: TryOutcome,
     /// True where its node says that the server is past its cold start.
     /// Latencies of cold servers do not count: by them every new version
     /// would be a slow one.
@@ -110,16 +110,16 @@
     /// Counts one try.
     pub fn record(&mut self, ended: &MeasuredTry) {
         match ended.end {
-            TryEnd::NotRun => return,
-            TryEnd::Left => {
+            TryOutcome::NotRun => return,
+            TryOutcome::Left => {
                 self.left += 1;
                 return;
             }
-            TryEnd::Answered | TryEnd::Failed => {}
+            TryOutcome::Answered | TryOutcome::Failed => {}
         }
         self.calls += 1;
         self.busy_us += ended.took.as_micros() as u64;
-        if ended.end == TryEnd::Failed {
+        if ended.end == TryOutcome::Failed {
             self.failures += 1;
         } else if ended.warm {
             self.latency.record(ended.took);
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -10,7 +10,7 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RolloutTally;
 use cowslip_core::rollout::evidence::RouteEvidence;
-use cowslip_core::rollout::evidence::TryEnd;
+use cowslip_core::rollout::evidence::TryOutcome;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::version::ConfigVersion;
 
@@ -87,9 +87,9 @@
             let measured = MeasuredTry {
                 took: Duration::from_millis(drawn.millis),
                 end: match drawn.failed {
-                    _ if drawn.millis % 5 == 0 => TryEnd::Left,
-                    true => TryEnd::Failed,
-                    false => TryEnd::Answered,
+                    _ if drawn.millis % 5 == 0 => TryOutcome::Left,
+                    true => TryOutcome::Failed,
+                    false => TryOutcome::Answered,
                 },
                 warm: true,
             };
@@ -145,7 +145,7 @@
         for took in &micros {
             let measured = MeasuredTry {
                 took: Duration::from_micros(*took),
-                end: TryEnd::Answered,
+                end: TryOutcome::Answered,
                 warm: true,
             };
             tally.record(&route, true, &measured);
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -12,7 +12,7 @@
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::evidence::MeasuredTry;
-use cowslip_core::rollout::evidence::TryEnd;
+use cowslip_core::rollout::evidence::TryOutcome;
 use cowslip_core::rollout::last_server::is_last_of_old;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
@@ -36,7 +36,7 @@
     document
 }
 
-fn ended(version: &str, end: TryEnd) -> EndedTry {
+fn ended(version: &str, end: TryOutcome) -> EndedTry {
     EndedTry {
         service: "ledger".into(),
         route: "/sales".into(),
@@ -51,12 +51,12 @@
 
 /// A guard under move 5 of `ledger` to v2, with what each of its looks
 /// records: so many tries of either version, the new one's ending as said.
-fn guard_after(looks: u32, end: TryEnd) -> NodeGuard {
+fn guard_after(looks: u32, end: TryOutcome) -> NodeGuard {
     let mut guard = NodeGuard::default();
     guard.install(&document("v1", Some(("v2", 500, 5))));
     for look in 1..=looks {
         for _ in 0..10 {
-            guard.record(&ended("v1", TryEnd::Answered));
+            guard.record(&ended("v1", TryOutcome::Answered));
             guard.record(&ended("v2", end));
         }
         guard.tick(EVALUATION_INTERVAL * look);
@@ -69,7 +69,7 @@
 // step. The version must stay stopped until the move is over.
 #[test]
 fn later_steps_do_not_admit_a_stopped_version() {
-    let mut guard = guard_after(20, TryEnd::Failed);
+    let mut guard = guard_after(20, TryOutcome::Failed);
     assert!(!guard.admits("ledger", "v2"));
     assert!(guard.admits("ledger", "v1"));
     for share in [640, 900, 1_000] {
@@ -89,22 +89,22 @@
 // of it says anything of a version, and a sound one must not be stopped.
 #[test]
 fn what_is_no_fault_of_the_version_does_not_count() {
-    assert_eq!(TryEnd::of_status(404), TryEnd::Answered);
-    assert_eq!(TryEnd::of_status(429), TryEnd::Answered);
-    assert_eq!(TryEnd::of_status(500), TryEnd::Failed);
+    assert_eq!(TryOutcome::of_status(404), TryOutcome::Answered);
+    assert_eq!(TryOutcome::of_status(429), TryOutcome::Answered);
+    assert_eq!(TryOutcome::of_status(500), TryOutcome::Failed);
     let refused = TryFailure {
         verdict: CallVerdict::NotRun,
         reason: RefusalReason::QueueFull,
     };
-    assert_eq!(TryEnd::of_failure(&refused), TryEnd::NotRun);
+    assert_eq!(TryOutcome::of_failure(&refused), TryOutcome::NotRun);
     let broken = TryFailure {
         verdict: CallVerdict::MayHaveRun,
         reason: RefusalReason::ConnectionBroken,
     };
-    assert_eq!(TryEnd::of_failure(&broken), TryEnd::Failed);
-    let guard = guard_after(200, TryEnd::NotRun);
+    assert_eq!(TryOutcome::of_failure(&broken), TryOutcome::Failed);
+    let guard = guard_after(200, TryOutcome::NotRun);
     assert!(guard.admits("ledger", "v2"));
-    let guard = guard_after(200, TryEnd::Answered);
+    let guard = guard_after(200, TryOutcome::Answered);
     assert!(guard.admits("ledger", "v2"));
 }
 
@@ -112,7 +112,7 @@
 // report that arrives is enough; it names the node's counts once.
 #[test]
 fn a_stop_is_told_with_every_report() {
-    let mut guard = guard_after(20, TryEnd::Failed);
+    let mut guard = guard_after(20, TryOutcome::Failed);
     let node: Arc<str> = "node-1".into();
     let first = guard.report(&node, 7).expect("a move is on");
     let second = guard.report(&node, 7).expect("a move is on");
--- a/crates/core/tests/rollout_study/traffic.rs
+++ b/crates/core/tests/rollout_study/traffic.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-use cowslip_core::rollout::evidence::TryEnd;
+use cowslip_core::rollout::evidence::TryOutcome;
 
 /// Routes of the service and their parts of its calls.
 pub const ROUTES: [(&str, f64); 3] =
@@ -62,7 +62,7 @@
     /// Time it took.
     pub took: Duration,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: TryOutcome,
     /// True where the new version's badness touched it.
     pub harmed: bool,
 }
@@ -122,9 +122,9 @@
         DrawnCall {
             took: Duration::from_micros((millis * 1_000.0) as u64),
             end: if failed {
-                TryEnd::Failed
+                TryOutcome::Failed
             } else {
-                TryEnd::Answered
+                TryOutcome::Answered
             },
             harmed: failed_by_version || slowed,
         }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -23,7 +23,7 @@
 use cowslip_core::load::server_load::ToldLoad;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::evidence::MeasuredTry;
-use cowslip_core::rollout::evidence::TryEnd;
+use cowslip_core::rollout::evidence::TryOutcome;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::verdict::CallVerdict;
 use cowslip_wire::access_key::AccessKey;
@@ -443,9 +443,9 @@
                 let warm = answer.head.headers().get(call_headers::WARM);
                 let status = answer.head.status.as_u16();
                 let warm = warm.is_some_and(|value| value == "1");
-                (TryEnd::of_status(status), warm)
+                (TryOutcome::of_status(status), warm)
             }
-            Err(failure) => (TryEnd::of_failure(failure), false),
+            Err(failure) => (TryOutcome::of_failure(failure), false),
         };
         let ended = ended_try(planned, MeasuredTry { took, end, warm });
         // The entry task ends only with the node.
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -8,7 +8,7 @@
 use cowslip_core::entry_router::CallPlan;
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
-use cowslip_core::rollout::evidence::TryEnd;
+use cowslip_core::rollout::evidence::TryOutcome;
 use cowslip_core::rollout::node_guard::EndedTry;
 
 use crate::call_forward;
@@ -36,7 +36,7 @@
         let instance = Arc::clone(&planned.server.instance);
         let left = MeasuredTry {
             took: Duration::ZERO,
-            end: TryEnd::Left,
+            end: TryOutcome::Left,
             warm: false,
         };
         Self {
