--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -37,7 +37,7 @@
     NotRun,
     /// Its caller left before any answer. It may have run, and tells nothing
     /// of the version.
-    Left,
+    Abandoned,
 }
 
 impl TryOutcome {
@@ -111,7 +111,7 @@
     pub fn record(&mut self, ended: &MeasuredTry) {
         match ended.end {
             TryOutcome::NotRun => return,
-            TryOutcome::Left => {
+            TryOutcome::Abandoned => {
                 self.left += 1;
                 return;
             }
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -87,7 +87,7 @@
             let measured = MeasuredTry {
                 took: Duration::from_millis(drawn.millis),
                 end: match drawn.failed {
-                    _ if drawn.millis % 5 == 0 => TryOutcome::Left,
+                    _ if drawn.millis % 5 == 0 => TryOutcome::Abandoned,
                     true => TryOutcome::Failed,
                     false => TryOutcome::Answered,
                 },
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -36,7 +36,7 @@
         let instance = Arc::clone(&planned.server.instance);
         let left = MeasuredTry {
             took: Duration::ZERO,
-            end: TryOutcome::Left,
+            end: TryOutcome::Abandoned,
             warm: false,
         };
         Self {
