--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -42,7 +42,7 @@
 
 impl TryOutcome {
     /// The end of a try that a backend server answered with `status`.
-    pub fn of_status(status: u16) -> Self {
+    pub fn from_status(status: u16) -> Self {
         if status >= SERVER_FAULT_STATUS {
             return Self::Failed;
         }
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -89,9 +89,9 @@
 // of it says anything of a version, and a sound one must not be stopped.
 #[test]
 fn what_is_no_fault_of_the_version_does_not_count() {
-    assert_eq!(TryOutcome::of_status(404), TryOutcome::Answered);
-    assert_eq!(TryOutcome::of_status(429), TryOutcome::Answered);
-    assert_eq!(TryOutcome::of_status(500), TryOutcome::Failed);
+    assert_eq!(TryOutcome::from_status(404), TryOutcome::Answered);
+    assert_eq!(TryOutcome::from_status(429), TryOutcome::Answered);
+    assert_eq!(TryOutcome::from_status(500), TryOutcome::Failed);
     let refused = TryFailure {
         verdict: CallVerdict::NotRun,
         reason: RefusalReason::QueueFull,
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -443,7 +443,7 @@
                 let warm = answer.head.headers().get(call_headers::WARM);
                 let status = answer.head.status.as_u16();
                 let warm = warm.is_some_and(|value| value == "1");
-                (TryOutcome::of_status(status), warm)
+                (TryOutcome::from_status(status), warm)
             }
             Err(failure) => (TryOutcome::of_failure(failure), false),
         };
