--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -50,7 +50,7 @@
     }
 
     /// The end of a try that got no whole answer.
-    pub fn of_failure(failure: &TryFailure) -> Self {
+    pub fn from_failure(failure: &TryFailure) -> Self {
         match failure.verdict {
             CallVerdict::NotRun => Self::NotRun,
             CallVerdict::MayHaveRun | CallVerdict::Ran => Self::Failed,
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -96,12 +96,12 @@
         verdict: CallVerdict::NotRun,
         reason: RefusalReason::QueueFull,
     };
-    assert_eq!(TryOutcome::of_failure(&refused), TryOutcome::NotRun);
+    assert_eq!(TryOutcome::from_failure(&refused), TryOutcome::NotRun);
     let broken = TryFailure {
         verdict: CallVerdict::MayHaveRun,
         reason: RefusalReason::ConnectionBroken,
     };
-    assert_eq!(TryOutcome::of_failure(&broken), TryOutcome::Failed);
+    assert_eq!(TryOutcome::from_failure(&broken), TryOutcome::Failed);
     let guard = guard_after(200, TryOutcome::NotRun);
     assert!(guard.admits("ledger", "v2"));
     let guard = guard_after(200, TryOutcome::Answered);
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -445,7 +445,7 @@
                 let warm = warm.is_some_and(|value| value == "1");
                 (TryOutcome::from_status(status), warm)
             }
-            Err(failure) => (TryOutcome::of_failure(failure), false),
+            Err(failure) => (TryOutcome::from_failure(failure), false),
         };
         let ended = ended_try(planned, MeasuredTry { took, end, warm });
         // The entry task ends only with the node.
