--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -34,7 +34,7 @@
 use crate::load::server_pool::SlotSearch;
 use crate::load::service_pressure::ServicePressure;
 use crate::refusal::RefusalReason;
-use crate::rollout::last_server::is_last_of_old;
+use crate::rollout::last_server::is_last_old_server;
 use crate::rollout::node_guard::NodeGuard;
 use crate::route_table::RouteTable;
 use crate::server_gate::QueueBounds;
@@ -172,8 +172,8 @@
     }
 
     /// True where `instance` must stay until a move is done.
-    pub fn is_last_of_old(&self, instance: &str) -> bool {
-        is_last_of_old(&self.snapshot.document, &self.directory, instance)
+    pub fn is_last_old_server(&self, instance: &str) -> bool {
+        is_last_old_server(&self.snapshot.document, &self.directory, instance)
     }
 
     /// Takes directory records; older ones than those held are passed over.
--- a/crates/core/src/rollout/last_server.rs
+++ b/crates/core/src/rollout/last_server.rs
@@ -10,7 +10,7 @@
 /// Guards against operators who drain the old servers when most traffic has
 /// moved: a new version found bad then would leave callers without any
 /// server, because there is nothing to take the move back to.
-pub fn is_last_of_old(
+pub fn is_last_old_server(
     document: &FleetDocument,
     directory: &EndpointDirectory,
     instance: &str,
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -13,7 +13,7 @@
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::evidence::MeasuredTry;
 use cowslip_core::rollout::evidence::TryOutcome;
-use cowslip_core::rollout::last_server::is_last_of_old;
+use cowslip_core::rollout::last_server::is_last_old_server;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
 use cowslip_core::rollout::node_guard::EVALUATION_INTERVAL;
@@ -150,13 +150,21 @@
         directory.merge(record);
     }
     let moving = document("v1", Some(("v2", 900, 5)));
-    assert!(!is_last_of_old(&moving, &directory, "old-1"));
+    assert!(!is_last_old_server(&moving, &directory, "old-1"));
     let mut drained = server("old-2", "v1");
     drained.standing = EndpointStanding::Draining;
     drained.sequence = 2;
     directory.merge(drained);
-    assert!(is_last_of_old(&moving, &directory, "old-1"));
-    assert!(!is_last_of_old(&moving, &directory, "new-1"));
-    assert!(!is_last_of_old(&document("v1", None), &directory, "old-1"));
-    assert!(!is_last_of_old(&document("v2", None), &directory, "old-1"));
+    assert!(is_last_old_server(&moving, &directory, "old-1"));
+    assert!(!is_last_old_server(&moving, &directory, "new-1"));
+    assert!(!is_last_old_server(
+        &document("v1", None),
+        &directory,
+        "old-1"
+    ));
+    assert!(!is_last_old_server(
+        &document("v2", None),
+        &directory,
+        "old-1"
+    ));
 }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -453,7 +453,7 @@
     }
 
     /// Whether a move still needs the backend server beside this node.
-    pub async fn is_last_of_old(&self) -> bool {
+    pub async fn is_last_old_server(&self) -> bool {
         let (reply, answer) = oneshot::channel();
         let asked = self.entry.send(EntryMessage::IsLastOfOld(reply)).await;
         asked.is_ok() && answer.await.unwrap_or(false)
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -227,7 +227,7 @@
                 let _ = reply.send(self.look(due));
             }
             EntryMessage::IsLastOfOld(reply) => {
-                let _ = reply.send(self.router.is_last_of_old(&self.instance));
+                let _ = reply.send(self.router.is_last_old_server(&self.instance));
             }
             EntryMessage::Report(reply) => {
                 let _ = reply.send(self.report());
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -134,7 +134,7 @@
     request: &Request,
 ) -> HttpReply {
     let anyway = request.uri().query() == Some("anyway");
-    if !anyway && calls.is_last_of_old().await {
+    if !anyway && calls.is_last_old_server().await {
         let problem = "refused: the last server of the version in service, and a move \
                        to another is in progress; wait for it, or POST /drain?anyway";
         return http_reply::text(StatusCode::CONFLICT, problem);
