--- a/crates/core/src/rollout/cold_start.rs
+++ b/crates/core/src/rollout/cold_start.rs
@@ -17,7 +17,7 @@
     }
 
     /// Counts a call that goes to the server; true where it is warm.
-    pub fn grant(&mut self) -> bool {
+    pub fn record_call(&mut self) -> bool {
         self.granted = self.granted.saturating_add(1);
         self.granted > COLD_CALLS
     }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -423,7 +423,7 @@
         let server = self.server.ok_or(RefusalReason::NotAnnounced)?;
         Ok(SlotGrant {
             server,
-            warm: self.cold_start.grant(),
+            warm: self.cold_start.record_call(),
             run: self.runs.run().cloned(),
         })
     }
