--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -155,7 +155,7 @@
                 let leading = self.agreed.leader.borrow().leading();
                 for report in call.reports {
                     if leading {
-                        self.ledger.hear(wall_clock::since_epoch(), report);
+                        self.ledger.record_report(wall_clock::since_epoch(), report);
                     } else {
                         self.gather(report);
                     }
@@ -182,7 +182,7 @@
         let view = *self.agreed.leader.borrow();
         if view.leading() {
             for (_, report) in std::mem::take(&mut self.gathered) {
-                self.ledger.hear(wall_clock::since_epoch(), report);
+                self.ledger.record_report(wall_clock::since_epoch(), report);
             }
             return;
         }
--- a/crates/core/src/rollout/evidence_totals.rs
+++ b/crates/core/src/rollout/evidence_totals.rs
@@ -35,7 +35,7 @@
 
 impl EvidenceTotals {
     /// Takes a report, heard at `now`. True where it was news.
-    pub fn hear(&mut self, now: Duration, report: EvidenceReport) -> bool {
+    pub fn record_report(&mut self, now: Duration, report: EvidenceReport) -> bool {
         let order = (report.incarnation, report.sequence);
         let mut before = None;
         if let Some(held) = self.nodes.get(&report.node) {
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -109,16 +109,16 @@
             if picked.incarnation > 1 {
                 continue;
             }
-            ledger.hear(Duration::ZERO, picked.clone());
+            ledger.record_report(Duration::ZERO, picked.clone());
             if *twice {
-                prop_assert!(!ledger.hear(Duration::ZERO, picked));
+                prop_assert!(!ledger.record_report(Duration::ZERO, picked));
             }
         }
         for last in &lasts {
-            ledger.hear(Duration::ZERO, last.clone());
+            ledger.record_report(Duration::ZERO, last.clone());
         }
         for (pick, _) in &arrivals {
-            ledger.hear(Duration::ZERO, pick.get(&reports).clone());
+            ledger.record_report(Duration::ZERO, pick.get(&reports).clone());
         }
         let total = ledger.total(MOVE).expect("reports arrived");
         for (got, wanted) in [
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -107,7 +107,7 @@
         let now = DRIVER_INTERVAL * look;
         calls += calls_each_look;
         new_calls += calls_each_look * u64::from(record.share()) / 1_000;
-        ledger.hear(now, counts(u64::from(look), calls, new_calls));
+        ledger.record_report(now, counts(u64::from(look), calls, new_calls));
         let change = driver.look(now, &record, &sight(now), &ledger);
         wait = driver.wait().or(wait);
         match change {
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -193,7 +193,7 @@
             continue;
         }
         let ended = begun[look.saturating_sub(LAG_LOOKS)];
-        ledger.hear(now, report(look, ended));
+        ledger.record_report(now, report(look, ended));
         let sight = FleetSnapshot {
             old_slots: 24,
             new_slots: 24,
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -403,7 +403,7 @@
             .partition(|(due, _)| *due <= now);
         self.in_flight = still;
         for (_, report) in Vec::<(Duration, EvidenceReport)>::from_iter(arrived) {
-            self.ledger.hear(EPOCH + now, report);
+            self.ledger.record_report(EPOCH + now, report);
         }
         self.accept(now);
         if now.subsec_millis().is_multiple_of(500) {
