--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -135,7 +135,7 @@
 impl MoveTracker {
     /// Takes a node's report, heard at `heard_at`. A late one does not lower
     /// what the node is known to have applied.
-    pub fn hear(&mut self, heard_at: Duration, mut report: NodeReport) {
+    pub fn record_report(&mut self, heard_at: Duration, mut report: NodeReport) {
         if let Some(held) = self.forget(&report.node) {
             report.applied = report.applied.max(held.report.applied);
         } else if self.nodes.len() >= NODES_MAX {
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -203,7 +203,7 @@
             self.gather.hear(now, &report);
             self.acks.remember(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.hear(now, report);
+            self.board.record_report(now, report);
         }
         let way =
             DirectoryWay::choose(&self.directory, self.identity.run, &call.directory);
@@ -290,7 +290,7 @@
         for report in batch.reports() {
             self.acks.remember(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.hear(now, report);
+            self.board.record_report(now, report);
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
