--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -199,7 +199,7 @@
 
     /// Drops dead nodes and marks as done every awaited version that all
     /// live nodes have applied.
-    pub fn settle(&mut self, now: Duration) {
+    pub fn mark_done(&mut self, now: Duration) {
         self.expire(now);
         let Some(lowest) = self.applied.lowest() else {
             return;
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -354,7 +354,7 @@
 
     /// Lets time pass, and gives the answers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<NewsAnswer> {
-        self.board.settle(now);
+        self.board.mark_done(now);
         self.judge_leases(now);
         let due = self.queue.due(now, &self.freshness);
         self.answer(now, due);
