--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -152,7 +152,7 @@
     }
 
     /// Sets how long nodes count as live.
-    pub fn keep(&mut self, presence: NodePresence) {
+    pub fn set_presence(&mut self, presence: NodePresence) {
         self.presence = presence;
     }
 
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -140,7 +140,7 @@
 
     /// Sets how long nodes count as live.
     pub fn keep(&mut self, presence: NodePresence) {
-        self.board.keep(presence);
+        self.board.set_presence(presence);
         self.gather.keep(presence);
     }
 
