--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -190,7 +190,7 @@
     }
 
     /// Waits for `version`, accepted at `now`, to be applied everywhere.
-    pub fn expect(&mut self, now: Duration, version: ConfigVersion) {
+    pub fn await_version(&mut self, now: Duration, version: ConfigVersion) {
         self.pending.insert(version, now);
         if self.pending.len() > MOVES_KEPT {
             self.pending.pop_first();
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -190,7 +190,7 @@
     pub fn publish(&mut self, now: Duration, snapshot: ConfigSnapshot) {
         let version = snapshot.version;
         if self.history.publish(snapshot) {
-            self.board.expect(now, version);
+            self.board.await_version(now, version);
             self.queue.note_news();
         }
     }
