--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -151,7 +151,9 @@
     ) -> Result<FleetDocument, Vec<DocumentFault>> {
         let document = &self.snapshot.document;
         if let ConfigChange::Move(change) = &entry.change {
-            return self.rollouts.decide(version, entry.at_ms, document, change);
+            return self
+                .rollouts
+                .apply_change(version, entry.at_ms, document, change);
         }
         if let ConfigChange::Revise(revision) = &entry.change {
             check_number(revision, self.revision)?;
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -62,7 +62,7 @@
 
     /// Takes a change of a move, accepted as `version` at `at_ms`: the
     /// document after it, or why it is refused.
-    pub fn decide(
+    pub fn apply_change(
         &mut self,
         version: ConfigVersion,
         at_ms: u64,
