--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -158,7 +158,7 @@
         if let ConfigChange::Revise(revision) = &entry.change {
             check_number(revision, self.revision)?;
         }
-        self.rollouts.settle(edit(document, &entry.change)?)
+        self.rollouts.reconcile_edit(edit(document, &entry.change)?)
     }
 
     fn record(&mut self, version: ConfigVersion, entry: &ChangeEntry) {
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -262,7 +262,7 @@
     /// Settles an operator's direct edit with the moves that run: a service
     /// under a move keeps its candidate, and an edit that would change it
     /// otherwise is refused.
-    pub fn settle(&self, mut edited: FleetDocument) -> Edited {
+    pub fn reconcile_edit(&self, mut edited: FleetDocument) -> Edited {
         let mut faults = self.stale_candidates(&edited);
         for held in self.running.values() {
             let path = format!("services.{}", held.service);
