--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -226,7 +226,7 @@
             return;
         };
         let now = wall_clock::since_epoch();
-        self.watch.note(now, servers.iter());
+        self.watch.record_servers(now, servers.iter());
         for record in &records {
             self.look_at(now, record, &servers, &nodes);
         }
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -42,7 +42,7 @@
 
 impl FleetMonitor {
     /// Takes note of the servers known at `now`.
-    pub fn note<'a>(
+    pub fn record_servers<'a>(
         &mut self,
         now: Duration,
         records: impl Iterator<Item = &'a EndpointRecord>,
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -443,7 +443,7 @@
 
     fn look(&mut self, now: Duration) {
         let wall = EPOCH + now;
-        self.watch.note(wall, self.servers.iter());
+        self.watch.record_servers(wall, self.servers.iter());
         let mut nodes = Vec::new();
         for node in &self.nodes {
             nodes.push(NodeReport {
