--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -287,7 +287,7 @@
     ) {
         let sight = self
             .watch
-            .sight(now, record, servers.iter(), nodes, &self.ledger);
+            .snapshot(now, record, servers.iter(), nodes, &self.ledger);
         let driver = self.drivers.entry(record.rollout);
         let driver = driver.or_insert_with(|| RolloutDriver::new(record));
         let change = driver.look(now, record, &sight, &self.ledger);
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -58,7 +58,7 @@
     }
 
     /// The fleet of one move, from what is known at `now`.
-    pub fn sight<'a>(
+    pub fn snapshot<'a>(
         &self,
         now: Duration,
         rollout: &RolloutRecord,
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -457,7 +457,7 @@
             let servers = self.servers.iter();
             let sight = self
                 .watch
-                .sight(wall, record, servers, &nodes, &self.ledger);
+                .snapshot(wall, record, servers, &nodes, &self.ledger);
             let change = self.driver.look(wall, record, &sight, &self.ledger);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
