--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -290,7 +290,7 @@
             .snapshot(now, record, servers.iter(), nodes, &self.ledger);
         let driver = self.drivers.entry(record.rollout);
         let driver = driver.or_insert_with(|| RolloutDriver::new(record));
-        let change = driver.look(now, record, &sight, &self.ledger);
+        let change = driver.evaluate(now, record, &sight, &self.ledger);
         let points = driver.course().to_vec();
         let counts = points.last().map_or(MoveCounts::default(), |at| at.counts);
         let course = RolloutCourse {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -185,7 +185,7 @@
     /// Looks at the move at wall clock `now`; the change to propose, if any.
     /// The same change may come again until the record shows it; its request
     /// identifier makes that harmless.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         now: Duration,
         record: &RolloutRecord,
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -108,7 +108,7 @@
         calls += calls_each_look;
         new_calls += calls_each_look * u64::from(record.share()) / 1_000;
         ledger.record_report(now, counts(u64::from(look), calls, new_calls));
-        let change = driver.look(now, &record, &sight(now), &ledger);
+        let change = driver.evaluate(now, &record, &sight(now), &ledger);
         wait = driver.wait().or(wait);
         match change {
             Some(MoveChange::Step {
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -201,7 +201,7 @@
             nodes_silent: if plan.silence.contains(&now) { 9 } else { 0 },
             nodes_behind: 0,
         };
-        let next = match driver.look(now, &record, &sight, &ledger) {
+        let next = match driver.evaluate(now, &record, &sight, &ledger) {
             Some(MoveChange::Step {
                 share_per_mille, ..
             }) => {
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -458,7 +458,7 @@
             let sight = self
                 .watch
                 .snapshot(wall, record, servers, &nodes, &self.ledger);
-            let change = self.driver.look(wall, record, &sight, &self.ledger);
+            let change = self.driver.evaluate(wall, record, &sight, &self.ledger);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
             }
