--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -16,16 +16,16 @@
 use cowslip_core::change::ChangeOutcome;
 use cowslip_core::change::ConfigChange;
 use cowslip_core::directory::EndpointRecord;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
-use cowslip_core::rollout::fleet_sight::FleetWatch;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
+use cowslip_core::rollout::fleet_snapshot::FleetMonitor;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::CoursePoint;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::evidence_messages::EvidenceCall;
@@ -90,8 +90,8 @@
     fanout: mpsc::Sender<FanoutMessage>,
     client: PeerClient,
     leading: bool,
-    ledger: EvidenceLedger,
-    watch: FleetWatch,
+    ledger: EvidenceTotals,
+    watch: FleetMonitor,
     drivers: BTreeMap<ConfigVersion, RolloutDriver>,
     courses: BTreeMap<ConfigVersion, RolloutCourse>,
     gathered: BTreeMap<Arc<str>, EvidenceReport>,
@@ -113,8 +113,8 @@
         fanout,
         client,
         leading: false,
-        ledger: EvidenceLedger::default(),
-        watch: FleetWatch::default(),
+        ledger: EvidenceTotals::default(),
+        watch: FleetMonitor::default(),
         drivers: BTreeMap::new(),
         courses: BTreeMap::new(),
         gathered: BTreeMap::new(),
@@ -132,7 +132,7 @@
         mut receiver: mpsc::Receiver<RolloutMessage>,
         mut decisions: mpsc::UnboundedReceiver<ConfigVersion>,
     ) {
-        let mut look = actix_rt::time::interval(DRIVER_PAUSE);
+        let mut look = actix_rt::time::interval(DRIVER_INTERVAL);
         let mut pass = actix_rt::time::interval(GATHER_TIME);
         loop {
             tokio::select! {
@@ -155,7 +155,7 @@
                 let leading = self.agreed.leader.borrow().leading();
                 for report in call.reports {
                     if leading {
-                        self.ledger.hear(wall_clock::since_epoch(), report);
+                        self.ledger.record_report(wall_clock::since_epoch(), report);
                     } else {
                         self.gather(report);
                     }
@@ -182,7 +182,7 @@
         let view = *self.agreed.leader.borrow();
         if view.leading() {
             for (_, report) in std::mem::take(&mut self.gathered) {
-                self.ledger.hear(wall_clock::since_epoch(), report);
+                self.ledger.record_report(wall_clock::since_epoch(), report);
             }
             return;
         }
@@ -226,7 +226,7 @@
             return;
         };
         let now = wall_clock::since_epoch();
-        self.watch.note(now, servers.iter());
+        self.watch.record_servers(now, servers.iter());
         for record in &records {
             self.look_at(now, record, &servers, &nodes);
         }
@@ -240,8 +240,8 @@
             return;
         }
         self.leading = false;
-        self.ledger = EvidenceLedger::default();
-        self.watch = FleetWatch::default();
+        self.ledger = EvidenceTotals::default();
+        self.watch = FleetMonitor::default();
         self.drivers.clear();
         self.courses.clear();
     }
@@ -287,10 +287,10 @@
     ) {
         let sight = self
             .watch
-            .sight(now, record, servers.iter(), nodes, &self.ledger);
+            .snapshot(now, record, servers.iter(), nodes, &self.ledger);
         let driver = self.drivers.entry(record.rollout);
         let driver = driver.or_insert_with(|| RolloutDriver::new(record));
-        let change = driver.look(now, record, &sight, &self.ledger);
+        let change = driver.evaluate(now, record, &sight, &self.ledger);
         let points = driver.course().to_vec();
         let counts = points.last().map_or(MoveCounts::default(), |at| at.counts);
         let course = RolloutCourse {
--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -18,7 +18,7 @@
 use crate::document::validate_edit;
 use crate::document::DocumentFault;
 use crate::document::FleetDocument;
-use crate::rollout::rollout_book::RolloutBook;
+use crate::rollout::rollout_registry::RolloutRegistry;
 use crate::version::ConfigVersion;
 
 /// Answers kept for resends. At 13,000 changes a day this is over five days
@@ -60,7 +60,7 @@
     answer_order: VecDeque<Arc<str>>,
     history: VecDeque<AcceptedChange>,
     #[serde(default)]
-    rollouts: RolloutBook,
+    rollouts: RolloutRegistry,
     /// Operators' number of the revision in force; 0 before the first.
     #[serde(default)]
     revision: u64,
@@ -78,7 +78,7 @@
     }
 
     /// Moves of backend server versions.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutRegistry {
         &self.rollouts
     }
 
@@ -151,12 +151,14 @@
     ) -> Result<FleetDocument, Vec<DocumentFault>> {
         let document = &self.snapshot.document;
         if let ConfigChange::Move(change) = &entry.change {
-            return self.rollouts.decide(version, entry.at_ms, document, change);
+            return self
+                .rollouts
+                .apply_change(version, entry.at_ms, document, change);
         }
         if let ConfigChange::Revise(revision) = &entry.change {
             check_number(revision, self.revision)?;
         }
-        self.rollouts.settle(edit(document, &entry.change)?)
+        self.rollouts.reconcile_edit(edit(document, &entry.change)?)
     }
 
     fn record(&mut self, version: ConfigVersion, entry: &ChangeEntry) {
--- a/crates/core/src/move_board.rs
+++ b/crates/core/src/move_tracker.rs
@@ -74,7 +74,7 @@
 /// board counts nodes by version as reports arrive and looks only at those
 /// counts: a report costs a few tree steps, whatever waits.
 #[derive(Clone, Debug, Default)]
-pub struct MoveBoard {
+pub struct MoveTracker {
     nodes: BTreeMap<Arc<str>, HeardReport>,
     by_age: BTreeSet<(Duration, Arc<str>)>,
     applied: VersionCounts,
@@ -132,10 +132,10 @@
     }
 }
 
-impl MoveBoard {
+impl MoveTracker {
     /// Takes a node's report, heard at `heard_at`. A late one does not lower
     /// what the node is known to have applied.
-    pub fn hear(&mut self, heard_at: Duration, mut report: NodeReport) {
+    pub fn record_report(&mut self, heard_at: Duration, mut report: NodeReport) {
         if let Some(held) = self.forget(&report.node) {
             report.applied = report.applied.max(held.report.applied);
         } else if self.nodes.len() >= NODES_MAX {
@@ -152,7 +152,7 @@
     }
 
     /// Sets how long nodes count as live.
-    pub fn keep(&mut self, presence: NodePresence) {
+    pub fn set_presence(&mut self, presence: NodePresence) {
         self.presence = presence;
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Waits for `version`, accepted at `now`, to be applied everywhere.
-    pub fn expect(&mut self, now: Duration, version: ConfigVersion) {
+    pub fn await_version(&mut self, now: Duration, version: ConfigVersion) {
         self.pending.insert(version, now);
         if self.pending.len() > MOVES_KEPT {
             self.pending.pop_first();
@@ -199,7 +199,7 @@
 
     /// Drops dead nodes and marks as done every awaited version that all
     /// live nodes have applied.
-    pub fn settle(&mut self, now: Duration) {
+    pub fn mark_done(&mut self, now: Duration) {
         self.expire(now);
         let Some(lowest) = self.applied.lowest() else {
             return;
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/news_source.rs
@@ -25,7 +25,7 @@
 use crate::follower_queue::FollowerId;
 use crate::follower_queue::FollowerPlace;
 use crate::follower_queue::FollowerQueue;
-use crate::move_board::MoveBoard;
+use crate::move_tracker::MoveTracker;
 use crate::node_presence::NodePresence;
 use crate::reconnect_admission::ReconnectAdmission;
 use crate::reconnect_admission::ReconnectCost;
@@ -101,7 +101,7 @@
     history: ConfigHistory,
     directory: EndpointDirectory,
     leases: LeaseTable,
-    board: MoveBoard,
+    board: MoveTracker,
     acks: AckMemory,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
@@ -123,7 +123,7 @@
             history: ConfigHistory::default(),
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
-            board: MoveBoard::default(),
+            board: MoveTracker::default(),
             acks: AckMemory::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
@@ -140,7 +140,7 @@
 
     /// Sets how long nodes count as live.
     pub fn keep(&mut self, presence: NodePresence) {
-        self.board.keep(presence);
+        self.board.set_presence(presence);
         self.gather.keep(presence);
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Which nodes have applied what.
-    pub fn board(&self) -> &MoveBoard {
+    pub fn board(&self) -> &MoveTracker {
         &self.board
     }
 
@@ -190,7 +190,7 @@
     pub fn publish(&mut self, now: Duration, snapshot: ConfigSnapshot) {
         let version = snapshot.version;
         if self.history.publish(snapshot) {
-            self.board.expect(now, version);
+            self.board.await_version(now, version);
             self.queue.note_news();
         }
     }
@@ -203,7 +203,7 @@
             self.gather.hear(now, &report);
             self.acks.remember(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.hear(now, report);
+            self.board.record_report(now, report);
         }
         let way =
             DirectoryWay::choose(&self.directory, self.identity.run, &call.directory);
@@ -290,7 +290,7 @@
         for report in batch.reports() {
             self.acks.remember(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.hear(now, report);
+            self.board.record_report(now, report);
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
@@ -354,7 +354,7 @@
 
     /// Lets time pass, and gives the answers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<NewsAnswer> {
-        self.board.settle(now);
+        self.board.mark_done(now);
         self.judge_leases(now);
         let due = self.queue.due(now, &self.freshness);
         self.answer(now, due);
--- a/crates/core/src/rollout/fleet_sight.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -7,8 +7,8 @@
 
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
-use crate::move_board::NodeReport;
-use crate::rollout::evidence_ledger::EvidenceLedger;
+use crate::move_tracker::NodeReport;
+use crate::rollout::evidence_totals::EvidenceTotals;
 use crate::rollout::rollout_record::RolloutRecord;
 
 /// A server counts half its slots for this long after it was first seen:
@@ -21,7 +21,7 @@
 
 /// What one look of the leader sees of one move's fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FleetSight {
+pub struct FleetSnapshot {
     /// Slots of the old version's serving servers.
     pub old_slots: u32,
     /// Slots of the new version's, cold ones by half.
@@ -36,13 +36,13 @@
 
 /// When each server was first seen, by its node's incarnation.
 #[derive(Debug, Default)]
-pub struct FleetWatch {
+pub struct FleetMonitor {
     first_seen: BTreeMap<Arc<str>, (u64, Duration)>,
 }
 
-impl FleetWatch {
+impl FleetMonitor {
     /// Takes note of the servers known at `now`.
-    pub fn note<'a>(
+    pub fn record_servers<'a>(
         &mut self,
         now: Duration,
         records: impl Iterator<Item = &'a EndpointRecord>,
@@ -58,15 +58,15 @@
     }
 
     /// The fleet of one move, from what is known at `now`.
-    pub fn sight<'a>(
+    pub fn snapshot<'a>(
         &self,
         now: Duration,
         rollout: &RolloutRecord,
         records: impl Iterator<Item = &'a EndpointRecord>,
         nodes: &[NodeReport],
-        ledger: &EvidenceLedger,
-    ) -> FleetSight {
-        let mut sight = FleetSight::default();
+        ledger: &EvidenceTotals,
+    ) -> FleetSnapshot {
+        let mut sight = FleetSnapshot::default();
         for record in records {
             let serving = record.standing == EndpointStanding::Serving;
             if !serving || record.service != rollout.service {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -12,8 +12,8 @@
 use serde::Serialize;
 
 use crate::rollout::evidence::RolloutTally;
-use crate::rollout::evidence_ledger::EvidenceLedger;
-use crate::rollout::fleet_sight::FleetSight;
+use crate::rollout::evidence_totals::EvidenceTotals;
+use crate::rollout::fleet_snapshot::FleetSnapshot;
 use crate::rollout::move_pace::FleetTrouble;
 use crate::rollout::move_pace::MoveTime;
 use crate::rollout::move_pace::SlotDemand;
@@ -41,7 +41,7 @@
 
 /// Pause between two looks of the leader. Three looks decide against gross
 /// badness, so each counts in what a bad version gets.
-pub const DRIVER_PAUSE: Duration = Duration::from_millis(150);
+pub const DRIVER_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Part of the evidence needed for a verdict at which growth waits: about
 /// two failures where the share is small.
@@ -185,12 +185,12 @@
     /// Looks at the move at wall clock `now`; the change to propose, if any.
     /// The same change may come again until the record shows it; its request
     /// identifier makes that harmless.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSight,
-        ledger: &EvidenceLedger,
+        sight: &FleetSnapshot,
+        ledger: &EvidenceTotals,
     ) -> Option<MoveChange> {
         let nothing = RolloutTally::default();
         let tally = ledger.total(record.rollout).unwrap_or(&nothing);
@@ -297,7 +297,7 @@
         &self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         counts: MoveCounts,
         telling: u64,
     ) -> Result<MoveChange, Option<StepWait>> {
@@ -356,7 +356,7 @@
         &self,
         time: &MoveTime,
         record: &RolloutRecord,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         counts: MoveCounts,
     ) -> Result<MoveChange, Option<StepWait>> {
         if !self.plan.is_over(time.elapsed, time.whole) {
@@ -382,7 +382,7 @@
     fn check(
         &self,
         time: &MoveTime,
-        sight: &FleetSight,
+        sight: &FleetSnapshot,
         level: f64,
         on_trial: bool,
     ) -> Result<(), Option<StepWait>> {
@@ -408,7 +408,7 @@
     }
 
     /// Greatest share that the new version's slots carry.
-    fn carried(&self, sight: &FleetSight) -> u16 {
+    fn carried(&self, sight: &FleetSnapshot) -> u16 {
         if sight.new_slots == 0 {
             return 0;
         }
--- a/crates/core/src/rollout/rollout_book.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -37,7 +37,7 @@
 
 /// All moves that run, and the last ones that are over.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     running: BTreeMap<Arc<str>, RolloutRecord>,
     over: VecDeque<RolloutRecord>,
 }
@@ -49,7 +49,7 @@
     Err(vec![DocumentFault { path, problem }])
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Moves that run, by service.
     pub fn running(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.running.values()
@@ -62,7 +62,7 @@
 
     /// Takes a change of a move, accepted as `version` at `at_ms`: the
     /// document after it, or why it is refused.
-    pub fn decide(
+    pub fn apply_change(
         &mut self,
         version: ConfigVersion,
         at_ms: u64,
@@ -262,7 +262,7 @@
     /// Settles an operator's direct edit with the moves that run: a service
     /// under a move keeps its candidate, and an edit that would change it
     /// otherwise is refused.
-    pub fn settle(&self, mut edited: FleetDocument) -> Edited {
+    pub fn reconcile_edit(&self, mut edited: FleetDocument) -> Edited {
         let mut faults = self.stale_candidates(&edited);
         for held in self.running.values() {
             let path = format!("services.{}", held.service);
@@ -293,7 +293,7 @@
     }
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Guards against a file printed during a move and applied after it,
     /// which would put a version that was taken back into service again.
     fn stale_candidates(&self, edited: &FleetDocument) -> Vec<DocumentFault> {
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -10,8 +10,8 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RolloutTally;
 use cowslip_core::rollout::evidence::RouteEvidence;
-use cowslip_core::rollout::evidence::TryEnd;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
+use cowslip_core::rollout::evidence::TryOutcome;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::version::ConfigVersion;
 
 const MOVE: ConfigVersion = ConfigVersion { term: 1, index: 2 };
@@ -87,9 +87,9 @@
             let measured = MeasuredTry {
                 took: Duration::from_millis(drawn.millis),
                 end: match drawn.failed {
-                    _ if drawn.millis % 5 == 0 => TryEnd::Left,
-                    true => TryEnd::Failed,
-                    false => TryEnd::Answered,
+                    _ if drawn.millis % 5 == 0 => TryOutcome::Abandoned,
+                    true => TryOutcome::Failed,
+                    false => TryOutcome::Answered,
                 },
                 warm: true,
             };
@@ -101,7 +101,7 @@
         for at in 0..3 {
             lasts.push(report(at, orders[at], &tallies[at]));
         }
-        let mut ledger = EvidenceLedger::default();
+        let mut ledger = EvidenceTotals::default();
         // Crossed and repeated arrivals within the first incarnations, then
         // what is certain to arrive, in the order of incarnations.
         for (pick, twice) in &arrivals {
@@ -109,16 +109,16 @@
             if picked.incarnation > 1 {
                 continue;
             }
-            ledger.hear(Duration::ZERO, picked.clone());
+            ledger.record_report(Duration::ZERO, picked.clone());
             if *twice {
-                prop_assert!(!ledger.hear(Duration::ZERO, picked));
+                prop_assert!(!ledger.record_report(Duration::ZERO, picked));
             }
         }
         for last in &lasts {
-            ledger.hear(Duration::ZERO, last.clone());
+            ledger.record_report(Duration::ZERO, last.clone());
         }
         for (pick, _) in &arrivals {
-            ledger.hear(Duration::ZERO, pick.get(&reports).clone());
+            ledger.record_report(Duration::ZERO, pick.get(&reports).clone());
         }
         let total = ledger.total(MOVE).expect("reports arrived");
         for (got, wanted) in [
@@ -145,7 +145,7 @@
         for took in &micros {
             let measured = MeasuredTry {
                 took: Duration::from_micros(*took),
-                end: TryEnd::Answered,
+                end: TryOutcome::Answered,
                 warm: true,
             };
             tally.record(&route, true, &measured);
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -6,14 +6,14 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
-use cowslip_core::rollout::fleet_sight::FleetSight;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
+use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::ExposureBound;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::rollout::rollout_record::ShareStep;
@@ -48,8 +48,8 @@
     }
 }
 
-fn sound_fleet() -> FleetSight {
-    FleetSight {
+fn sound_fleet() -> FleetSnapshot {
+    FleetSnapshot {
         old_slots: 30,
         new_slots: 30,
         nodes: 4,
@@ -94,21 +94,21 @@
 
 fn drive(
     mut record: RolloutRecord,
-    sight: impl Fn(Duration) -> FleetSight,
+    sight: impl Fn(Duration) -> FleetSnapshot,
     calls_each_look: u64,
 ) -> DrivenMove {
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceLedger::default();
+    let mut ledger = EvidenceTotals::default();
     let mut calls = 0;
     let mut new_calls = 0;
     let mut wait = None;
-    let looks = WHOLE_MS as u32 / DRIVER_PAUSE.as_millis() as u32;
+    let looks = WHOLE_MS as u32 / DRIVER_INTERVAL.as_millis() as u32;
     for look in 1..=looks {
-        let now = DRIVER_PAUSE * look;
+        let now = DRIVER_INTERVAL * look;
         calls += calls_each_look;
         new_calls += calls_each_look * u64::from(record.share()) / 1_000;
-        ledger.hear(now, counts(u64::from(look), calls, new_calls));
-        let change = driver.look(now, &record, &sight(now), &ledger);
+        ledger.record_report(now, counts(u64::from(look), calls, new_calls));
+        let change = driver.evaluate(now, &record, &sight(now), &ledger);
         wait = driver.wait().or(wait);
         match change {
             Some(MoveChange::Step {
@@ -162,7 +162,7 @@
 #[test]
 fn silence_is_not_health() {
     let cut = Duration::from_secs(20);
-    let sight = |now| FleetSight {
+    let sight = |now| FleetSnapshot {
         nodes_silent: if now < cut { 0 } else { 2 },
         ..sound_fleet()
     };
@@ -190,12 +190,12 @@
 // uses 16 slots. No step may ask more of the new servers than they carry.
 #[test]
 fn no_step_asks_more_than_the_new_slots_carry() {
-    let sight = |_| FleetSight {
+    let sight = |_| FleetSnapshot {
         new_slots: 10,
         ..sound_fleet()
     };
     // 1,600 calls of 10 ms in a second keep 16 slots busy.
-    let each_look = 1_600 * DRIVER_PAUSE.as_millis() as u64 / 1_000;
+    let each_look = 1_600 * DRIVER_INTERVAL.as_millis() as u64 / 1_000;
     let driven = drive(record(QuietChoice::Finish), sight, each_look);
     assert_eq!(driven.finished_at, None);
     assert_eq!(driven.wait, Some(StepWait::FewSlots));
@@ -208,7 +208,7 @@
 // old version. The move must not be called finished.
 #[test]
 fn a_node_behind_keeps_the_move_open() {
-    let sight = |_| FleetSight {
+    let sight = |_| FleetSnapshot {
         nodes_behind: 1,
         ..sound_fleet()
     };
@@ -258,7 +258,7 @@
 #[test]
 fn a_late_move_on_trial_still_holds_each_step() {
     let held_up = Duration::from_secs(40);
-    let sight = |now| FleetSight {
+    let sight = |now| FleetSnapshot {
         nodes_silent: if now < held_up { 2 } else { 0 },
         ..sound_fleet()
     };
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -16,13 +16,13 @@
 use cowslip_core::rollout::evidence::RolloutEvidence;
 use cowslip_core::rollout::evidence::RouteEvidence;
 use cowslip_core::rollout::evidence::TallyReport;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
-use cowslip_core::rollout::fleet_sight::FleetSight;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
+use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
 use cowslip_core::rollout::latency_sketch::SketchBands;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
-use cowslip_core::rollout::rollout_driver::DRIVER_PAUSE;
+use cowslip_core::rollout::rollout_driver::DRIVER_INTERVAL;
 use cowslip_core::rollout::rollout_record::ExposureBound;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::rollout::rollout_record::ShareStep;
@@ -165,17 +165,17 @@
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let mut record = record();
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceLedger::default();
+    let mut ledger = EvidenceTotals::default();
     let pool = new_servers();
     let mut begun = vec![CallSums::default()];
-    let looks = (WHOLE.as_millis() / DRIVER_PAUSE.as_millis()) as usize;
+    let looks = (WHOLE.as_millis() / DRIVER_INTERVAL.as_millis()) as usize;
     let mut shares = vec![record.share(); looks + LAG_LOOKS + 2];
     let mut taken_back = false;
     let mut finished = false;
     for look in 1..=looks {
-        let now = DRIVER_PAUSE * look as u32;
+        let now = DRIVER_INTERVAL * look as u32;
         let share = shares[look];
-        let due = CALLS_PER_SECOND * DRIVER_PAUSE.as_secs_f64() * 2.0;
+        let due = CALLS_PER_SECOND * DRIVER_INTERVAL.as_secs_f64() * 2.0;
         let calls = drawn(&mut rng, due, 0.5);
         let new = drawn(&mut rng, calls, f64::from(share) / 1_000.0);
         let old = calls - new;
@@ -193,15 +193,15 @@
             continue;
         }
         let ended = begun[look.saturating_sub(LAG_LOOKS)];
-        ledger.hear(now, report(look, ended));
-        let sight = FleetSight {
+        ledger.record_report(now, report(look, ended));
+        let sight = FleetSnapshot {
             old_slots: 24,
             new_slots: 24,
             nodes: 16,
             nodes_silent: if plan.silence.contains(&now) { 9 } else { 0 },
             nodes_behind: 0,
         };
-        let next = match driver.look(now, &record, &sight, &ledger) {
+        let next = match driver.evaluate(now, &record, &sight, &ledger) {
             Some(MoveChange::Step {
                 share_per_mille, ..
             }) => {
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -16,14 +16,14 @@
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::document::FleetDocument;
 use cowslip_core::document::ServiceSpec;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::rollout::evidence::EvidenceReport;
 use cowslip_core::rollout::evidence::MeasuredTry;
-use cowslip_core::rollout::evidence_ledger::EvidenceLedger;
-use cowslip_core::rollout::fleet_sight::FleetWatch;
+use cowslip_core::rollout::evidence_totals::EvidenceTotals;
+use cowslip_core::rollout::fleet_snapshot::FleetMonitor;
 use cowslip_core::rollout::node_guard::EndedTry;
 use cowslip_core::rollout::node_guard::NodeGuard;
-use cowslip_core::rollout::node_guard::LOOK_PAUSE;
+use cowslip_core::rollout::node_guard::EVALUATION_INTERVAL;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveDue;
 use cowslip_core::rollout::rollout_change::StepWait;
@@ -146,8 +146,8 @@
     nodes: Vec<StudyNode>,
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
-    ledger: EvidenceLedger,
-    watch: FleetWatch,
+    ledger: EvidenceTotals,
+    watch: FleetMonitor,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
     served: [u32; SERVERS],
@@ -160,7 +160,7 @@
     let whole = Duration::from_secs(case.window_s);
     let mut now = Duration::ZERO;
     while now < whole + whole / 4 {
-        now += LOOK_PAUSE;
+        now += EVALUATION_INTERVAL;
         fleet.tick(now);
         if fleet.is_over() {
             break;
@@ -247,8 +247,8 @@
             nodes,
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
-            ledger: EvidenceLedger::default(),
-            watch: FleetWatch::default(),
+            ledger: EvidenceTotals::default(),
+            watch: FleetMonitor::default(),
             driver,
             servers: servers(),
             served: [0; SERVERS],
@@ -318,7 +318,7 @@
         let share = candidate.map_or(0, |candidate| candidate.share_per_mille);
         let share = f64::from(share) / 1_000.0;
         let spread = 0.5 + self.rng.random::<f64>();
-        let a_look = self.case.rate / NODES as f64 * LOOK_PAUSE.as_secs_f64();
+        let a_look = self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
         node.due_calls += a_look * spread;
         while node.due_calls >= 1.0 {
             node.due_calls -= 1.0;
@@ -403,7 +403,7 @@
             .partition(|(due, _)| *due <= now);
         self.in_flight = still;
         for (_, report) in Vec::<(Duration, EvidenceReport)>::from_iter(arrived) {
-            self.ledger.hear(EPOCH + now, report);
+            self.ledger.record_report(EPOCH + now, report);
         }
         self.accept(now);
         if now.subsec_millis().is_multiple_of(500) {
@@ -414,8 +414,8 @@
     /// The new leader has the log and nothing else of the old one.
     fn change_leader(&mut self) {
         self.term += 1;
-        self.ledger = EvidenceLedger::default();
-        self.watch = FleetWatch::default();
+        self.ledger = EvidenceTotals::default();
+        self.watch = FleetMonitor::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
             self.driver = driver(&self.parts, record);
@@ -443,7 +443,7 @@
 
     fn look(&mut self, now: Duration) {
         let wall = EPOCH + now;
-        self.watch.note(wall, self.servers.iter());
+        self.watch.record_servers(wall, self.servers.iter());
         let mut nodes = Vec::new();
         for node in &self.nodes {
             nodes.push(NodeReport {
@@ -457,8 +457,8 @@
             let servers = self.servers.iter();
             let sight = self
                 .watch
-                .sight(wall, record, servers, &nodes, &self.ledger);
-            let change = self.driver.look(wall, record, &sight, &self.ledger);
+                .snapshot(wall, record, servers, &nodes, &self.ledger);
+            let change = self.driver.evaluate(wall, record, &sight, &self.ledger);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
             }
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -24,7 +24,7 @@
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::load::repeat_share::RepeatShare;
 use cowslip_core::load::server_load::ReportedLoad;
-use cowslip_core::move_board::NodeReport;
+use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::refusal::RetryReason;
 use cowslip_core::rollout::evidence::EvidenceReport;
@@ -228,7 +228,7 @@
                 let _ = reply.send(self.look(due));
             }
             EntryMessage::IsLastOfOld(reply) => {
-                let _ = reply.send(self.router.is_last_of_old(&self.instance));
+                let _ = reply.send(self.router.is_last_old_server(&self.instance));
             }
             EntryMessage::Report(reply) => {
                 let _ = reply.send(self.report());
