--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -17,9 +17,9 @@
 use cowslip_core::follow_exchange::FollowAnswer;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::tuning::TuningKey;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
@@ -106,8 +106,8 @@
 }
 
 /// A source with its run.
-pub fn source(name: &str, run: u64) -> NewsSource {
-    NewsSource::new(SourceIdentity {
+pub fn source(name: &str, run: u64) -> UpdateSource {
+    UpdateSource::new(SourceIdentity {
         instance: name.into(),
         failure_domain: "domain-0".into(),
         run,
@@ -173,7 +173,7 @@
         &mut self,
         now: Duration,
         answer: FollowAnswer,
-        source: &NewsSource,
+        source: &UpdateSource,
         fetched: &mut usize,
     ) -> (Option<ConfigSnapshot>, Vec<EndpointRecord>) {
         let changed = self.directory.take(answer.directory);
--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 use cowslip_core::follower_queue::FollowerId;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
 use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_wire::codec;
 use cowslip_wire::follow_messages::FollowCall;
 use cowslip_wire::follow_messages::ReportCall;
@@ -38,7 +38,7 @@
 const STEP: Duration = Duration::from_millis(100);
 
 struct Relay {
-    source: NewsSource,
+    source: UpdateSource,
     uplink: ModelFollower,
     waiting: FollowerId,
     nodes: Vec<ModelFollower>,
@@ -49,7 +49,7 @@
 
 struct Fleet {
     now: Duration,
-    leader: NewsSource,
+    leader: UpdateSource,
     relays: Vec<Relay>,
     leader_cost: RoleCost,
     relay_cost: RoleCost,
@@ -286,7 +286,7 @@
     }
 }
 
-fn encoded(source: &mut NewsSource, now: Duration) -> Vec<(Vec<FollowerId>, Vec<u8>)> {
+fn encoded(source: &mut UpdateSource, now: Duration) -> Vec<(Vec<FollowerId>, Vec<u8>)> {
     let mut answers = Vec::new();
     for answer in source.tick(now) {
         let bytes = codec::encode(&answer.reply).expect("an answer encodes");
@@ -295,7 +295,7 @@
     answers
 }
 
-fn announce_all(source: &mut NewsSource, endpoints: usize) {
+fn announce_all(source: &mut UpdateSource, endpoints: usize) {
     let mut batch = ReportBatch::default();
     for number in 0..endpoints {
         batch.endpoints.push(fleet_model::endpoint(number, 1));
@@ -411,7 +411,7 @@
 
 /// One first question; the time to come back where it was not taken.
 fn reconnect(
-    source: &mut NewsSource,
+    source: &mut UpdateSource,
     node: &mut ModelFollower,
     now: Duration,
     waited: bool,
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -1,6 +1,6 @@
 //! The task that feeds followers: nodes, and control instances below this.
 //!
-//! It owns the [`NewsSource`], which decides; the task encodes each answer
+//! It owns the [`UpdateSource`], which decides; the task encodes each answer
 //! once and hands the same bytes to all followers that get it. What is
 //! agreed comes from the agreed task as [`FanoutMessage::Publish`].
 
@@ -19,12 +19,12 @@
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::move_board::MoveProgress;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::node_presence::NodePresence;
 use cowslip_core::report_gather::ReportBatch;
 use cowslip_core::source_proof::SourceProof;
+use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::codec;
@@ -116,7 +116,7 @@
 
 struct FanoutTask {
     instance: Arc<str>,
-    source: NewsSource,
+    source: UpdateSource,
     replies: HashMap<FollowerId, oneshot::Sender<Bytes>>,
     leader: Option<LeaderWatch>,
     metrics: SourceMetrics,
@@ -137,7 +137,7 @@
     };
     let task = FanoutTask {
         instance,
-        source: NewsSource::new(identity),
+        source: UpdateSource::new(identity),
         replies: HashMap::new(),
         leader: None,
         metrics,
--- a/crates/control/src/source_metrics.rs
+++ b/crates/control/src/source_metrics.rs
@@ -4,7 +4,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use cowslip_core::news_source::SourceCounts;
+use cowslip_core::update_source::SourceCounts;
 use cowslip_wire::metric_start;
 
 /// Counters of one source, fed from its own counts.
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/update_source.rs
@@ -96,7 +96,7 @@
 
 /// State of one source.
 #[derive(Debug)]
-pub struct NewsSource {
+pub struct UpdateSource {
     identity: SourceIdentity,
     history: ConfigHistory,
     directory: EndpointDirectory,
@@ -115,7 +115,7 @@
     counts: SourceCounts,
 }
 
-impl NewsSource {
+impl UpdateSource {
     /// A source that holds nothing yet.
     pub fn new(identity: SourceIdentity) -> Self {
         Self {
@@ -196,7 +196,7 @@
     }
 
     /// Takes a follower's question; its answer comes from
-    /// [`NewsSource::tick`] under the id.
+    /// [`UpdateSource::tick`] under the id.
     pub fn follow(&mut self, now: Duration, call: FollowCall) -> FollowerId {
         // A question is a sign of life, also where it is not answered yet.
         if let Some(report) = call.report() {
--- a/crates/core/src/news_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -15,9 +15,9 @@
 use crate::version::ConfigVersion;
 
 use super::NewsAnswer;
-use super::NewsSource;
+use super::UpdateSource;
 
-impl NewsSource {
+impl UpdateSource {
     pub(super) fn place(&self) -> DirectoryPlace {
         DirectoryPlace {
             run: self.identity.run,
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -13,10 +13,10 @@
 use cowslip_core::follow_exchange::FollowAnswer;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::tuning::TuningKey;
+use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
@@ -78,14 +78,14 @@
 
 struct Model {
     now: Duration,
-    leader: NewsSource,
-    relays: Vec<NewsSource>,
+    leader: UpdateSource,
+    relays: Vec<UpdateSource>,
     nodes: Vec<ModelNode>,
     held_back: Vec<HeldBack>,
 }
 
-fn source(name: String, run: u64) -> NewsSource {
-    NewsSource::new(SourceIdentity {
+fn source(name: String, run: u64) -> UpdateSource {
+    UpdateSource::new(SourceIdentity {
         instance: name.as_str().into(),
         // One domain: no unconfirmed version is ever enough.
         failure_domain: "sogn".into(),
@@ -103,7 +103,7 @@
     }
 }
 
-fn ask(source: &mut NewsSource, now: Duration, call: FollowCall) -> FollowAnswer {
+fn ask(source: &mut UpdateSource, now: Duration, call: FollowCall) -> FollowAnswer {
     let id = source.follow(now, call);
     let mut answers = source.tick(now);
     answers.extend(source.tick(now + ASKED));
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -17,11 +17,11 @@
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::follower_queue::BATCH_TIME;
 use cowslip_core::move_board::MoveState;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::report_gather::ReportBatch;
 use cowslip_core::tuning::TuningKey;
+use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 
 fn at(index: u64) -> ConfigVersion {
@@ -41,15 +41,15 @@
     }
 }
 
-fn source(name: &str, run: u64) -> NewsSource {
-    NewsSource::new(SourceIdentity {
+fn source(name: &str, run: u64) -> UpdateSource {
+    UpdateSource::new(SourceIdentity {
         instance: name.into(),
         failure_domain: "sogn".into(),
         run,
     })
 }
 
-fn leader() -> NewsSource {
+fn leader() -> UpdateSource {
     let mut leader = source("control-1", 1);
     leader.lead(Duration::ZERO, true);
     leader
@@ -95,7 +95,7 @@
 
 /// The answers that are due, one for each follower, and how many differ.
 fn due(
-    source: &mut NewsSource,
+    source: &mut UpdateSource,
     now: Duration,
 ) -> (Vec<(FollowerId, FollowReply)>, usize) {
     let answers = source.tick(now);
@@ -109,7 +109,7 @@
     (single, distinct)
 }
 
-fn answer(source: &mut NewsSource, now: Duration, call: FollowCall) -> FollowReply {
+fn answer(source: &mut UpdateSource, now: Duration, call: FollowCall) -> FollowReply {
     let id = source.follow(now, call);
     let (answers, _) = due(source, now);
     let own = answers.into_iter().find(|(to, _)| *to == id);
@@ -124,7 +124,7 @@
 }
 
 /// A follower of `source` that has its directory and version `index`.
-fn settled(source: &mut NewsSource, now: Duration) -> DirectoryAsk {
+fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryAsk {
     let mut follower = DirectoryFollower::default();
     let id = source.follow(now, call("first", 0, follower.ask()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
@@ -144,7 +144,7 @@
     leader.publish(ms(0), snapshot(1));
     let ask = settled(&mut leader, ms(0));
     let now = ms(10_000);
-    let wait = |leader: &mut NewsSource, now, index| {
+    let wait = |leader: &mut UpdateSource, now, index| {
         for node in 0..100 {
             leader.follow(now, call(&format!("node-{node}"), index, ask.clone()));
         }
@@ -230,7 +230,7 @@
     assert_eq!(leader.counts().leases_ended, 1);
 }
 
-fn settled_ask(source: &NewsSource) -> DirectoryAsk {
+fn settled_ask(source: &UpdateSource) -> DirectoryAsk {
     DirectoryAsk {
         place: Default::default(),
         digest: source.directory().digest().whole(),
@@ -282,7 +282,12 @@
 }
 
 /// Carries news down from the leader and reports up, once.
-fn exchange(leader: &mut NewsSource, relay: &mut NewsSource, now: Duration, run: u64) {
+fn exchange(
+    leader: &mut UpdateSource,
+    relay: &mut UpdateSource,
+    now: Duration,
+    run: u64,
+) {
     let batch = relay.take_reports(now);
     leader.report(now, batch);
     let records: Vec<EndpointRecord> = leader.directory().records().cloned().collect();
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -15,9 +15,9 @@
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 
 /// Records of the directory.
@@ -27,8 +27,8 @@
     Duration::from_millis(millis)
 }
 
-fn source() -> NewsSource {
-    let mut source = NewsSource::new(SourceIdentity {
+fn source() -> UpdateSource {
+    let mut source = UpdateSource::new(SourceIdentity {
         instance: "control".into(),
         failure_domain: "domain-0".into(),
         run: 7,
