--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -7,7 +7,7 @@
 
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::report_gather::ReportBatch;
-use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_wire::codec;
 use cowslip_wire::follow_messages::FollowCall;
@@ -226,7 +226,7 @@
             let source = answer.source.clone();
             let (snapshot, endpoints) =
                 relay.uplink.take(now, answer, leader, &mut fetched);
-            let news = LeaderNews {
+            let news = LeaderUpdate {
                 sent_at: now,
                 source,
                 snapshot,
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -22,7 +22,7 @@
 use cowslip_core::node_presence::NodePresence;
 use cowslip_core::report_gather::ReportBatch;
 use cowslip_core::source_proof::SourceProof;
-use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::SourceIdentity;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
@@ -237,7 +237,7 @@
 
     fn install(&mut self, now: Duration, news: InstalledNews) {
         let sent_at = news.sent_at.saturating_duration_since(self.started);
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at,
             source: news.source,
             snapshot: news.snapshot,
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -59,7 +59,7 @@
 
 /// News that came from the leader.
 #[derive(Clone, Debug)]
-pub struct LeaderNews {
+pub struct LeaderUpdate {
     /// When the question was sent.
     pub sent_at: Duration,
     /// What the answer proves.
@@ -315,7 +315,7 @@
     }
 
     /// Takes the leader's news.
-    pub fn install(&mut self, now: Duration, news: LeaderNews) {
+    pub fn install(&mut self, now: Duration, news: LeaderUpdate) {
         self.freshness.prove(news.sent_at, &news.source);
         if let Some(snapshot) = news.snapshot {
             self.publish(now, snapshot);
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -14,7 +14,7 @@
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
 use cowslip_core::tuning::TuningKey;
-use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::SourceIdentity;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
@@ -179,7 +179,7 @@
             // Documents of one default: a delta always pays off.
             ConfigNews::Snapshot(..) => panic!("a snapshot of one default"),
         };
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at: self.now,
             source: answer.source,
             snapshot,
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -19,7 +19,7 @@
 use cowslip_core::move_board::MoveState;
 use cowslip_core::report_gather::ReportBatch;
 use cowslip_core::tuning::TuningKey;
-use cowslip_core::update_source::LeaderNews;
+use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::SourceIdentity;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
@@ -303,7 +303,7 @@
             continue;
         }
         let source = news(reply).source;
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at: now,
             source,
             snapshot: Some(leader.current().clone()),
