--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -31,7 +31,7 @@
 
 /// What a source answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// Records that changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub records: Vec<EndpointRecord>,
@@ -92,7 +92,7 @@
     }
 
     /// Takes an answer; what it changed comes back.
-    pub fn take(&mut self, news: DirectoryNews) -> Vec<EndpointRecord> {
+    pub fn take(&mut self, news: DirectoryUpdate) -> Vec<EndpointRecord> {
         self.parts_wanted = news.place.is_none();
         if let Some(place) = news.place {
             self.place = place;
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -8,7 +8,7 @@
 
 use crate::config_history::ConfigNews;
 use crate::directory_follower::DirectoryAsk;
-use crate::directory_follower::DirectoryNews;
+use crate::directory_follower::DirectoryUpdate;
 use crate::move_board::NodeReport;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
@@ -84,5 +84,5 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acknowledged: Option<ConfigVersion>,
     /// News of the directory.
-    pub directory: DirectoryNews,
+    pub directory: DirectoryUpdate,
 }
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -17,7 +17,7 @@
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
-use crate::directory_follower::DirectoryNews;
+use crate::directory_follower::DirectoryUpdate;
 use crate::directory_follower::DirectoryWay;
 use crate::endpoint_lease::LeaseTable;
 use crate::follow_exchange::FollowCall;
@@ -233,12 +233,12 @@
             DirectoryWay::Since(_) => {}
             DirectoryWay::Records(records) => {
                 let place = Some(self.place());
-                self.answer_with(now, id, DirectoryNews { records, place });
+                self.answer_with(now, id, DirectoryUpdate { records, place });
             }
             DirectoryWay::NeedsParts => {
                 let records = Vec::new();
                 let place = None;
-                self.answer_with(now, id, DirectoryNews { records, place });
+                self.answer_with(now, id, DirectoryUpdate { records, place });
             }
         }
         id
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::directory_follower::DirectoryNews;
 use crate::directory_follower::DirectoryPlace;
+use crate::directory_follower::DirectoryUpdate;
 use crate::follow_exchange::FollowAnswer;
 use crate::follow_exchange::FollowReply;
 use crate::follower_queue::DueFollower;
@@ -45,7 +45,7 @@
         &mut self,
         now: Duration,
         id: FollowerId,
-        directory: DirectoryNews,
+        directory: DirectoryUpdate,
     ) {
         let Some(due) = self.queue.remove_one(id) else {
             return;
@@ -77,7 +77,7 @@
             alike.entry(key).or_default().push(follower);
         }
         for (key, followers) in alike {
-            let directory = DirectoryNews {
+            let directory = DirectoryUpdate {
                 records: self.directory.since(key.place.revision),
                 place: Some(self.place()),
             };
@@ -102,7 +102,7 @@
         now: Duration,
         follower: &DueFollower,
         key: &AnswerKey,
-        directory: DirectoryNews,
+        directory: DirectoryUpdate,
     ) -> FollowReply {
         let config = self.history.news(&key.place);
         FollowReply::News(Box::new(FollowAnswer {
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -15,7 +15,7 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory_follower::DirectoryFollower;
-use cowslip_core::directory_follower::DirectoryNews;
+use cowslip_core::directory_follower::DirectoryUpdate;
 use cowslip_core::move_board::NodeReport;
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
 use cowslip_core::report_gather::ReportBatch;
@@ -251,7 +251,7 @@
         Ok(TurnEnd::Stay)
     }
 
-    async fn take_directory(&mut self, news: DirectoryNews) {
+    async fn take_directory(&mut self, news: DirectoryUpdate) {
         let run = self.directory.place().run;
         let changed = self.directory.take(news);
         if self.directory.place().run != run {
