--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -18,7 +18,7 @@
 use crate::config_digest::ConfigDigest;
 use crate::control_state::ConfigSnapshot;
 use crate::document::FleetDocument;
-use crate::follower_queue::FollowerPlace;
+use crate::follower_queue::FollowerState;
 use crate::snapshot_chunks::ChunkedSnapshot;
 use crate::snapshot_chunks::SnapshotHeader;
 use crate::version::ConfigVersion;
@@ -79,12 +79,12 @@
     }
 
     /// True where a follower at `place` has no news to come.
-    pub fn is_current(&self, place: &FollowerPlace) -> bool {
+    pub fn is_current(&self, place: &FollowerState) -> bool {
         place.held.max(place.refused) >= self.current.version
     }
 
     /// True where the news for a follower at `place` are small.
-    pub fn is_light(&self, place: &FollowerPlace) -> bool {
+    pub fn is_light(&self, place: &FollowerState) -> bool {
         let starting = place.held == ConfigVersion::ZERO;
         let delta = !place.whole && !starting && self.bases.contains_key(&place.held);
         delta || self.is_current(place)
@@ -92,7 +92,7 @@
 
     /// News for a follower at `place`. One that refused the newest version
     /// waits for the next, instead of being sent the same again at once.
-    pub fn news(&mut self, place: &FollowerPlace) -> ConfigNews {
+    pub fn news(&mut self, place: &FollowerState) -> ConfigNews {
         if self.is_current(place) {
             return ConfigNews::Current;
         }
--- a/crates/core/src/follower_queue.rs
+++ b/crates/core/src/follower_queue.rs
@@ -34,7 +34,7 @@
 /// What a follower holds. Followers at the same place get the same answer,
 /// which is made once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FollowerPlace {
+pub struct FollowerState {
     /// Version in force there.
     pub held: ConfigVersion,
     /// Version refused there, or `ZERO`.
@@ -51,7 +51,7 @@
     /// Which follower.
     pub id: FollowerId,
     /// What it holds.
-    pub place: FollowerPlace,
+    pub place: FollowerState,
     /// When it asked.
     pub asked_at: Duration,
 }
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct WaitingFollower {
-    place: FollowerPlace,
+    place: FollowerState,
     asked_at: Duration,
     until: Duration,
 }
@@ -81,7 +81,7 @@
         &mut self,
         asked_at: Duration,
         until: Duration,
-        place: FollowerPlace,
+        place: FollowerState,
     ) -> FollowerId {
         self.next += 1;
         let id = self.next;
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -23,8 +23,8 @@
 use crate::follow_exchange::FollowCall;
 use crate::follow_exchange::FollowReply;
 use crate::follower_queue::FollowerId;
-use crate::follower_queue::FollowerPlace;
 use crate::follower_queue::FollowerQueue;
+use crate::follower_queue::FollowerState;
 use crate::move_board::MoveBoard;
 use crate::node_presence::NodePresence;
 use crate::reconnect_admission::ReconnectAdmission;
@@ -213,7 +213,7 @@
                 self.directory.revision()
             }
         };
-        let place = FollowerPlace {
+        let place = FollowerState {
             held: call.held,
             refused: call.refused.unwrap_or_default(),
             whole: call.whole,
@@ -249,7 +249,7 @@
         &mut self,
         now: Duration,
         call: &FollowCall,
-        place: &FollowerPlace,
+        place: &FollowerState,
     ) -> Result<(), Duration> {
         if call.directory.place.run == self.identity.run {
             self.admission.caught_up(now, &call.follower);
@@ -277,7 +277,7 @@
 
     /// True where a follower that asks now need not wait. One that starts
     /// waits for an answer that proves what was accepted before it asked.
-    fn has_news(&self, now: Duration, place: &FollowerPlace) -> bool {
+    fn has_news(&self, now: Duration, place: &FollowerState) -> bool {
         let known = place.revision >= self.directory.revision();
         if known && self.history.is_current(place) {
             return false;
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -10,7 +10,7 @@
 use crate::follow_exchange::FollowReply;
 use crate::follower_queue::DueFollower;
 use crate::follower_queue::FollowerId;
-use crate::follower_queue::FollowerPlace;
+use crate::follower_queue::FollowerState;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
@@ -118,7 +118,7 @@
 /// What tells the answers of one wake apart.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerKey {
-    place: FollowerPlace,
+    place: FollowerState,
     confirmed: bool,
     acknowledged: Option<ConfigVersion>,
 }
--- a/crates/core/tests/config_delta.rs
+++ b/crates/core/tests/config_delta.rs
@@ -19,7 +19,7 @@
 use cowslip_core::document::FleetDocument;
 use cowslip_core::document::RouteSpec;
 use cowslip_core::document::ServiceSpec;
-use cowslip_core::follower_queue::FollowerPlace;
+use cowslip_core::follower_queue::FollowerState;
 use cowslip_core::snapshot_chunks::ChunkAssembly;
 use cowslip_core::snapshot_chunks::ChunkError;
 use cowslip_core::snapshot_chunks::ChunkedSnapshot;
@@ -112,10 +112,10 @@
     }
 }
 
-fn place(held: &ConfigSnapshot) -> FollowerPlace {
-    FollowerPlace {
+fn place(held: &ConfigSnapshot) -> FollowerState {
+    FollowerState {
         held: held.version,
-        ..FollowerPlace::default()
+        ..FollowerState::default()
     }
 }
 
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -9,7 +9,7 @@
 use cowslip_core::config_history::ConfigNews;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::document::FleetDocument;
-use cowslip_core::follower_queue::FollowerPlace;
+use cowslip_core::follower_queue::FollowerState;
 use cowslip_core::source_proof::SourceFreshness;
 use cowslip_core::source_proof::SourceProof;
 use cowslip_core::source_proof::FRESH_FOR;
@@ -52,7 +52,7 @@
 }
 
 fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigNews {
-    history.news(&FollowerPlace {
+    history.news(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
         whole: follower.wants_whole(),
