--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use cowslip_core::follower_queue::FollowerId;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_wire::codec;
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -20,7 +20,7 @@
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::move_board::MoveProgress;
 use cowslip_core::node_presence::NodePresence;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::source_proof::SourceProof;
 use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::SourceIdentity;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -31,7 +31,7 @@
 pub mod reconnect_admission;
 pub mod reconnect_backoff;
 pub mod refusal;
-pub mod report_gather;
+pub mod report_aggregator;
 pub mod rollout;
 pub mod route_table;
 pub mod server_gate;
--- a/crates/core/src/report_gather.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -81,7 +81,7 @@
 
 /// Followers of one source, and what the leader has not been told yet.
 #[derive(Clone, Debug, Default)]
-pub struct ReportGather {
+pub struct ReportAggregator {
     followers: BTreeMap<Arc<str>, HeardFollower>,
     changed: BTreeSet<Arc<str>>,
     records: BTreeMap<Arc<str>, EndpointRecord>,
@@ -89,7 +89,7 @@
     presence: NodePresence,
 }
 
-impl ReportGather {
+impl ReportAggregator {
     /// Sets how long followers are named.
     pub fn keep(&mut self, presence: NodePresence) {
         self.presence = presence;
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -29,8 +29,8 @@
 use crate::node_presence::NodePresence;
 use crate::reconnect_admission::ReconnectAdmission;
 use crate::reconnect_admission::ReconnectCost;
-use crate::report_gather::ReportBatch;
-use crate::report_gather::ReportGather;
+use crate::report_aggregator::ReportAggregator;
+use crate::report_aggregator::ReportBatch;
 use crate::source_proof::SourceFreshness;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
@@ -106,7 +106,7 @@
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
     ready: Vec<NewsAnswer>,
-    gather: ReportGather,
+    gather: ReportAggregator,
     freshness: SourceFreshness,
     admission: ReconnectAdmission,
     leading: bool,
@@ -128,7 +128,7 @@
             queue: FollowerQueue::default(),
             names: HashMap::new(),
             ready: Vec::new(),
-            gather: ReportGather::default(),
+            gather: ReportAggregator::default(),
             freshness: SourceFreshness::default(),
             admission: ReconnectAdmission::default(),
             leading: false,
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -17,7 +17,7 @@
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::follower_queue::BATCH_TIME;
 use cowslip_core::move_board::MoveState;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::tuning::TuningKey;
 use cowslip_core::update_source::LeaderUpdate;
 use cowslip_core::update_source::SourceIdentity;
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -15,7 +15,7 @@
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::update_source::SourceIdentity;
 use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -18,7 +18,7 @@
 use cowslip_core::directory_follower::DirectoryUpdate;
 use cowslip_core::move_board::NodeReport;
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::source_ring::SourceRing;
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
--- a/crates/wire/src/follow_messages.rs
+++ b/crates/wire/src/follow_messages.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::version::ConfigVersion;
 
 use crate::messages::CallAccess;
