--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -13,7 +13,7 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory_follower::DirectoryFollower;
 use cowslip_core::document::validate;
-use cowslip_core::report_aggregator::GATHER_TIME;
+use cowslip_core::report_aggregator::REPORT_INTERVAL;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
 use cowslip_wire::boot_instant::BootInstant;
@@ -204,7 +204,7 @@
     task: mpsc::Sender<FanoutMessage>,
 ) {
     loop {
-        actix_rt::time::sleep(GATHER_TIME).await;
+        actix_rt::time::sleep(REPORT_INTERVAL).await;
         let Some(address) = leader_elsewhere(&leader) else {
             continue;
         };
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -5,7 +5,7 @@
 //! that it lives. Passed on one by one, the leader of 5,200 nodes would take
 //! thousands of messages a second, and an unreachable leader would let them
 //! pile up. Here a node is held once, however often it reports; what goes
-//! up is grouped by version, once per [`GATHER_TIME`] and only what changed,
+//! up is grouped by version, once per [`REPORT_INTERVAL`] and only what changed,
 //! and every [`NodePresence::refresh`] the names of all live followers, which also
 //! mends whatever was lost or crossed on the way.
 
@@ -25,7 +25,7 @@
 
 /// Least time between two batches; 20 batches a second from each of 17
 /// instances are 340 small messages at the leader while a version spreads.
-pub const GATHER_TIME: Duration = Duration::from_millis(50);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Followers held; as many as connections are served at once.
 const FOLLOWERS_MAX: usize = 4_096;
