--- a/crates/core/src/ack_memory.rs
+++ b/crates/core/src/applied_versions.rs
@@ -17,7 +17,7 @@
 
 /// Highest version each node is known to have applied.
 #[derive(Clone, Debug, Default)]
-pub struct AckMemory {
+pub struct AppliedVersions {
     acks: HashMap<Arc<str>, HeldAck>,
     by_age: BTreeMap<u64, Arc<str>>,
     heard: u64,
@@ -29,7 +29,7 @@
     heard: u64,
 }
 
-impl AckMemory {
+impl AppliedVersions {
     /// A node has applied `version`; a lower one does not lower what is
     /// remembered.
     pub fn remember(&mut self, node: &Arc<str>, version: ConfigVersion) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,8 +5,8 @@
 //! actions and whoever holds the state machines can drive any number of
 //! them in one thread.
 
-pub mod ack_memory;
 pub mod agreement;
+pub mod applied_versions;
 pub mod call_try;
 pub mod catch_up_window;
 pub mod change;
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 
-use crate::ack_memory::AckMemory;
+use crate::applied_versions::AppliedVersions;
 use crate::config_history::ConfigHistory;
 use crate::control_state::ConfigSnapshot;
 use crate::directory::EndpointDirectory;
@@ -102,7 +102,7 @@
     directory: EndpointDirectory,
     leases: LeaseTable,
     board: MoveBoard,
-    acks: AckMemory,
+    acks: AppliedVersions,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
     ready: Vec<NewsAnswer>,
@@ -124,7 +124,7 @@
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
             board: MoveBoard::default(),
-            acks: AckMemory::default(),
+            acks: AppliedVersions::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
             ready: Vec::new(),
