--- a/crates/core/src/endpoint_announcer.rs
+++ b/crates/core/src/endpoint_announcer.rs
@@ -44,7 +44,7 @@
 
     /// Looks at a record of this endpoint that came from the directory, and
     /// gives the one to send where the directory is wrong.
-    pub fn learn(&mut self, seen: &EndpointRecord) -> Option<EndpointRecord> {
+    pub fn reconcile(&mut self, seen: &EndpointRecord) -> Option<EndpointRecord> {
         let own = (self.incarnation, self.sequence);
         let theirs = (seen.incarnation, seen.sequence);
         if theirs > own {
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -162,10 +162,10 @@
     let mut new = EndpointAnnouncer::new(4_000);
     let serving = new.say(record(EndpointStanding::Serving));
     assert!(serving.order() < drained.order());
-    let again = new.learn(&drained).expect("a newer record");
+    let again = new.reconcile(&drained).expect("a newer record");
     assert!(again.order() > drained.order());
     assert_eq!(again.standing, EndpointStanding::Serving);
-    assert_eq!(new.learn(&again), None);
+    assert_eq!(new.reconcile(&again), None);
 }
 
 // A lease ended while the node could not be heard. The node finds itself
@@ -177,7 +177,7 @@
     let said = gone.clone();
     gone.standing = EndpointStanding::Gone;
     assert!(gone.order() > said.order());
-    let again = node.learn(&gone).expect("a newer record");
+    let again = node.reconcile(&gone).expect("a newer record");
     assert!(again.order() > gone.order());
     assert_eq!(again.standing, EndpointStanding::Serving);
 }
@@ -189,7 +189,7 @@
     let mut old = EndpointAnnouncer::new(1);
     let serving = old.say(record(EndpointStanding::Serving));
     let mut new = EndpointAnnouncer::new(2);
-    let gone = new.learn(&serving).expect("a withdrawal");
+    let gone = new.reconcile(&serving).expect("a withdrawal");
     assert_eq!(gone.standing, EndpointStanding::Gone);
     assert!(gone.order() > serving.order());
     let back = new.say(record(EndpointStanding::Serving));
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -261,7 +261,7 @@
                 self.carry_out(actions);
             }
             GateMessage::Learn(seen) => {
-                let record = self.announcer.learn(&seen);
+                let record = self.announcer.reconcile(&seen);
                 self.send(record);
             }
             GateMessage::Repeat => {
