--- a/crates/core/src/endpoint_announcer.rs
+++ b/crates/core/src/endpoint_announcer.rs
@@ -29,7 +29,7 @@
     }
 
     /// Numbers a new record of the endpoint.
-    pub fn say(&mut self, mut record: EndpointRecord) -> EndpointRecord {
+    pub fn announce(&mut self, mut record: EndpointRecord) -> EndpointRecord {
         self.sequence += 1;
         record.incarnation = self.incarnation;
         record.sequence = self.sequence;
@@ -55,12 +55,12 @@
             return self.withdraw(seen);
         };
         if theirs > own {
-            return Some(self.say(said));
+            return Some(self.announce(said));
         }
         // Guards against a lease that ended although the node was alive:
         // the directory's tombstone has the number of the last record.
         if theirs == own && seen.standing != said.standing {
-            return Some(self.say(said));
+            return Some(self.announce(said));
         }
         None
     }
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -158,9 +158,9 @@
 #[test]
 fn a_clock_that_went_back_does_not_silence_a_node() {
     let mut old = EndpointAnnouncer::new(5_000);
-    let drained = old.say(record(EndpointStanding::Draining));
+    let drained = old.announce(record(EndpointStanding::Draining));
     let mut new = EndpointAnnouncer::new(4_000);
-    let serving = new.say(record(EndpointStanding::Serving));
+    let serving = new.announce(record(EndpointStanding::Serving));
     assert!(serving.order() < drained.order());
     let again = new.reconcile(&drained).expect("a newer record");
     assert!(again.order() > drained.order());
@@ -173,7 +173,7 @@
 #[test]
 fn a_node_taken_for_dead_comes_back() {
     let mut node = EndpointAnnouncer::new(1);
-    let mut gone = node.say(record(EndpointStanding::Serving));
+    let mut gone = node.announce(record(EndpointStanding::Serving));
     let said = gone.clone();
     gone.standing = EndpointStanding::Gone;
     assert!(gone.order() > said.order());
@@ -187,11 +187,11 @@
 #[test]
 fn a_server_that_did_not_come_back_is_withdrawn() {
     let mut old = EndpointAnnouncer::new(1);
-    let serving = old.say(record(EndpointStanding::Serving));
+    let serving = old.announce(record(EndpointStanding::Serving));
     let mut new = EndpointAnnouncer::new(2);
     let gone = new.reconcile(&serving).expect("a withdrawal");
     assert_eq!(gone.standing, EndpointStanding::Gone);
     assert!(gone.order() > serving.order());
-    let back = new.say(record(EndpointStanding::Serving));
+    let back = new.announce(record(EndpointStanding::Serving));
     assert!(back.order() > gone.order());
 }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -465,7 +465,7 @@
             incarnation: 0,
             sequence: 0,
         };
-        let record = self.announcer.say(record);
+        let record = self.announcer.announce(record);
         self.send(Some(record));
     }
 }
