--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -63,7 +63,7 @@
     /// Guards against a node that asks while all sources start as well, and
     /// waits longer than any of them needs: it serves nobody until it has
     /// asked again, up to a second after the others.
-    pub fn fail_starting(&mut self, longest: Duration) -> Duration {
+    pub fn next_starting_wait(&mut self, longest: Duration) -> Duration {
         self.fail()
             .min(longest.mul_f64(self.rng.random_range(0.0..1.0)))
     }
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -102,7 +102,7 @@
         let mut now = Duration::ZERO;
         let mut asked = 0;
         while now < up_at {
-            now += backoff.fail_starting(longest);
+            now += backoff.next_starting_wait(longest);
             asked += 1;
         }
         assert!(now <= up_at + longest, "{:?} late", now - up_at);
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -199,7 +199,7 @@
         self.ring.failed(self.started.elapsed());
         self.current.send_replace(self.ring.current());
         if self.versions.held() == ConfigVersion::ZERO {
-            self.backoff.fail_starting(self.pace.starting)
+            self.backoff.next_starting_wait(self.pace.starting)
         } else {
             self.backoff.fail()
         }
