--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -52,7 +52,7 @@
     }
 
     /// Wait after a failure, drawn evenly up to a ceiling that doubles.
-    pub fn fail(&mut self) -> Duration {
+    pub fn next_wait(&mut self) -> Duration {
         let wait = self.ceiling.mul_f64(self.rng.random_range(0.0..1.0));
         self.ceiling = (self.ceiling * 2).min(self.longest);
         wait
@@ -64,7 +64,7 @@
     /// waits longer than any of them needs: it serves nobody until it has
     /// asked again, up to a second after the others.
     pub fn next_starting_wait(&mut self, longest: Duration) -> Duration {
-        self.fail()
+        self.next_wait()
             .min(longest.mul_f64(self.rng.random_range(0.0..1.0)))
     }
 
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -76,12 +76,12 @@
     let mut sums = Vec::new();
     for seed in 0..50 {
         let mut backoff = ReconnectBackoff::new(seed);
-        let waits: Vec<Duration> = (0..20).map(|_| backoff.fail()).collect();
+        let waits: Vec<Duration> = (0..20).map(|_| backoff.next_wait()).collect();
         assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(10)));
         assert!(waits[0] <= Duration::from_millis(200));
         sums.push(waits.iter().sum::<Duration>());
         backoff.succeed();
-        assert!(backoff.fail() <= Duration::from_millis(200));
+        assert!(backoff.next_wait() <= Duration::from_millis(200));
         let told = backoff.told(Duration::from_secs(2));
         assert!(told >= Duration::from_secs(2));
     }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -201,7 +201,7 @@
         if self.versions.held() == ConfigVersion::ZERO {
             self.backoff.next_starting_wait(self.pace.starting)
         } else {
-            self.backoff.fail()
+            self.backoff.next_wait()
         }
     }
 
@@ -340,7 +340,7 @@
                 "event=report-failed process=node control={address} error={}",
                 LogValue(failure)
             );
-            actix_rt::time::sleep(backoff.fail()).await;
+            actix_rt::time::sleep(backoff.next_wait()).await;
         }
         backoff.succeed();
     }
