--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -47,7 +47,7 @@
     }
 
     /// A source answered: the next failure begins with a short wait again.
-    pub fn succeed(&mut self) {
+    pub fn reset(&mut self) {
         self.ceiling = FIRST;
     }
 
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -80,7 +80,7 @@
         assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(10)));
         assert!(waits[0] <= Duration::from_millis(200));
         sums.push(waits.iter().sum::<Duration>());
-        backoff.succeed();
+        backoff.reset();
         assert!(backoff.next_wait() <= Duration::from_millis(200));
         let told = backoff.told(Duration::from_secs(2));
         assert!(told >= Duration::from_secs(2));
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -147,7 +147,7 @@
             self.plan.metrics.update(self.versions.counts());
             let wait = match end {
                 Ok(TurnEnd::Stay) => {
-                    self.backoff.succeed();
+                    self.backoff.reset();
                     continue;
                 }
                 Ok(TurnEnd::Later(after)) => {
@@ -165,7 +165,7 @@
                 Ok(TurnEnd::Unsure) => {
                     self.plan.metrics.wait();
                     self.turn_away();
-                    self.backoff.succeed();
+                    self.backoff.reset();
                     self.pace.wait / 2
                 }
                 Err(failure) => {
@@ -342,6 +342,6 @@
             );
             actix_rt::time::sleep(backoff.next_wait()).await;
         }
-        backoff.succeed();
+        backoff.reset();
     }
 }
