--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -70,7 +70,7 @@
 
     /// Wait after a source said when to come back: not before, and a little
     /// spread, because times told in the same millisecond are alike.
-    pub fn told(&mut self, after: Duration) -> Duration {
+    pub fn retry_after(&mut self, after: Duration) -> Duration {
         let spread = self.rng.random_range(1.0..1.1);
         after.min(TOLD_MAX).mul_f64(spread)
     }
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -82,7 +82,7 @@
         sums.push(waits.iter().sum::<Duration>());
         backoff.reset();
         assert!(backoff.next_wait() <= Duration::from_millis(200));
-        let told = backoff.told(Duration::from_secs(2));
+        let told = backoff.retry_after(Duration::from_secs(2));
         assert!(told >= Duration::from_secs(2));
     }
     sums.dedup();
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -159,7 +159,7 @@
                         self.versions.held(),
                         after.as_millis()
                     );
-                    self.backoff.told(after)
+                    self.backoff.retry_after(after)
                 }
                 Ok(TurnEnd::Turn) => self.turn_away(),
                 Ok(TurnEnd::Unsure) => {
