--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -190,7 +190,7 @@
             return (None, changed);
         };
         assert!(validate(&snapshot.document).is_empty());
-        self.versions.settle(snapshot.version, None);
+        self.versions.record_outcome(snapshot.version, None);
         (Some(snapshot), changed)
     }
 }
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -183,7 +183,7 @@
             return Ok(None);
         };
         if validate(&snapshot.document).is_empty() {
-            self.follower.settle(snapshot.version, None);
+            self.follower.record_outcome(snapshot.version, None);
             return Ok(Some(snapshot));
         }
         warn!(
@@ -191,7 +191,7 @@
             self.instance, snapshot.version
         );
         let held = self.follower.held();
-        self.follower.settle(held, Some(snapshot.version));
+        self.follower.record_outcome(held, Some(snapshot.version));
         Ok(None)
     }
 }
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -190,7 +190,11 @@
 
     /// Tells what became of the offered snapshot: the version now in force
     /// and the one refused, as the holder of the configuration states them.
-    pub fn settle(&mut self, applied: ConfigVersion, refused: Option<ConfigVersion>) {
+    pub fn record_outcome(
+        &mut self,
+        applied: ConfigVersion,
+        refused: Option<ConfigVersion>,
+    ) {
         let Some(offered) = self.offered.take() else {
             return;
         };
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -253,9 +253,9 @@
         };
         let held = node.versions.held();
         if node.refuses {
-            node.versions.settle(held, Some(snapshot.version));
+            node.versions.record_outcome(held, Some(snapshot.version));
         } else {
-            node.versions.settle(snapshot.version, None);
+            node.versions.record_outcome(snapshot.version, None);
         }
     }
 
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -78,7 +78,7 @@
         step = follower.chunk(now, chunk.as_deref());
     }
     if let FollowStep::Offer(snapshot) = &step {
-        follower.settle(snapshot.version, None);
+        follower.record_outcome(snapshot.version, None);
     }
     step
 }
@@ -141,7 +141,7 @@
     let first = news(&mut history, &follower);
     let step = follower.news(LATE, proof("voss", 2, true), None, first);
     assert_eq!(step, FollowStep::Offer(snapshot(2)));
-    follower.settle(at(1), Some(at(2)));
+    follower.record_outcome(at(1), Some(at(2)));
     assert_eq!(follower.held(), at(1));
     assert_eq!(follower.counts().refused, 1);
     assert_eq!(news(&mut history, &follower), ConfigNews::Current);
@@ -207,7 +207,7 @@
                 prop_assert!(offered.version > before);
                 let refused = (!valid).then_some(offered.version);
                 let applied = if valid { offered.version } else { before };
-                follower.settle(applied, refused);
+                follower.record_outcome(applied, refused);
             }
             prop_assert!(follower.held() >= floor);
             let started = follower.held() > ConfigVersion::ZERO;
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -302,7 +302,7 @@
             return;
         }
         if let Some(report) = own_report(&self.plan.entry).await {
-            self.versions.settle(report.applied, report.refused);
+            self.versions.record_outcome(report.applied, report.refused);
         }
     }
 }
