--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -123,7 +123,7 @@
             follower: Arc::clone(&self.instance),
             held: self.follower.held(),
             refused: self.follower.refused(),
-            whole: self.follower.wants_whole(),
+            whole: self.follower.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.ask(),
             wait_ms: wait.as_millis() as u64,
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -120,7 +120,7 @@
     }
 
     /// True where the next answer must not be a delta.
-    pub fn wants_whole(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.whole
     }
 
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -195,7 +195,7 @@
             follower: format!("node-{at}").as_str().into(),
             held: node.versions.held(),
             refused: node.versions.refused(),
-            whole: node.versions.wants_whole(),
+            whole: node.versions.needs_snapshot(),
             waited: true,
             directory: node.directory.ask(),
             wait_ms: 5_000,
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -55,7 +55,7 @@
     history.news(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
-        whole: follower.wants_whole(),
+        whole: follower.needs_snapshot(),
         revision: 0,
     })
 }
@@ -161,7 +161,7 @@
     let step = follower.news(LATE, proof("voss", 3, true), None, late);
     assert_eq!(step, FollowStep::Ask);
     assert_eq!(follower.held(), at(2));
-    assert!(follower.wants_whole());
+    assert!(follower.needs_snapshot());
     ask(&mut follower, LATE, "voss", 3, true, None);
     assert_eq!(follower.held(), at(3));
 }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -211,7 +211,7 @@
             follower: Arc::clone(&self.plan.instance),
             held: self.versions.held(),
             refused: self.versions.refused(),
-            whole: self.versions.wants_whole(),
+            whole: self.versions.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.ask(),
             wait_ms: self.pace.wait.as_millis() as u64,
