--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -161,7 +161,7 @@
             refused: None,
             whole: false,
             waited,
-            directory: self.directory.ask(),
+            directory: self.directory.request(),
             wait_ms: self.wait_ms,
             node_domain: self.node_domain.clone(),
         };
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -125,7 +125,7 @@
             refused: self.follower.refused(),
             whole: self.follower.needs_snapshot(),
             waited: self.waited,
-            directory: self.directory.ask(),
+            directory: self.directory.request(),
             wait_ms: wait.as_millis() as u64,
             node_domain: None,
         };
--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -82,7 +82,7 @@
 
 impl DirectoryFollower {
     /// What to say with the next question.
-    pub fn ask(&self) -> DirectoryAsk {
+    pub fn request(&self) -> DirectoryAsk {
         let digest = self.directory.digest();
         DirectoryAsk {
             place: self.place,
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -157,7 +157,7 @@
     }
 
     fn relay_asks(&mut self, relay: usize, arrives: bool) {
-        let directory = DirectoryFollower::default().ask();
+        let directory = DirectoryFollower::default().request();
         let call = FollowCall {
             follower: format!("relay-{relay}").as_str().into(),
             held: self.relays[relay].current().version,
@@ -197,7 +197,7 @@
             refused: node.versions.refused(),
             whole: node.versions.needs_snapshot(),
             waited: true,
-            directory: node.directory.ask(),
+            directory: node.directory.request(),
             wait_ms: 5_000,
             node_domain: Some("voss".into()),
         };
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -126,13 +126,13 @@
 /// A follower of `source` that has its directory and version `index`.
 fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryAsk {
     let mut follower = DirectoryFollower::default();
-    let id = source.follow(now, call("first", 0, follower.ask()));
+    let id = source.follow(now, call("first", 0, follower.request()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
         if to == id {
             follower.take(news(reply).directory);
         }
     }
-    follower.ask()
+    follower.request()
 }
 
 // Several changes come within milliseconds. Each of them waking every node
@@ -182,11 +182,11 @@
         }
     }
     let mut node = DirectoryFollower::default();
-    let whole = news(answer(&mut first, ms(100), call("node", 0, node.ask())));
+    let whole = news(answer(&mut first, ms(100), call("node", 0, node.request())));
     assert_eq!(node.take(whole.directory).len(), 200);
     // The update is on its way to all who wait; it is sent first.
     second.tick(ms(100));
-    let id = second.follow(ms(200), call("node", 1, node.ask()));
+    let id = second.follow(ms(200), call("node", 1, node.request()));
     let (answers, _) = due(&mut second, ms(4_200));
     let same = answers.into_iter().find(|(to, _)| *to == id);
     let same = news(same.expect("the wait is over").1);
@@ -196,11 +196,19 @@
     let leaving = record("server-7", 2, EndpointStanding::Draining);
     first.report(ms(5_000), endpoints(vec![leaving]));
     first.tick(ms(5_000));
-    let parts = news(answer(&mut first, ms(5_100), call("node", 1, node.ask())));
+    let parts = news(answer(
+        &mut first,
+        ms(5_100),
+        call("node", 1, node.request()),
+    ));
     let ask = parts.directory.place.is_none();
     assert!(ask, "the digests of the parts are wanted");
     node.take(parts.directory);
-    let part = news(answer(&mut first, ms(5_200), call("node", 1, node.ask())));
+    let part = news(answer(
+        &mut first,
+        ms(5_200),
+        call("node", 1, node.request()),
+    ));
     assert!(part.directory.records.len() < 20);
     assert_eq!(node.take(part.directory).len(), 1);
     assert_eq!(node.directory().digest(), first.directory().digest());
@@ -295,7 +303,7 @@
         now,
         FollowCall {
             node_domain: None,
-            ..call("relay", 0, DirectoryFollower::default().ask())
+            ..call("relay", 0, DirectoryFollower::default().request())
         },
     );
     for (to, reply) in due(leader, now + ms(4_000)).0 {
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -86,7 +86,7 @@
         refused: None,
         whole: false,
         waited,
-        directory: directory.ask(),
+        directory: directory.request(),
         wait_ms: 400,
         node_domain: Some("domain-0".into()),
     }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -213,7 +213,7 @@
             refused: self.versions.refused(),
             whole: self.versions.needs_snapshot(),
             waited: self.waited,
-            directory: self.directory.ask(),
+            directory: self.directory.request(),
             wait_ms: self.pace.wait.as_millis() as u64,
             node_domain: Some(Arc::clone(&self.plan.failure_domain)),
         };
