--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -230,7 +230,7 @@
             }
             FanoutMessage::PutBack(batch) => self.source.put_back(batch),
             FanoutMessage::Install(news) => self.install(now, *news),
-            FanoutMessage::Keep(presence) => self.source.keep(presence),
+            FanoutMessage::Keep(presence) => self.source.set_presence(presence),
             FanoutMessage::Watch(leader) => self.leader = Some(leader),
         }
     }
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -139,7 +139,7 @@
     }
 
     /// Sets how long nodes count as live.
-    pub fn keep(&mut self, presence: NodePresence) {
+    pub fn set_presence(&mut self, presence: NodePresence) {
         self.board.keep(presence);
         self.gather.keep(presence);
     }
