--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -171,7 +171,7 @@
                     None => return,
                 },
                 _ = tick.tick() => {
-                    self.source.late(ticked.elapsed().saturating_sub(TICK));
+                    self.source.note_delay(ticked.elapsed().saturating_sub(TICK));
                     ticked = BootInstant::now();
                     None
                 }
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -348,7 +348,7 @@
     }
 
     /// The process was late by `lag` with a tick.
-    pub fn late(&mut self, lag: Duration) {
+    pub fn note_delay(&mut self, lag: Duration) {
         self.queue.late(lag);
     }
 
