--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -84,7 +84,7 @@
 impl Fleet {
     fn new(nodes: usize, endpoints: usize) -> Self {
         let mut leader = fleet_model::source("leader", 1);
-        leader.lead(Duration::ZERO, true);
+        leader.set_leading(Duration::ZERO, true);
         leader.publish(Duration::ZERO, fleet_model::snapshot(1));
         announce_all(&mut leader, endpoints);
         let mut relays = Vec::new();
@@ -365,7 +365,7 @@
 /// Nodes that come to a source at once, having lost nothing or everything.
 fn herd(nodes: usize, holding: bool) {
     let mut source = fleet_model::source("control-2", 2);
-    source.lead(Duration::ZERO, true);
+    source.set_leading(Duration::ZERO, true);
     source.publish(Duration::ZERO, fleet_model::snapshot(1));
     announce_all(&mut source, ENDPOINTS);
     source.tick(Duration::ZERO);
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -178,7 +178,7 @@
             };
             let now = self.started.elapsed();
             if let Some(leader) = &self.leader {
-                self.source.lead(now, leader.borrow().leading());
+                self.source.set_leading(now, leader.borrow().leading());
             }
             if let Some(message) = message {
                 self.take(now, message);
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -176,7 +176,7 @@
     }
 
     /// Tells whether this instance leads and its lease holds.
-    pub fn lead(&mut self, now: Duration, leading: bool) {
+    pub fn set_leading(&mut self, now: Duration, leading: bool) {
         // Guards against a new leader that ends leases which were renewed
         // at the old one only: live servers would leave the directory.
         if leading && !self.leading {
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -117,7 +117,7 @@
 impl Model {
     fn new() -> Self {
         let mut leader = source("leader".to_owned(), 1);
-        leader.lead(Duration::ZERO, true);
+        leader.set_leading(Duration::ZERO, true);
         let relay = |at| source(format!("relay-{at}"), 10 + at as u64);
         Self {
             now: Duration::from_secs(1),
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -51,7 +51,7 @@
 
 fn leader() -> UpdateSource {
     let mut leader = source("control-1", 1);
-    leader.lead(Duration::ZERO, true);
+    leader.set_leading(Duration::ZERO, true);
     leader
 }
 
@@ -172,7 +172,7 @@
 fn a_node_that_lost_nothing_gets_no_record() {
     let mut first = leader();
     let mut second = source("control-2", 2);
-    second.lead(ms(0), true);
+    second.set_leading(ms(0), true);
     let names: Vec<String> = (0..200).map(|at| format!("server-{at}")).collect();
     for source in [&mut first, &mut second] {
         source.publish(ms(0), snapshot(1));
@@ -283,7 +283,7 @@
     relay.report(ms(0), endpoints(vec![serving]));
     let later = Duration::from_secs(600);
     relay.tick(later);
-    relay.lead(later, true);
+    relay.set_leading(later, true);
     relay.tick(later + LEASE_TIME);
     let held = relay.directory().get("server-1").expect("a record");
     assert_eq!(held.standing, EndpointStanding::Serving);
@@ -337,7 +337,7 @@
     assert!(old.directory().get("server-1").is_some());
 
     let mut new = source("control-3", 3);
-    new.lead(ms(200), true);
+    new.set_leading(ms(200), true);
     let elsewhere = record("server-2", 1, EndpointStanding::Serving);
     new.report(ms(200), endpoints(vec![elsewhere]));
     exchange(&mut new, &mut relay, ms(300), 3);
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -45,7 +45,7 @@
         ..RouteSpec::default()
     };
     document.routes.push(route.into());
-    source.lead(Duration::ZERO, true);
+    source.set_leading(Duration::ZERO, true);
     source.publish(
         Duration::ZERO,
         ConfigSnapshot {
