--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 use cowslip_core::follower_queue::FollowerId;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
+use cowslip_core::update_source::LeaderUpdate;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_wire::codec;
 use cowslip_wire::follow_messages::FollowCall;
 use cowslip_wire::follow_messages::ReportCall;
@@ -38,7 +38,7 @@
 const STEP: Duration = Duration::from_millis(100);
 
 struct Relay {
-    source: NewsSource,
+    source: UpdateSource,
     uplink: ModelFollower,
     waiting: FollowerId,
     nodes: Vec<ModelFollower>,
@@ -49,7 +49,7 @@
 
 struct Fleet {
     now: Duration,
-    leader: NewsSource,
+    leader: UpdateSource,
     relays: Vec<Relay>,
     leader_cost: RoleCost,
     relay_cost: RoleCost,
@@ -84,7 +84,7 @@
 impl Fleet {
     fn new(nodes: usize, endpoints: usize) -> Self {
         let mut leader = fleet_model::source("leader", 1);
-        leader.lead(Duration::ZERO, true);
+        leader.set_leading(Duration::ZERO, true);
         leader.publish(Duration::ZERO, fleet_model::snapshot(1));
         announce_all(&mut leader, endpoints);
         let mut relays = Vec::new();
@@ -226,7 +226,7 @@
             let source = answer.source.clone();
             let (snapshot, endpoints) =
                 relay.uplink.take(now, answer, leader, &mut fetched);
-            let news = LeaderNews {
+            let news = LeaderUpdate {
                 sent_at: now,
                 source,
                 snapshot,
@@ -286,7 +286,7 @@
     }
 }
 
-fn encoded(source: &mut NewsSource, now: Duration) -> Vec<(Vec<FollowerId>, Vec<u8>)> {
+fn encoded(source: &mut UpdateSource, now: Duration) -> Vec<(Vec<FollowerId>, Vec<u8>)> {
     let mut answers = Vec::new();
     for answer in source.tick(now) {
         let bytes = codec::encode(&answer.reply).expect("an answer encodes");
@@ -295,7 +295,7 @@
     answers
 }
 
-fn announce_all(source: &mut NewsSource, endpoints: usize) {
+fn announce_all(source: &mut UpdateSource, endpoints: usize) {
     let mut batch = ReportBatch::default();
     for number in 0..endpoints {
         batch.endpoints.push(fleet_model::endpoint(number, 1));
@@ -365,7 +365,7 @@
 /// Nodes that come to a source at once, having lost nothing or everything.
 fn herd(nodes: usize, holding: bool) {
     let mut source = fleet_model::source("control-2", 2);
-    source.lead(Duration::ZERO, true);
+    source.set_leading(Duration::ZERO, true);
     source.publish(Duration::ZERO, fleet_model::snapshot(1));
     announce_all(&mut source, ENDPOINTS);
     source.tick(Duration::ZERO);
@@ -411,7 +411,7 @@
 
 /// One first question; the time to come back where it was not taken.
 fn reconnect(
-    source: &mut NewsSource,
+    source: &mut UpdateSource,
     node: &mut ModelFollower,
     now: Duration,
     waited: bool,
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -1,6 +1,6 @@
 //! The task that feeds followers: nodes, and control instances below this.
 //!
-//! It owns the [`NewsSource`], which decides; the task encodes each answer
+//! It owns the [`UpdateSource`], which decides; the task encodes each answer
 //! once and hands the same bytes to all followers that get it. What is
 //! agreed comes from the agreed task as [`FanoutMessage::Publish`].
 
@@ -19,12 +19,12 @@
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::move_tracker::MoveProgress;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::node_presence::NodePresence;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::source_proof::SourceProof;
+use cowslip_core::update_source::LeaderUpdate;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::codec;
@@ -116,7 +116,7 @@
 
 struct FanoutTask {
     instance: Arc<str>,
-    source: NewsSource,
+    source: UpdateSource,
     replies: HashMap<FollowerId, oneshot::Sender<Bytes>>,
     leader: Option<LeaderWatch>,
     metrics: SourceMetrics,
@@ -137,7 +137,7 @@
     };
     let task = FanoutTask {
         instance,
-        source: NewsSource::new(identity),
+        source: UpdateSource::new(identity),
         replies: HashMap::new(),
         leader: None,
         metrics,
@@ -171,14 +171,14 @@
                     None => return,
                 },
                 _ = tick.tick() => {
-                    self.source.late(ticked.elapsed().saturating_sub(TICK));
+                    self.source.note_delay(ticked.elapsed().saturating_sub(TICK));
                     ticked = BootInstant::now();
                     None
                 }
             };
             let now = self.started.elapsed();
             if let Some(leader) = &self.leader {
-                self.source.lead(now, leader.borrow().leading());
+                self.source.set_leading(now, leader.borrow().leading());
             }
             if let Some(message) = message {
                 self.take(now, message);
@@ -230,14 +230,14 @@
             }
             FanoutMessage::PutBack(batch) => self.source.put_back(batch),
             FanoutMessage::Install(news) => self.install(now, *news),
-            FanoutMessage::Keep(presence) => self.source.keep(presence),
+            FanoutMessage::Keep(presence) => self.source.set_presence(presence),
             FanoutMessage::Watch(leader) => self.leader = Some(leader),
         }
     }
 
     fn install(&mut self, now: Duration, news: InstalledNews) {
         let sent_at = news.sent_at.saturating_duration_since(self.started);
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at,
             source: news.source,
             snapshot: news.snapshot,
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -13,7 +13,7 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory_follower::DirectoryFollower;
 use cowslip_core::document::validate;
-use cowslip_core::report_gather::GATHER_TIME;
+use cowslip_core::report_aggregator::REPORT_INTERVAL;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
 use cowslip_wire::boot_instant::BootInstant;
@@ -123,9 +123,9 @@
             follower: Arc::clone(&self.instance),
             held: self.follower.held(),
             refused: self.follower.refused(),
-            whole: self.follower.wants_whole(),
+            whole: self.follower.needs_snapshot(),
             waited: self.waited,
-            directory: self.directory.ask(),
+            directory: self.directory.request(),
             wait_ms: wait.as_millis() as u64,
             node_domain: None,
         };
@@ -183,7 +183,7 @@
             return Ok(None);
         };
         if validate(&snapshot.document).is_empty() {
-            self.follower.settle(snapshot.version, None);
+            self.follower.record_outcome(snapshot.version, None);
             return Ok(Some(snapshot));
         }
         warn!(
@@ -191,7 +191,7 @@
             self.instance, snapshot.version
         );
         let held = self.follower.held();
-        self.follower.settle(held, Some(snapshot.version));
+        self.follower.record_outcome(held, Some(snapshot.version));
         Ok(None)
     }
 }
@@ -204,7 +204,7 @@
     task: mpsc::Sender<FanoutMessage>,
 ) {
     loop {
-        actix_rt::time::sleep(GATHER_TIME).await;
+        actix_rt::time::sleep(REPORT_INTERVAL).await;
         let Some(address) = leader_elsewhere(&leader) else {
             continue;
         };
--- a/crates/core/src/endpoint_announcer.rs
+++ b/crates/core/src/endpoint_announcer.rs
@@ -29,7 +29,7 @@
     }
 
     /// Numbers a new record of the endpoint.
-    pub fn say(&mut self, mut record: EndpointRecord) -> EndpointRecord {
+    pub fn announce(&mut self, mut record: EndpointRecord) -> EndpointRecord {
         self.sequence += 1;
         record.incarnation = self.incarnation;
         record.sequence = self.sequence;
@@ -44,7 +44,7 @@
 
     /// Looks at a record of this endpoint that came from the directory, and
     /// gives the one to send where the directory is wrong.
-    pub fn learn(&mut self, seen: &EndpointRecord) -> Option<EndpointRecord> {
+    pub fn reconcile(&mut self, seen: &EndpointRecord) -> Option<EndpointRecord> {
         let own = (self.incarnation, self.sequence);
         let theirs = (seen.incarnation, seen.sequence);
         if theirs > own {
@@ -55,12 +55,12 @@
             return self.withdraw(seen);
         };
         if theirs > own {
-            return Some(self.say(said));
+            return Some(self.announce(said));
         }
         // Guards against a lease that ended although the node was alive:
         // the directory's tombstone has the number of the last record.
         if theirs == own && seen.standing != said.standing {
-            return Some(self.say(said));
+            return Some(self.announce(said));
         }
         None
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,8 +5,8 @@
 //! actions and whoever holds the state machines can drive any number of
 //! them in one thread.
 
-pub mod ack_memory;
 pub mod agreement;
+pub mod applied_versions;
 pub mod call_try;
 pub mod catch_up_window;
 pub mod change;
@@ -26,13 +26,12 @@
 pub mod follower_queue;
 pub mod load;
 pub mod move_tracker;
-pub mod news_source;
 pub mod node_presence;
 pub mod outbound_calls;
 pub mod reconnect_admission;
 pub mod reconnect_backoff;
 pub mod refusal;
-pub mod report_gather;
+pub mod report_aggregator;
 pub mod rollout;
 pub mod route_table;
 pub mod server_gate;
@@ -42,6 +41,7 @@
 pub mod source_proof;
 pub mod source_ring;
 pub mod tuning;
+pub mod update_source;
 pub mod verdict;
 pub mod version;
 pub mod version_follower;
--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -47,12 +47,12 @@
     }
 
     /// A source answered: the next failure begins with a short wait again.
-    pub fn succeed(&mut self) {
+    pub fn reset(&mut self) {
         self.ceiling = FIRST;
     }
 
     /// Wait after a failure, drawn evenly up to a ceiling that doubles.
-    pub fn fail(&mut self) -> Duration {
+    pub fn next_wait(&mut self) -> Duration {
         let wait = self.ceiling.mul_f64(self.rng.random_range(0.0..1.0));
         self.ceiling = (self.ceiling * 2).min(self.longest);
         wait
@@ -63,14 +63,14 @@
     /// Guards against a node that asks while all sources start as well, and
     /// waits longer than any of them needs: it serves nobody until it has
     /// asked again, up to a second after the others.
-    pub fn fail_starting(&mut self, longest: Duration) -> Duration {
-        self.fail()
+    pub fn next_starting_wait(&mut self, longest: Duration) -> Duration {
+        self.next_wait()
             .min(longest.mul_f64(self.rng.random_range(0.0..1.0)))
     }
 
     /// Wait after a source said when to come back: not before, and a little
     /// spread, because times told in the same millisecond are alike.
-    pub fn told(&mut self, after: Duration) -> Duration {
+    pub fn retry_after(&mut self, after: Duration) -> Duration {
         let spread = self.rng.random_range(1.0..1.1);
         after.min(TOLD_MAX).mul_f64(spread)
     }
--- a/crates/core/src/news_source.rs
+++ b/crates/core/src/update_source.rs
@@ -11,26 +11,26 @@
 
 use bytes::Bytes;
 
-use crate::ack_memory::AckMemory;
+use crate::applied_versions::AppliedVersions;
 use crate::config_history::ConfigHistory;
 use crate::control_state::ConfigSnapshot;
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
-use crate::directory_follower::DirectoryNews;
+use crate::directory_follower::DirectoryUpdate;
 use crate::directory_follower::DirectoryWay;
 use crate::endpoint_lease::LeaseTable;
 use crate::follow_exchange::FollowCall;
 use crate::follow_exchange::FollowReply;
 use crate::follower_queue::FollowerId;
-use crate::follower_queue::FollowerPlace;
 use crate::follower_queue::FollowerQueue;
+use crate::follower_queue::FollowerState;
 use crate::move_tracker::MoveTracker;
 use crate::node_presence::NodePresence;
 use crate::reconnect_admission::ReconnectAdmission;
 use crate::reconnect_admission::ReconnectCost;
-use crate::report_gather::ReportBatch;
-use crate::report_gather::ReportGather;
+use crate::report_aggregator::ReportAggregator;
+use crate::report_aggregator::ReportBatch;
 use crate::source_proof::SourceFreshness;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
@@ -59,7 +59,7 @@
 
 /// News that came from the leader.
 #[derive(Clone, Debug)]
-pub struct LeaderNews {
+pub struct LeaderUpdate {
     /// When the question was sent.
     pub sent_at: Duration,
     /// What the answer proves.
@@ -96,17 +96,17 @@
 
 /// State of one source.
 #[derive(Debug)]
-pub struct NewsSource {
+pub struct UpdateSource {
     identity: SourceIdentity,
     history: ConfigHistory,
     directory: EndpointDirectory,
     leases: LeaseTable,
     board: MoveTracker,
-    acks: AckMemory,
+    acks: AppliedVersions,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
     ready: Vec<NewsAnswer>,
-    gather: ReportGather,
+    gather: ReportAggregator,
     freshness: SourceFreshness,
     admission: ReconnectAdmission,
     leading: bool,
@@ -115,7 +115,7 @@
     counts: SourceCounts,
 }
 
-impl NewsSource {
+impl UpdateSource {
     /// A source that holds nothing yet.
     pub fn new(identity: SourceIdentity) -> Self {
         Self {
@@ -124,11 +124,11 @@
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
             board: MoveTracker::default(),
-            acks: AckMemory::default(),
+            acks: AppliedVersions::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
             ready: Vec::new(),
-            gather: ReportGather::default(),
+            gather: ReportAggregator::default(),
             freshness: SourceFreshness::default(),
             admission: ReconnectAdmission::default(),
             leading: false,
@@ -139,7 +139,7 @@
     }
 
     /// Sets how long nodes count as live.
-    pub fn keep(&mut self, presence: NodePresence) {
+    pub fn set_presence(&mut self, presence: NodePresence) {
         self.board.set_presence(presence);
         self.gather.keep(presence);
     }
@@ -176,7 +176,7 @@
     }
 
     /// Tells whether this instance leads and its lease holds.
-    pub fn lead(&mut self, now: Duration, leading: bool) {
+    pub fn set_leading(&mut self, now: Duration, leading: bool) {
         // Guards against a new leader that ends leases which were renewed
         // at the old one only: live servers would leave the directory.
         if leading && !self.leading {
@@ -196,7 +196,7 @@
     }
 
     /// Takes a follower's question; its answer comes from
-    /// [`NewsSource::tick`] under the id.
+    /// [`UpdateSource::tick`] under the id.
     pub fn follow(&mut self, now: Duration, call: FollowCall) -> FollowerId {
         // A question is a sign of life, also where it is not answered yet.
         if let Some(report) = call.report() {
@@ -213,7 +213,7 @@
                 self.directory.revision()
             }
         };
-        let place = FollowerPlace {
+        let place = FollowerState {
             held: call.held,
             refused: call.refused.unwrap_or_default(),
             whole: call.whole,
@@ -233,12 +233,12 @@
             DirectoryWay::Since(_) => {}
             DirectoryWay::Records(records) => {
                 let place = Some(self.place());
-                self.answer_with(now, id, DirectoryNews { records, place });
+                self.answer_with(now, id, DirectoryUpdate { records, place });
             }
             DirectoryWay::NeedsParts => {
                 let records = Vec::new();
                 let place = None;
-                self.answer_with(now, id, DirectoryNews { records, place });
+                self.answer_with(now, id, DirectoryUpdate { records, place });
             }
         }
         id
@@ -249,7 +249,7 @@
         &mut self,
         now: Duration,
         call: &FollowCall,
-        place: &FollowerPlace,
+        place: &FollowerState,
     ) -> Result<(), Duration> {
         if call.directory.place.run == self.identity.run {
             self.admission.caught_up(now, &call.follower);
@@ -277,7 +277,7 @@
 
     /// True where a follower that asks now need not wait. One that starts
     /// waits for an answer that proves what was accepted before it asked.
-    fn has_news(&self, now: Duration, place: &FollowerPlace) -> bool {
+    fn has_news(&self, now: Duration, place: &FollowerState) -> bool {
         let known = place.revision >= self.directory.revision();
         if known && self.history.is_current(place) {
             return false;
@@ -315,7 +315,7 @@
     }
 
     /// Takes the leader's news.
-    pub fn install(&mut self, now: Duration, news: LeaderNews) {
+    pub fn install(&mut self, now: Duration, news: LeaderUpdate) {
         self.freshness.prove(news.sent_at, &news.source);
         if let Some(snapshot) = news.snapshot {
             self.publish(now, snapshot);
@@ -348,7 +348,7 @@
     }
 
     /// The process was late by `lag` with a tick.
-    pub fn late(&mut self, lag: Duration) {
+    pub fn note_delay(&mut self, lag: Duration) {
         self.queue.late(lag);
     }
 
--- a/crates/core/src/news_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -4,20 +4,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::directory_follower::DirectoryNews;
 use crate::directory_follower::DirectoryPlace;
+use crate::directory_follower::DirectoryUpdate;
 use crate::follow_exchange::FollowAnswer;
 use crate::follow_exchange::FollowReply;
 use crate::follower_queue::DueFollower;
 use crate::follower_queue::FollowerId;
-use crate::follower_queue::FollowerPlace;
+use crate::follower_queue::FollowerState;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
 use super::NewsAnswer;
-use super::NewsSource;
+use super::UpdateSource;
 
-impl NewsSource {
+impl UpdateSource {
     pub(super) fn place(&self) -> DirectoryPlace {
         DirectoryPlace {
             run: self.identity.run,
@@ -45,7 +45,7 @@
         &mut self,
         now: Duration,
         id: FollowerId,
-        directory: DirectoryNews,
+        directory: DirectoryUpdate,
     ) {
         let Some(due) = self.queue.remove_one(id) else {
             return;
@@ -77,7 +77,7 @@
             alike.entry(key).or_default().push(follower);
         }
         for (key, followers) in alike {
-            let directory = DirectoryNews {
+            let directory = DirectoryUpdate {
                 records: self.directory.since(key.place.revision),
                 place: Some(self.place()),
             };
@@ -102,7 +102,7 @@
         now: Duration,
         follower: &DueFollower,
         key: &AnswerKey,
-        directory: DirectoryNews,
+        directory: DirectoryUpdate,
     ) -> FollowReply {
         let config = self.history.news(&key.place);
         FollowReply::News(Box::new(FollowAnswer {
@@ -118,7 +118,7 @@
 /// What tells the answers of one wake apart.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerKey {
-    place: FollowerPlace,
+    place: FollowerState,
     confirmed: bool,
     acknowledged: Option<ConfigVersion>,
 }
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -13,10 +13,10 @@
 use cowslip_core::follow_exchange::FollowAnswer;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
 use cowslip_core::tuning::TuningKey;
+use cowslip_core::update_source::LeaderUpdate;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
@@ -78,14 +78,14 @@
 
 struct Model {
     now: Duration,
-    leader: NewsSource,
-    relays: Vec<NewsSource>,
+    leader: UpdateSource,
+    relays: Vec<UpdateSource>,
     nodes: Vec<ModelNode>,
     held_back: Vec<HeldBack>,
 }
 
-fn source(name: String, run: u64) -> NewsSource {
-    NewsSource::new(SourceIdentity {
+fn source(name: String, run: u64) -> UpdateSource {
+    UpdateSource::new(SourceIdentity {
         instance: name.as_str().into(),
         // One domain: no unconfirmed version is ever enough.
         failure_domain: "sogn".into(),
@@ -103,7 +103,7 @@
     }
 }
 
-fn ask(source: &mut NewsSource, now: Duration, call: FollowCall) -> FollowAnswer {
+fn ask(source: &mut UpdateSource, now: Duration, call: FollowCall) -> FollowAnswer {
     let id = source.follow(now, call);
     let mut answers = source.tick(now);
     answers.extend(source.tick(now + ASKED));
@@ -117,7 +117,7 @@
 impl Model {
     fn new() -> Self {
         let mut leader = source("leader".to_owned(), 1);
-        leader.lead(Duration::ZERO, true);
+        leader.set_leading(Duration::ZERO, true);
         let relay = |at| source(format!("relay-{at}"), 10 + at as u64);
         Self {
             now: Duration::from_secs(1),
@@ -157,7 +157,7 @@
     }
 
     fn relay_asks(&mut self, relay: usize, arrives: bool) {
-        let directory = DirectoryFollower::default().ask();
+        let directory = DirectoryFollower::default().request();
         let call = FollowCall {
             follower: format!("relay-{relay}").as_str().into(),
             held: self.relays[relay].current().version,
@@ -179,7 +179,7 @@
             // Documents of one default: a delta always pays off.
             ConfigNews::Snapshot(..) => panic!("a snapshot of one default"),
         };
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at: self.now,
             source: answer.source,
             snapshot,
@@ -195,9 +195,9 @@
             follower: format!("node-{at}").as_str().into(),
             held: node.versions.held(),
             refused: node.versions.refused(),
-            whole: node.versions.wants_whole(),
+            whole: node.versions.needs_snapshot(),
             waited: true,
-            directory: node.directory.ask(),
+            directory: node.directory.request(),
             wait_ms: 5_000,
             node_domain: Some("voss".into()),
         };
@@ -253,9 +253,9 @@
         };
         let held = node.versions.held();
         if node.refuses {
-            node.versions.settle(held, Some(snapshot.version));
+            node.versions.record_outcome(held, Some(snapshot.version));
         } else {
-            node.versions.settle(snapshot.version, None);
+            node.versions.record_outcome(snapshot.version, None);
         }
     }
 
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -17,11 +17,11 @@
 use cowslip_core::follower_queue::FollowerId;
 use cowslip_core::follower_queue::BATCH_TIME;
 use cowslip_core::move_tracker::MoveState;
-use cowslip_core::news_source::LeaderNews;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::tuning::TuningKey;
+use cowslip_core::update_source::LeaderUpdate;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 
 fn at(index: u64) -> ConfigVersion {
@@ -41,17 +41,17 @@
     }
 }
 
-fn source(name: &str, run: u64) -> NewsSource {
-    NewsSource::new(SourceIdentity {
+fn source(name: &str, run: u64) -> UpdateSource {
+    UpdateSource::new(SourceIdentity {
         instance: name.into(),
         failure_domain: "sogn".into(),
         run,
     })
 }
 
-fn leader() -> NewsSource {
+fn leader() -> UpdateSource {
     let mut leader = source("control-1", 1);
-    leader.lead(Duration::ZERO, true);
+    leader.set_leading(Duration::ZERO, true);
     leader
 }
 
@@ -95,7 +95,7 @@
 
 /// The answers that are due, one for each follower, and how many differ.
 fn due(
-    source: &mut NewsSource,
+    source: &mut UpdateSource,
     now: Duration,
 ) -> (Vec<(FollowerId, FollowReply)>, usize) {
     let answers = source.tick(now);
@@ -109,7 +109,7 @@
     (single, distinct)
 }
 
-fn answer(source: &mut NewsSource, now: Duration, call: FollowCall) -> FollowReply {
+fn answer(source: &mut UpdateSource, now: Duration, call: FollowCall) -> FollowReply {
     let id = source.follow(now, call);
     let (answers, _) = due(source, now);
     let own = answers.into_iter().find(|(to, _)| *to == id);
@@ -124,15 +124,15 @@
 }
 
 /// A follower of `source` that has its directory and version `index`.
-fn settled(source: &mut NewsSource, now: Duration) -> DirectoryAsk {
+fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryAsk {
     let mut follower = DirectoryFollower::default();
-    let id = source.follow(now, call("first", 0, follower.ask()));
+    let id = source.follow(now, call("first", 0, follower.request()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
         if to == id {
             follower.take(news(reply).directory);
         }
     }
-    follower.ask()
+    follower.request()
 }
 
 // Several changes come within milliseconds. Each of them waking every node
@@ -144,7 +144,7 @@
     leader.publish(ms(0), snapshot(1));
     let ask = settled(&mut leader, ms(0));
     let now = ms(10_000);
-    let wait = |leader: &mut NewsSource, now, index| {
+    let wait = |leader: &mut UpdateSource, now, index| {
         for node in 0..100 {
             leader.follow(now, call(&format!("node-{node}"), index, ask.clone()));
         }
@@ -172,7 +172,7 @@
 fn a_node_that_lost_nothing_gets_no_record() {
     let mut first = leader();
     let mut second = source("control-2", 2);
-    second.lead(ms(0), true);
+    second.set_leading(ms(0), true);
     let names: Vec<String> = (0..200).map(|at| format!("server-{at}")).collect();
     for source in [&mut first, &mut second] {
         source.publish(ms(0), snapshot(1));
@@ -182,11 +182,11 @@
         }
     }
     let mut node = DirectoryFollower::default();
-    let whole = news(answer(&mut first, ms(100), call("node", 0, node.ask())));
+    let whole = news(answer(&mut first, ms(100), call("node", 0, node.request())));
     assert_eq!(node.take(whole.directory).len(), 200);
     // The update is on its way to all who wait; it is sent first.
     second.tick(ms(100));
-    let id = second.follow(ms(200), call("node", 1, node.ask()));
+    let id = second.follow(ms(200), call("node", 1, node.request()));
     let (answers, _) = due(&mut second, ms(4_200));
     let same = answers.into_iter().find(|(to, _)| *to == id);
     let same = news(same.expect("the wait is over").1);
@@ -196,11 +196,19 @@
     let leaving = record("server-7", 2, EndpointStanding::Draining);
     first.report(ms(5_000), endpoints(vec![leaving]));
     first.tick(ms(5_000));
-    let parts = news(answer(&mut first, ms(5_100), call("node", 1, node.ask())));
+    let parts = news(answer(
+        &mut first,
+        ms(5_100),
+        call("node", 1, node.request()),
+    ));
     let ask = parts.directory.place.is_none();
     assert!(ask, "the digests of the parts are wanted");
     node.take(parts.directory);
-    let part = news(answer(&mut first, ms(5_200), call("node", 1, node.ask())));
+    let part = news(answer(
+        &mut first,
+        ms(5_200),
+        call("node", 1, node.request()),
+    ));
     assert!(part.directory.records.len() < 20);
     assert_eq!(node.take(part.directory).len(), 1);
     assert_eq!(node.directory().digest(), first.directory().digest());
@@ -230,7 +238,7 @@
     assert_eq!(leader.counts().leases_ended, 1);
 }
 
-fn settled_ask(source: &NewsSource) -> DirectoryAsk {
+fn settled_ask(source: &UpdateSource) -> DirectoryAsk {
     DirectoryAsk {
         place: Default::default(),
         digest: source.directory().digest().whole(),
@@ -275,14 +283,19 @@
     relay.report(ms(0), endpoints(vec![serving]));
     let later = Duration::from_secs(600);
     relay.tick(later);
-    relay.lead(later, true);
+    relay.set_leading(later, true);
     relay.tick(later + LEASE_TIME);
     let held = relay.directory().get("server-1").expect("a record");
     assert_eq!(held.standing, EndpointStanding::Serving);
 }
 
 /// Carries news down from the leader and reports up, once.
-fn exchange(leader: &mut NewsSource, relay: &mut NewsSource, now: Duration, run: u64) {
+fn exchange(
+    leader: &mut UpdateSource,
+    relay: &mut UpdateSource,
+    now: Duration,
+    run: u64,
+) {
     let batch = relay.take_reports(now);
     leader.report(now, batch);
     let records: Vec<EndpointRecord> = leader.directory().records().cloned().collect();
@@ -290,7 +303,7 @@
         now,
         FollowCall {
             node_domain: None,
-            ..call("relay", 0, DirectoryFollower::default().ask())
+            ..call("relay", 0, DirectoryFollower::default().request())
         },
     );
     for (to, reply) in due(leader, now + ms(4_000)).0 {
@@ -298,7 +311,7 @@
             continue;
         }
         let source = news(reply).source;
-        let news = LeaderNews {
+        let news = LeaderUpdate {
             sent_at: now,
             source,
             snapshot: Some(leader.current().clone()),
@@ -324,7 +337,7 @@
     assert!(old.directory().get("server-1").is_some());
 
     let mut new = source("control-3", 3);
-    new.lead(ms(200), true);
+    new.set_leading(ms(200), true);
     let elsewhere = record("server-2", 1, EndpointStanding::Serving);
     new.report(ms(200), endpoints(vec![elsewhere]));
     exchange(&mut new, &mut relay, ms(300), 3);
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -76,13 +76,13 @@
     let mut sums = Vec::new();
     for seed in 0..50 {
         let mut backoff = ReconnectBackoff::new(seed);
-        let waits: Vec<Duration> = (0..20).map(|_| backoff.fail()).collect();
+        let waits: Vec<Duration> = (0..20).map(|_| backoff.next_wait()).collect();
         assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(10)));
         assert!(waits[0] <= Duration::from_millis(200));
         sums.push(waits.iter().sum::<Duration>());
-        backoff.succeed();
-        assert!(backoff.fail() <= Duration::from_millis(200));
-        let told = backoff.told(Duration::from_secs(2));
+        backoff.reset();
+        assert!(backoff.next_wait() <= Duration::from_millis(200));
+        let told = backoff.retry_after(Duration::from_secs(2));
         assert!(told >= Duration::from_secs(2));
     }
     sums.dedup();
@@ -102,7 +102,7 @@
         let mut now = Duration::ZERO;
         let mut asked = 0;
         while now < up_at {
-            now += backoff.fail_starting(longest);
+            now += backoff.next_starting_wait(longest);
             asked += 1;
         }
         assert!(now <= up_at + longest, "{:?} late", now - up_at);
@@ -158,14 +158,14 @@
 #[test]
 fn a_clock_that_went_back_does_not_silence_a_node() {
     let mut old = EndpointAnnouncer::new(5_000);
-    let drained = old.say(record(EndpointStanding::Draining));
+    let drained = old.announce(record(EndpointStanding::Draining));
     let mut new = EndpointAnnouncer::new(4_000);
-    let serving = new.say(record(EndpointStanding::Serving));
+    let serving = new.announce(record(EndpointStanding::Serving));
     assert!(serving.order() < drained.order());
-    let again = new.learn(&drained).expect("a newer record");
+    let again = new.reconcile(&drained).expect("a newer record");
     assert!(again.order() > drained.order());
     assert_eq!(again.standing, EndpointStanding::Serving);
-    assert_eq!(new.learn(&again), None);
+    assert_eq!(new.reconcile(&again), None);
 }
 
 // A lease ended while the node could not be heard. The node finds itself
@@ -173,11 +173,11 @@
 #[test]
 fn a_node_taken_for_dead_comes_back() {
     let mut node = EndpointAnnouncer::new(1);
-    let mut gone = node.say(record(EndpointStanding::Serving));
+    let mut gone = node.announce(record(EndpointStanding::Serving));
     let said = gone.clone();
     gone.standing = EndpointStanding::Gone;
     assert!(gone.order() > said.order());
-    let again = node.learn(&gone).expect("a newer record");
+    let again = node.reconcile(&gone).expect("a newer record");
     assert!(again.order() > gone.order());
     assert_eq!(again.standing, EndpointStanding::Serving);
 }
@@ -187,11 +187,11 @@
 #[test]
 fn a_server_that_did_not_come_back_is_withdrawn() {
     let mut old = EndpointAnnouncer::new(1);
-    let serving = old.say(record(EndpointStanding::Serving));
+    let serving = old.announce(record(EndpointStanding::Serving));
     let mut new = EndpointAnnouncer::new(2);
-    let gone = new.learn(&serving).expect("a withdrawal");
+    let gone = new.reconcile(&serving).expect("a withdrawal");
     assert_eq!(gone.standing, EndpointStanding::Gone);
     assert!(gone.order() > serving.order());
-    let back = new.say(record(EndpointStanding::Serving));
+    let back = new.announce(record(EndpointStanding::Serving));
     assert!(back.order() > gone.order());
 }
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -15,9 +15,9 @@
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::follow_exchange::FollowCall;
 use cowslip_core::follow_exchange::FollowReply;
-use cowslip_core::news_source::NewsSource;
-use cowslip_core::news_source::SourceIdentity;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
+use cowslip_core::update_source::SourceIdentity;
+use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 
 /// Records of the directory.
@@ -27,8 +27,8 @@
     Duration::from_millis(millis)
 }
 
-fn source() -> NewsSource {
-    let mut source = NewsSource::new(SourceIdentity {
+fn source() -> UpdateSource {
+    let mut source = UpdateSource::new(SourceIdentity {
         instance: "control".into(),
         failure_domain: "domain-0".into(),
         run: 7,
@@ -45,7 +45,7 @@
         ..RouteSpec::default()
     };
     document.routes.push(route.into());
-    source.lead(Duration::ZERO, true);
+    source.set_leading(Duration::ZERO, true);
     source.publish(
         Duration::ZERO,
         ConfigSnapshot {
@@ -86,7 +86,7 @@
         refused: None,
         whole: false,
         waited,
-        directory: directory.ask(),
+        directory: directory.request(),
         wait_ms: 400,
         node_domain: Some("domain-0".into()),
     }
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -9,7 +9,7 @@
 use cowslip_core::config_history::ConfigNews;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::document::FleetDocument;
-use cowslip_core::follower_queue::FollowerPlace;
+use cowslip_core::follower_queue::FollowerState;
 use cowslip_core::source_proof::SourceFreshness;
 use cowslip_core::source_proof::SourceProof;
 use cowslip_core::source_proof::FRESH_FOR;
@@ -52,10 +52,10 @@
 }
 
 fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigNews {
-    history.news(&FollowerPlace {
+    history.news(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
-        whole: follower.wants_whole(),
+        whole: follower.needs_snapshot(),
         revision: 0,
     })
 }
@@ -78,7 +78,7 @@
         step = follower.chunk(now, chunk.as_deref());
     }
     if let FollowStep::Offer(snapshot) = &step {
-        follower.settle(snapshot.version, None);
+        follower.record_outcome(snapshot.version, None);
     }
     step
 }
@@ -141,7 +141,7 @@
     let first = news(&mut history, &follower);
     let step = follower.news(LATE, proof("voss", 2, true), None, first);
     assert_eq!(step, FollowStep::Offer(snapshot(2)));
-    follower.settle(at(1), Some(at(2)));
+    follower.record_outcome(at(1), Some(at(2)));
     assert_eq!(follower.held(), at(1));
     assert_eq!(follower.counts().refused, 1);
     assert_eq!(news(&mut history, &follower), ConfigNews::Current);
@@ -161,7 +161,7 @@
     let step = follower.news(LATE, proof("voss", 3, true), None, late);
     assert_eq!(step, FollowStep::Ask);
     assert_eq!(follower.held(), at(2));
-    assert!(follower.wants_whole());
+    assert!(follower.needs_snapshot());
     ask(&mut follower, LATE, "voss", 3, true, None);
     assert_eq!(follower.held(), at(3));
 }
@@ -207,7 +207,7 @@
                 prop_assert!(offered.version > before);
                 let refused = (!valid).then_some(offered.version);
                 let applied = if valid { offered.version } else { before };
-                follower.settle(applied, refused);
+                follower.record_outcome(applied, refused);
             }
             prop_assert!(follower.held() >= floor);
             let started = follower.held() > ConfigVersion::ZERO;
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -15,10 +15,10 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory_follower::DirectoryFollower;
-use cowslip_core::directory_follower::DirectoryNews;
+use cowslip_core::directory_follower::DirectoryUpdate;
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
-use cowslip_core::report_gather::ReportBatch;
+use cowslip_core::report_aggregator::ReportBatch;
 use cowslip_core::source_ring::SourceRing;
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
@@ -147,7 +147,7 @@
             self.plan.metrics.update(self.versions.counts());
             let wait = match end {
                 Ok(TurnEnd::Stay) => {
-                    self.backoff.succeed();
+                    self.backoff.reset();
                     continue;
                 }
                 Ok(TurnEnd::Later(after)) => {
@@ -159,13 +159,13 @@
                         self.versions.held(),
                         after.as_millis()
                     );
-                    self.backoff.told(after)
+                    self.backoff.retry_after(after)
                 }
                 Ok(TurnEnd::Turn) => self.turn_away(),
                 Ok(TurnEnd::Unsure) => {
                     self.plan.metrics.wait();
                     self.turn_away();
-                    self.backoff.succeed();
+                    self.backoff.reset();
                     self.pace.wait / 2
                 }
                 Err(failure) => {
@@ -199,9 +199,9 @@
         self.ring.failed(self.started.elapsed());
         self.current.send_replace(self.ring.current());
         if self.versions.held() == ConfigVersion::ZERO {
-            self.backoff.fail_starting(self.pace.starting)
+            self.backoff.next_starting_wait(self.pace.starting)
         } else {
-            self.backoff.fail()
+            self.backoff.next_wait()
         }
     }
 
@@ -211,9 +211,9 @@
             follower: Arc::clone(&self.plan.instance),
             held: self.versions.held(),
             refused: self.versions.refused(),
-            whole: self.versions.wants_whole(),
+            whole: self.versions.needs_snapshot(),
             waited: self.waited,
-            directory: self.directory.ask(),
+            directory: self.directory.request(),
             wait_ms: self.pace.wait.as_millis() as u64,
             node_domain: Some(Arc::clone(&self.plan.failure_domain)),
         };
@@ -251,7 +251,7 @@
         Ok(TurnEnd::Stay)
     }
 
-    async fn take_directory(&mut self, news: DirectoryNews) {
+    async fn take_directory(&mut self, news: DirectoryUpdate) {
         let run = self.directory.place().run;
         let changed = self.directory.take(news);
         if self.directory.place().run != run {
@@ -302,7 +302,7 @@
             return;
         }
         if let Some(report) = own_report(&self.plan.entry).await {
-            self.versions.settle(report.applied, report.refused);
+            self.versions.record_outcome(report.applied, report.refused);
         }
     }
 }
@@ -340,8 +340,8 @@
                 "event=report-failed process=node control={address} error={}",
                 LogValue(failure)
             );
-            actix_rt::time::sleep(backoff.fail()).await;
+            actix_rt::time::sleep(backoff.next_wait()).await;
         }
-        backoff.succeed();
+        backoff.reset();
     }
 }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -261,7 +261,7 @@
                 self.carry_out(actions);
             }
             GateMessage::Learn(seen) => {
-                let record = self.announcer.learn(&seen);
+                let record = self.announcer.reconcile(&seen);
                 self.send(record);
             }
             GateMessage::Repeat => {
@@ -465,7 +465,7 @@
             incarnation: 0,
             sequence: 0,
         };
-        let record = self.announcer.say(record);
+        let record = self.announcer.announce(record);
         self.send(Some(record));
     }
 }
