--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -335,7 +335,7 @@
         let kilobytes = pressure.kilobytes(&plan.route);
         let costs = SearchCosts {
             full: &plan.full,
-            usual: pressure.mean_time(&plan.route),
+            default_work: pressure.mean_time(&plan.route),
             route: &plan.route,
             value: AnswerValue {
                 target_left: plan.target_left(now),
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -95,7 +95,7 @@
     /// Path of its route.
     pub route: &'a str,
     /// Usual time of the call's work, where its server's node told none.
-    pub usual: Duration,
+    pub default_work: Duration,
     /// What its answer is worth.
     pub value: AnswerValue,
 }
@@ -329,7 +329,7 @@
                 if !server.admits(now, need) || free && (was_full || far_and_full) {
                     continue;
                 }
-                let work = server.load.work(now, costs.route, costs.usual);
+                let work = server.load.work(now, costs.route, costs.default_work);
                 let loss = costs.value.loss(wait, work, side == FAR);
                 if side == FAR {
                     least_far = Some(least_far.map_or(loss, |least| least.min(loss)));
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -62,7 +62,7 @@
     let costs = SearchCosts {
         full,
         route: "/sheets",
-        usual: WORK,
+        default_work: WORK,
         value: AnswerValue {
             target_left: TARGET,
             left: millis(2_000),
