--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -379,7 +379,7 @@
                     tried: &plan.tried,
                     idempotent: plan.idempotent,
                     search: *search,
-                    among: among.as_deref(),
+                    allowed: among.as_deref(),
                 };
                 chosen = chosen.or_else(|| pool.choose(now, &need, &mut self.rng));
             }
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -66,7 +66,7 @@
     /// How the call seeks a slot.
     pub search: SlotSearch<'a>,
     /// Instances that it may go to; all where absent.
-    pub among: Option<&'a [Arc<str>]>,
+    pub allowed: Option<&'a [Arc<str>]>,
 }
 
 /// How a call seeks a slot.
@@ -102,7 +102,8 @@
 
 impl ServerCriteria<'_> {
     fn allows(&self, instance: &Arc<str>) -> bool {
-        self.among.is_none_or(|among| among.contains(instance))
+        self.allowed
+            .is_none_or(|allowed| allowed.contains(instance))
     }
 }
 
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -70,7 +70,7 @@
         },
     };
     ServerCriteria {
-        among: None,
+        allowed: None,
         tried: &[],
         idempotent: true,
         search: if free {
@@ -304,7 +304,7 @@
     assert_eq!(pool.subset_for_share(1).len(), 1);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut need = search(true, 0.0, &[]);
-    need.among = Some(&among);
+    need.allowed = Some(&among);
     for _ in 0..20 {
         let chosen = pool.choose(millis(60_000), &need, &mut rng);
         assert_eq!(&chosen.expect("a server").instance, &among[0]);
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -61,7 +61,7 @@
 
 fn need(tried: &[Arc<str>]) -> ServerCriteria<'_> {
     ServerCriteria {
-        among: None,
+        allowed: None,
         search: SlotSearch::ByScore,
         tried,
         idempotent: true,
@@ -223,7 +223,7 @@
     let others = ["server-0".into(), "server-2".into()];
     let back = WARM + millis(5_100);
     let acceptance = ServerCriteria {
-        among: None,
+        allowed: None,
         search: SlotSearch::ByScore,
         idempotent: false,
         ..need(&[])
