--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -27,6 +27,6 @@
 pub mod server_pool;
 pub mod service_load;
 pub mod service_times;
+pub mod slow_start;
 pub mod startup_wait;
 pub mod timely_queue;
-pub mod warm_ramp;
--- a/crates/core/src/load/server_load.rs
+++ b/crates/core/src/load/server_load.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::load::decayed_count::decay;
-use crate::load::warm_ramp;
+use crate::load::slow_start;
 
 /// Slowness at most: it must be possible to try a slow server again.
 const SLOWNESS_MAX: f64 = 8.0;
@@ -81,7 +81,7 @@
     /// slots at usual speed; less is better.
     pub fn score(&self, now: Duration) -> f64 {
         let work = f64::from(self.outstanding) + 1.0;
-        let ramp = warm_ramp::share(now.saturating_sub(self.since));
+        let ramp = slow_start::share(now.saturating_sub(self.since));
         work * self.slowness(now) / (f64::from(self.slots.max(1)) * ramp)
     }
 
@@ -119,7 +119,7 @@
         if let Some(work) = self.works.get(route) {
             return *work;
         }
-        let ramp = warm_ramp::share(now.saturating_sub(self.since));
+        let ramp = slow_start::share(now.saturating_sub(self.since));
         let taken = f64::from(self.outstanding) / f64::from(self.slots.max(1));
         usual.mul_f64(self.slowness(now) * (1.0 + taken) / ramp.max(RAMP_MIN))
     }
