--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -17,7 +17,7 @@
 pub mod fair_tags;
 pub mod fleet_servers;
 pub mod late_call_limit;
-pub mod outlier_watch;
+pub mod outlier_detector;
 pub mod queue_order;
 pub mod repeat_share;
 pub mod retry_advice;
--- a/crates/core/src/load/outlier_watch.rs
+++ b/crates/core/src/load/outlier_detector.rs
@@ -67,14 +67,14 @@
 
 /// Evidence on one server.
 #[derive(Clone, Debug)]
-pub struct OutlierWatch {
+pub struct OutlierDetector {
     own: FailureShare,
     in_row: u32,
     ejections: u32,
     standing: ServerStanding,
 }
 
-impl Default for OutlierWatch {
+impl Default for OutlierDetector {
     fn default() -> Self {
         Self {
             own: FailureShare::default(),
@@ -85,7 +85,7 @@
     }
 }
 
-impl OutlierWatch {
+impl OutlierDetector {
     /// Where the server stands.
     pub fn standing(&self) -> ServerStanding {
         self.standing
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -23,8 +23,8 @@
 use crate::call_try::ServerTry;
 use crate::directory::EndpointRecord;
 use crate::load::answer_value::AnswerValue;
-use crate::load::outlier_watch::FailureShare;
-use crate::load::outlier_watch::OutlierWatch;
+use crate::load::outlier_detector::FailureShare;
+use crate::load::outlier_detector::OutlierDetector;
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_load::ServerLoad;
 
@@ -126,7 +126,7 @@
 struct PooledServer {
     record: EndpointRecord,
     load: ServerLoad,
-    watch: OutlierWatch,
+    watch: OutlierDetector,
     away_until: Duration,
 }
 
@@ -220,7 +220,7 @@
         self.places.insert(Arc::clone(&record.instance), place);
         self.sides[side].push(PooledServer {
             load: ServerLoad::new(record.slots, now),
-            watch: OutlierWatch::default(),
+            watch: OutlierDetector::default(),
             away_until: Duration::ZERO,
             record,
         });
