--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,9 +1,10 @@
-//! Decisions under load: whom to serve, who waits, who is refused, and
-//! where work goes.
+//! Overload control and load balancing: which calls are served, which wait,
+//! which are refused, and which server gets each call.
 //!
-//! Each module states the load pattern it answers, what happens without it
-//! and the grounds for its figures. [`crate::server_gate`] puts together
-//! those of a backend server's own node, [`crate::entry_router`] those of
+//!
+//! Each module states the load pattern it handles, what happens without it and
+//! the reasons for its constants. [`crate::server_gate`] combines the modules
+//! used by a backend server's own node, [`crate::entry_router`] those used by
 //! an entry node.
 
 pub mod answer_value;
--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -1,14 +1,16 @@
 //! The bounded queue in front of one backend server.
 //!
-//! Load patterns: a burst (calls wait for a slot for a moment instead of
-//! being refused), priorities (an urgent call does not wait behind
-//! calls that may wait), long jobs among short ones, and overload (the
-//! queue has a bound, and whoever cannot be served is told at once).
 //!
-//! Calls wait in lanes, one for each priority and length of job. Lanes take
-//! turns by [`FairTags`] weighted by priority, so that an urgent call goes
-//! next in nearly every turn and yet no lane starves. A lane of long jobs is
-//! passed over while such jobs hold all the slots they may have.
+//! Load patterns: bursts (calls wait briefly for a slot instead of being
+//! refused), priorities (an urgent call does not wait behind less urgent ones),
+//! long jobs among short ones, and overload (the queue is bounded, and a call
+//! that cannot be served is refused at once).
+//!
+//!
+//! Calls wait in lanes, one for each combination of priority and job length.
+//! Lanes take turns by [`FairTags`], weighted by priority, so that an urgent
+//! call goes next in nearly every turn and yet no lane starves. A lane of long
+//! jobs is skipped while long jobs hold all the slots they are allowed.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -22,56 +24,56 @@
 use crate::load::queue_order::QueueOrder;
 use crate::load::repeat_share::RepeatShare;
 
-/// Part of the room that a lane keeps against more urgent lanes: an eighth,
-/// so that the six lanes together cannot reserve all of it.
-const KEPT_PART: usize = 8;
+/// Divisor for the part of the queue's capacity that a lane keeps against more
+/// urgent lanes. An eighth, so that the six lanes together cannot reserve all
+/// of it.
+const RESERVED_DIVISOR: usize = 8;
 
-/// Number of one call at one gate.
+/// Identifies a call at one gate.
 pub type CallTicket = u64;
 
 /// Whether a job holds a slot for much longer than others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum JobLength {
-    /// Several times the shortest jobs of this server.
+    /// Several times as long as the shortest jobs of this server.
     Long,
-    /// Everything else.
+    /// Any other job.
     Short,
 }
 
 /// A call that waits for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingCall {
-    /// Its number.
+    /// Identifies the call at its gate.
     pub ticket: CallTicket,
-    /// Path of its route.
+    /// Path of the call's route.
     pub route: Arc<str>,
-    /// Customer it is made for.
+    /// Customer on whose behalf the call is made.
     pub customer: Arc<str>,
-    /// Urgency of its route.
+    /// Priority of the call's route.
     pub priority: CallPriority,
-    /// Length of its route's jobs.
+    /// Job length of the call's route.
     pub length: JobLength,
-    /// When it came to its entry node, kept over all tries.
+    /// When the call arrived at its entry node; the same for all tries.
     pub arrived_at: Duration,
-    /// From then on it is of no use to start it.
+    /// When starting the call becomes useless.
     pub expires_at: Duration,
-    /// From then on its answer comes later than it is worth most, if the
-    /// route says so.
+    /// When the call misses its target, if its route sets one.
     pub late_at: Option<Duration>,
-    /// Work it is expected to be.
+    /// Expected amount of work.
     pub cost: Duration,
-    /// How likely it repeats work at a backend server.
+    /// How likely the call repeats work at a backend server.
     pub repeats: RepeatShare,
 }
 
 impl WaitingCall {
-    /// Its place among its customer's calls.
+    /// Position among its customer's calls.
     pub fn position(&self) -> CallPosition {
         (self.arrived_at, self.ticket)
     }
 }
 
-/// A lane's key; in order of who loses a place first.
+/// Key of a lane. Lanes are ordered by who loses a queued call first.
 type LaneKey = (CallPriority, JobLength);
 
 const LANES: [LaneKey; 6] = [
@@ -83,8 +85,9 @@
     (CallPriority::High, JobLength::Short),
 ];
 
-/// Turns of a priority. Each step is fourfold: an urgent lane gets 16 of
-/// 21 turns against both others, and the least urgent still 1 of 21.
+/// Scheduling weight of a priority. Each step is fourfold: the high-priority
+/// lane gets 16 of 21 turns while both others have calls waiting, and the
+/// low-priority lane still gets 1 of 21.
 fn weight(priority: CallPriority) -> u64 {
     match priority {
         CallPriority::High => 16,
@@ -94,7 +97,7 @@
 }
 
 #[derive(Debug)]
-struct CallPlace {
+struct CallLocation {
     lane: usize,
     customer: Arc<str>,
     position: CallPosition,
@@ -106,92 +109,95 @@
 pub struct CallQueue {
     lanes: [CustomerLane; LANES.len()],
     turns: FairTags<usize>,
-    places: HashMap<CallTicket, CallPlace>,
-    by_give_up: BTreeSet<(Duration, CallTicket)>,
+    locations: HashMap<CallTicket, CallLocation>,
+    by_expiry: BTreeSet<(Duration, CallTicket)>,
 }
 
 impl CallQueue {
-    /// Calls waiting.
+    /// Number of calls waiting.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// True where none waits.
+    /// True if no call is waiting.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
     /// Adds a call.
     pub fn push(&mut self, call: WaitingCall) {
-        let lane = lane_of(&call);
-        let place = CallPlace {
+        let lane = lane_index(&call);
+        let location = CallLocation {
             lane,
             customer: Arc::clone(&call.customer),
             position: call.position(),
             expires_at: call.expires_at,
         };
-        self.by_give_up.insert((call.expires_at, call.ticket));
-        self.places.insert(call.ticket, place);
+        self.by_expiry.insert((call.expires_at, call.ticket));
+        self.locations.insert(call.ticket, location);
         self.lanes[lane].push(call);
     }
 
-    /// Takes the call whose turn it is; long ones only where `long_free`.
-    pub fn pop(&mut self, order: QueueOrder, long_free: bool) -> Option<WaitingCall> {
-        let lane = self.next_lane(long_free)?;
+    /// Removes and returns the next call to start; long jobs only if
+    /// `long_allowed`.
+    pub fn pop(&mut self, order: QueueOrder, long_allowed: bool) -> Option<WaitingCall> {
+        let lane = self.next_lane(long_allowed)?;
         let call = self.lanes[lane].pop(order)?;
         self.turns.charge(lane, call.cost, weight(call.priority));
-        self.forget(call.ticket);
+        self.unindex(call.ticket);
         Some(call)
     }
 
-    fn next_lane(&self, long_free: bool) -> Option<usize> {
+    fn next_lane(&self, long_allowed: bool) -> Option<usize> {
         let mut best: Option<(u64, usize)> = None;
-        for at in (0..LANES.len()).rev() {
-            let held_back = LANES[at].1 == JobLength::Long && !long_free;
-            if self.lanes[at].is_empty() || held_back {
+        for lane in (0..LANES.len()).rev() {
+            let blocked = LANES[lane].1 == JobLength::Long && !long_allowed;
+            if self.lanes[lane].is_empty() || blocked {
                 continue;
             }
-            let start = self.turns.start(&at);
-            if best.is_none_or(|(least, _)| start < least) {
-                best = Some((start, at));
+            let start = self.turns.start(&lane);
+            if best.is_none_or(|(lowest, _)| start < lowest) {
+                best = Some((start, lane));
             }
         }
-        best.map(|(_, at)| at)
+        best.map(|(_, lane)| lane)
     }
 
-    /// Where more than `room` wait, takes one out: from the least urgent
-    /// lane that has more than it keeps, of the customer with most there.
-    pub fn evict(&mut self, room: usize, order: QueueOrder) -> Option<WaitingCall> {
-        if self.len() <= room {
+    /// If more than `capacity` calls wait, removes one: from the least urgent
+    /// lane above its reserved part, a call of the customer with the most calls
+    /// there.
+    pub fn evict(&mut self, capacity: usize, order: QueueOrder) -> Option<WaitingCall> {
+        if self.len() <= capacity {
             return None;
         }
-        let kept = room / KEPT_PART;
+        let reserved = capacity / RESERVED_DIVISOR;
         for lane in &mut self.lanes {
-            if lane.len() <= kept {
+            if lane.len() <= reserved {
                 continue;
             }
             let call = lane.evict(order)?;
-            self.forget(call.ticket);
+            self.unindex(call.ticket);
             return Some(call);
         }
         None
     }
 
-    /// Takes out a call whose caller has left; false where it is not here.
+    /// Removes a call whose caller has disconnected; returns false if it is not
+    /// queued.
     pub fn remove(&mut self, ticket: CallTicket) -> bool {
         self.take(ticket).is_some()
     }
 
-    /// Takes out one call; none where it is not here.
+    /// Removes and returns a call; `None` if it is not queued.
     pub fn take(&mut self, ticket: CallTicket) -> Option<WaitingCall> {
-        let place = self.forget(ticket)?;
-        let lane = &mut self.lanes[place.lane];
-        lane.remove(&place.customer, place.position)
+        let location = self.unindex(ticket)?;
+        let lane = &mut self.lanes[location.lane];
+        lane.remove(&location.customer, location.position)
     }
 
-    /// Takes one call that it is of no more use to start.
+    /// Removes one call that has expired, so that starting it is useless.
     pub fn expire(&mut self, now: Duration) -> Option<CallTicket> {
-        let (expires_at, ticket) = *self.by_give_up.first()?;
+        let (expires_at, ticket) = *self.by_expiry.first()?;
         if expires_at > now {
             return None;
         }
@@ -201,24 +207,24 @@
 
     /// When the next call expires.
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.by_give_up.first().map(|(at, _)| *at)
+        self.by_expiry.first().map(|(at, _)| *at)
     }
 
-    /// Takes one call out, whichever; for a server that leaves.
+    /// Removes any one call; used to empty the queue when its server leaves.
     pub fn take_any(&mut self) -> Option<CallTicket> {
-        let (_, ticket) = *self.by_give_up.first()?;
+        let (_, ticket) = *self.by_expiry.first()?;
         self.remove(ticket);
         Some(ticket)
     }
 
-    fn forget(&mut self, ticket: CallTicket) -> Option<CallPlace> {
-        let place = self.places.remove(&ticket)?;
-        self.by_give_up.remove(&(place.expires_at, ticket));
-        Some(place)
+    fn unindex(&mut self, ticket: CallTicket) -> Option<CallLocation> {
+        let location = self.locations.remove(&ticket)?;
+        self.by_expiry.remove(&(location.expires_at, ticket));
+        Some(location)
     }
 }
 
-fn lane_of(call: &WaitingCall) -> usize {
+fn lane_index(call: &WaitingCall) -> usize {
     let key = (call.priority, call.length);
     LANES.iter().position(|lane| *lane == key).unwrap_or(0)
 }
--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -1,75 +1,83 @@
-//! How many requests a backend server gets at once.
+//! Limits how many requests a backend server gets at once.
 //!
-//! Load pattern: a server that announced more slots than it can use, or that
-//! has slowed down. With the announced slots alone it goes on getting its
-//! full share, every job in it slows the others, and calls time out in the
-//! server instead of being refused where they could still go elsewhere.
 //!
-//! The limit is the announced slots at most. It falls by a factor when the
-//! server sheds or when jobs take twice the time they take under little
-//! load, and rises by one while they do not and the limit holds work back.
+//! Load pattern: a server announced more slots than it can use, or has slowed
+//! down. If only the announced slots counted, it would still get its full
+//! share, every job in it would slow the others, and calls would time out in
+//! the server instead of being refused while they could still go elsewhere.
 //!
-//! Jobs may also take longer because they are larger: more work in each, the
-//! server as able as before. A lower limit then only makes callers wait. So
-//! cuts are on trial: where three in a row, to about half, have not made the
-//! jobs quicker, the limit returns to where it was and stays a while.
+//!
+//! The limit never exceeds the announced slots. It decreases by a factor when
+//! the server sheds load or when jobs take more than twice their baseline time,
+//! which is learned under light load. It increases by one while jobs are near
+//! the baseline and the limit is fully used.
+//!
+//!
+//! Jobs may also take longer because they are larger while the server is as
+//! fast as before. A lower limit then only makes callers wait. Decreases are
+//! therefore on trial: if three in a row, to about half the limit, have not
+//! made the jobs faster, the limit returns to its former value and stays there
+//! for a while.
 
 use std::time::Duration;
 
-/// Slow-down taken as overload. Means of some eight jobs, each counted up to
-/// four times the usual, differ by less than twofold nearly always.
+/// Slowdown above which the server counts as overloaded. Means of about eight
+/// jobs, each capped at four times the baseline, nearly always vary by less
+/// than this.
 const SLOWDOWN_MAX: f64 = 2.0;
 
-/// Slow-down below which the limit rises. The gap between the two keeps the
-/// limit from swinging.
+/// Slowdown below which the limit increases. The gap to [`SLOWDOWN_MAX`] keeps
+/// the limit from oscillating.
 const SLOWDOWN_GOOD: f64 = 1.5;
 
 /// Factor of one decrease; three in a row halve the limit.
-const DECREASE: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// Changes are at least this far apart: the effect of one must be seen
-/// before the next.
-const CHANGE_EVERY: Duration = Duration::from_millis(100);
+/// Minimum time between changes, since the effect of one must be visible before
+/// the next.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Without any evidence the limit rises this often, by a quarter. Guards
-/// against a limit that was cut by a slowness now past, at a server whose
-/// jobs all wait for other services: none of them says anything of the
+/// Without any measurement, the limit rises by a quarter at this interval.
+/// Guards against a limit that was cut during a past slowdown at a server whose
+/// jobs all wait for other services: no job would give information about the
 /// server, and it would keep a quarter of its slots for ever.
-const RECOVER_EVERY: Duration = Duration::from_secs(1);
+const RECOVER_INTERVAL: Duration = Duration::from_secs(1);
 const RECOVER_FACTOR: f64 = 1.25;
 
-/// Part of the slots that counts as light use, and that always stays where
-/// operators set no other. A server slow for a reason other than concurrency
-/// would otherwise be throttled to nothing for no gain.
-const KEPT_PART: u32 = 4;
+/// Divisor for the part of the slots that counts as light use, and below which
+/// the limit does not fall unless operators set another floor. Otherwise a
+/// server that is slow for a reason other than concurrency would be throttled
+/// to nothing without gain.
+const FLOOR_DIVISOR: u32 = 4;
 
-/// Cuts after which their gain is looked at.
+/// Number of decreases after which their effect is evaluated.
 const TRIAL_CUTS: u32 = 3;
 
-/// Where concurrency is what slows the jobs, half of it takes half of the
-/// time; jobs still above this part of it have gained nothing to speak of.
+/// If concurrency is what slows the jobs, half of it halves their time. Jobs
+/// that still take more than this fraction of the earlier time have not become
+/// noticeably faster.
 const TRIAL_GAIN: f64 = 0.75;
 
-/// Time without cuts after a trial that gained nothing. A trial takes some
-/// 0.4 s, so callers wait for one during 4 % of the time at most.
+/// Time without decreases after a trial that gained nothing. A trial takes
+/// about 0.4 s, so callers wait because of trials at most 4 % of the time.
 const TRIAL_PAUSE: Duration = Duration::from_secs(10);
 
-/// Weight of a job in the mean ratio: about the last 8.
-const RATIO_PART: f64 = 1.0 / 8.0;
+/// Weight of a job in the mean ratio: about the last 8 jobs.
+const RATIO_WEIGHT: f64 = 1.0 / 8.0;
 
-/// A job counts in the mean up to this ratio: half of any mean that a single
-/// one leaves is gone within six jobs, before a trial ends, and a server at
-/// sixteen times its usual time is still told from one at eight.
-const RATIO_MOST: f64 = 16.0;
+/// Cap on the ratio of a single job in the mean. Half of any excess that one
+/// job adds is gone within six jobs, before a trial ends, and a server at 16
+/// times its baseline can still be told from one at 8 times.
+const RATIO_MAX: f64 = 16.0;
 
-/// Cuts whose gain is not known yet.
+/// A series of decreases whose effect is not known yet.
 #[derive(Clone, Copy, Debug)]
 struct CutTrial {
     cuts: u32,
     limit_before: f64,
-    /// Greatest mean ratio seen since the first cut. The mean lags behind
-    /// the jobs, so that what it was at the cut itself is too low.
-    ratio_most: f64,
+    /// Highest mean ratio since the first decrease. The mean lags behind the
+    /// jobs, so its value at the first decrease is too low.
+    ratio_max: f64,
 }
 
 /// Concurrency limit of one backend server.
@@ -81,11 +89,11 @@
     ratio: f64,
     trial: Option<CutTrial>,
     paused_until: Duration,
-    kept: u32,
+    floor: u32,
 }
 
 impl ConcurrencyLimit {
-    /// A limit that starts at the announced slots.
+    /// Creates a limit that starts at the announced slots.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
@@ -94,91 +102,93 @@
             ratio: 1.0,
             trial: None,
             paused_until: Duration::ZERO,
-            kept: slots / KEPT_PART,
+            floor: slots / FLOOR_DIVISOR,
         }
     }
 
-    /// Keeps at least this part of the slots, in hundredths.
+    /// Sets the minimum limit, in percent of the slots.
     pub fn set_floor(&mut self, percent: u32) {
-        self.kept = self.slots * percent.min(100) / 100;
-        self.limit = self.limit.max(f64::from(self.kept));
+        self.floor = self.slots * percent.min(100) / 100;
+        self.limit = self.limit.max(f64::from(self.floor));
     }
 
-    /// Requests allowed at once.
+    /// Number of requests allowed at once.
     pub fn allowed(&self) -> u32 {
         (self.limit as u32).clamp(1, self.slots.max(1))
     }
 
-    /// Whether so few run that the time of a job is its own: the part of
-    /// the slots that always stays.
+    /// Whether so few requests run that they do not slow each other: at most
+    /// the default minimum part of the slots.
     pub fn is_light(&self, in_flight: u32) -> bool {
-        in_flight <= (self.slots / KEPT_PART).max(1)
+        in_flight <= (self.slots / FLOOR_DIVISOR).max(1)
     }
 
-    /// A job ended with `in_flight` at once. It took `ratio` times the usual,
-    /// and the last ones, none counted beyond reason, `slowdown` times.
+    /// Records a job that ended while `in_flight` ran. `ratio` is its time as a
+    /// multiple of the baseline; `slowdown` is the same for the mean of recent
+    /// jobs, with outliers capped.
     pub fn observe(&mut self, now: Duration, slowdown: f64, ratio: f64, in_flight: u32) {
-        self.ratio += (ratio.min(RATIO_MOST) - self.ratio) * RATIO_PART;
+        self.ratio += (ratio.min(RATIO_MAX) - self.ratio) * RATIO_WEIGHT;
         if slowdown > SLOWDOWN_MAX {
             self.cut(now);
             return;
         }
         self.trial = None;
         if slowdown < SLOWDOWN_GOOD && in_flight >= self.allowed() {
-            self.change(now, CHANGE_EVERY, self.limit.floor() + 1.0);
+            self.change(now, CHANGE_INTERVAL, self.limit.floor() + 1.0);
         }
     }
 
-    /// A job ended whose time says nothing of the server.
+    /// Records a job whose time gives no information about the server, and
+    /// raises the limit at a slow pace.
     pub fn recover(&mut self, now: Duration, in_flight: u32) {
         if in_flight >= self.allowed() {
             let raised = (self.limit * RECOVER_FACTOR).max(self.limit + 1.0);
-            self.change(now, RECOVER_EVERY, raised);
+            self.change(now, RECOVER_INTERVAL, raised);
         }
     }
 
-    /// The server shed a request for want of room.
+    /// Records that the server shed a request because it was overloaded.
     pub fn shed(&mut self, now: Duration) {
-        self.change(now, CHANGE_EVERY, self.limit * DECREASE);
+        self.change(now, CHANGE_INTERVAL, self.limit * DECREASE_FACTOR);
     }
 
     fn cut(&mut self, now: Duration) {
         if let Some(trial) = &mut self.trial {
-            trial.ratio_most = trial.ratio_most.max(self.ratio);
+            trial.ratio_max = trial.ratio_max.max(self.ratio);
         }
-        if now < self.paused_until || self.is_recent(now, CHANGE_EVERY) {
+        if now < self.paused_until || self.is_recent(now, CHANGE_INTERVAL) {
             return;
         }
         let mut trial = self.trial.unwrap_or(CutTrial {
             cuts: 0,
             limit_before: self.limit,
-            ratio_most: self.ratio,
+            ratio_max: self.ratio,
         });
         if trial.cuts < TRIAL_CUTS {
             trial.cuts += 1;
             self.trial = Some(trial);
-            self.change(now, CHANGE_EVERY, self.limit * DECREASE);
+            self.change(now, CHANGE_INTERVAL, self.limit * DECREASE_FACTOR);
             return;
         }
         self.trial = None;
-        // Guards against larger jobs that pass for a slow server: calls
-        // would wait, and time out, behind slots that stand empty.
-        if self.ratio > trial.ratio_most * TRIAL_GAIN {
+        // Guards against mistaking larger jobs for a slow server: calls would
+        // wait, and time out, while slots are free.
+        if self.ratio > trial.ratio_max * TRIAL_GAIN {
             self.paused_until = now + TRIAL_PAUSE;
-            self.change(now, CHANGE_EVERY, trial.limit_before);
+            self.change(now, CHANGE_INTERVAL, trial.limit_before);
         }
     }
 
-    fn is_recent(&self, now: Duration, every: Duration) -> bool {
-        self.changed_at.is_some_and(|at| now < at + every)
+    fn is_recent(&self, now: Duration, interval: Duration) -> bool {
+        self.changed_at.is_some_and(|at| now < at + interval)
     }
 
-    fn change(&mut self, now: Duration, every: Duration, limit: f64) {
-        if self.is_recent(now, every) {
+    fn change(&mut self, now: Duration, interval: Duration, limit: f64) {
+        if self.is_recent(now, interval) {
             return;
         }
         self.changed_at = Some(now);
-        let kept = f64::from(self.kept.max(1));
-        self.limit = limit.clamp(kept, f64::from(self.slots).max(kept));
+        let floor = f64::from(self.floor.max(1));
+        self.limit = limit.clamp(floor, f64::from(self.slots).max(floor));
     }
 }
--- a/crates/core/src/load/customer_lane.rs
+++ b/crates/core/src/load/customer_lane.rs
@@ -1,11 +1,13 @@
-//! Calls that wait in one lane, fair among customers.
+//! Calls that wait in one lane, shared fairly among customers.
 //!
-//! Load pattern: many small customers and one hot one. Each customer has its
-//! own short queue; turns go by [`FairTags`], and where room is short the
-//! customer with most calls waiting loses one of its own. Without that last
-//! rule the hot customer fills the whole room and small customers are
-//! refused before fairness is asked. Only customers with calls waiting take
-//! memory here, so it is bounded by the room of the queue.
+//!
+//! Load pattern: many small customers and one hot customer. Each customer has
+//! its own short queue; turns follow [`FairTags`], and when the queue is over
+//! capacity the customer with the most calls waiting loses one of its own.
+//! Without that last rule the hot customer would fill the whole queue, and
+//! calls of small customers would be refused before fair scheduling applies.
+//! Only customers with waiting calls are held, so memory is bounded by the
+//! queue's capacity.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,7 +20,7 @@
 use crate::load::fair_tags::FairTags;
 use crate::load::queue_order::QueueOrder;
 
-/// Place of a call in its customer's queue: by arrival, then ticket.
+/// Position of a call in its customer's queue: arrival time, then ticket.
 pub type CallPosition = (Duration, CallTicket);
 
 #[derive(Debug, Default)]
@@ -38,12 +40,12 @@
 }
 
 impl CustomerLane {
-    /// Calls waiting.
+    /// Number of calls waiting.
     pub fn len(&self) -> usize {
         self.calls
     }
 
-    /// True where none waits.
+    /// True if no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.calls == 0
     }
@@ -51,7 +53,7 @@
     /// Adds a call.
     pub fn push(&mut self, call: WaitingCall) {
         let customer = Arc::clone(&call.customer);
-        self.unlist(&customer);
+        self.unindex(&customer);
         let tag = self.tags.start(&*customer);
         let queue = self.customers.entry(Arc::clone(&customer)).or_default();
         if queue.calls.is_empty() {
@@ -59,51 +61,51 @@
         }
         queue.calls.insert(call.position(), call);
         self.calls += 1;
-        self.list(&customer);
+        self.index(&customer);
     }
 
-    /// Takes the call whose turn it is and charges its customer.
+    /// Removes the next call to start and charges its customer.
     pub fn pop(&mut self, order: QueueOrder) -> Option<WaitingCall> {
         let (_, _, customer) = self.by_tag.first()?;
         let customer = Arc::clone(customer);
-        let position = self.end_of(&customer, order == QueueOrder::NewestFirst)?;
+        let position = self.edge_position(&customer, order == QueueOrder::NewestFirst)?;
         let call = self.remove(&customer, position)?;
         self.tags.charge(Arc::clone(&customer), call.cost, 1);
-        self.unlist(&customer);
+        self.unindex(&customer);
         let tag = self.tags.start(&*customer);
         if let Some(queue) = self.customers.get_mut(&customer) {
             queue.tag = tag;
         }
-        self.list(&customer);
+        self.index(&customer);
         Some(call)
     }
 
-    /// Takes the call that `order` would serve last from the customer with
-    /// most calls waiting.
+    /// Removes the call that `order` would start last from the customer with
+    /// the most calls waiting.
     pub fn evict(&mut self, order: QueueOrder) -> Option<WaitingCall> {
         let (_, customer) = self.by_size.last()?;
         let customer = Arc::clone(customer);
-        let position = self.end_of(&customer, order == QueueOrder::OldestFirst)?;
+        let position = self.edge_position(&customer, order == QueueOrder::OldestFirst)?;
         self.remove(&customer, position)
     }
 
-    /// Takes out one call.
+    /// Removes one call; `None` if it is not in the lane.
     pub fn remove(
         &mut self,
         customer: &Arc<str>,
         position: CallPosition,
     ) -> Option<WaitingCall> {
-        self.unlist(customer);
+        self.unindex(customer);
         let queue = self.customers.get_mut(customer);
         let call = queue.and_then(|queue| queue.calls.remove(&position));
         if call.is_some() {
             self.calls -= 1;
         }
-        self.list(customer);
+        self.index(customer);
         call
     }
 
-    fn end_of(&self, customer: &Arc<str>, newest: bool) -> Option<CallPosition> {
+    fn edge_position(&self, customer: &Arc<str>, newest: bool) -> Option<CallPosition> {
         let calls = &self.customers.get(customer)?.calls;
         let end = if newest {
             calls.last_key_value()
@@ -113,7 +115,7 @@
         end.map(|(position, _)| *position)
     }
 
-    fn unlist(&mut self, customer: &Arc<str>) {
+    fn unindex(&mut self, customer: &Arc<str>) {
         let Some(queue) = self.customers.get(customer) else {
             return;
         };
@@ -126,7 +128,7 @@
             .remove(&(queue.calls.len(), Arc::clone(customer)));
     }
 
-    fn list(&mut self, customer: &Arc<str>) {
+    fn index(&mut self, customer: &Arc<str>) {
         let Some(queue) = self.customers.get(customer) else {
             return;
         };
--- a/crates/core/src/load/decayed_count.rs
+++ b/crates/core/src/load/decayed_count.rs
@@ -1,4 +1,4 @@
-//! A count in which old events weigh less and less.
+//! An exponentially decayed count of events.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 }
 
 impl DecayedCount {
-    /// Adds `amount` now.
+    /// Adds `amount` at `now`.
     pub fn add(&mut self, now: Duration, half_life: Duration, amount: f64) {
         self.value = self.get(now, half_life) + amount;
         self.at = now;
     }
 
-    /// The sum as it weighs now.
+    /// The decayed sum at `now`.
     pub fn get(&self, now: Duration, half_life: Duration) -> f64 {
         self.value * decay(now.saturating_sub(self.at), half_life)
     }
 }
 
-/// What is left of 1 after `age`.
+/// Weight of an event after `age`; 1 at age zero.
 pub fn decay(age: Duration, half_life: Duration) -> f64 {
     (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
--- a/crates/core/src/load/fair_tags.rs
+++ b/crates/core/src/load/fair_tags.rs
@@ -1,22 +1,25 @@
 //! Start-time fair queueing: whose turn it is by work already received.
 //!
-//! Load pattern: one customer sends a hundred times what the others send.
-//! In one queue for all, its calls fill the queue and everyone waits behind
-//! them. Here each key has a finish tag, the work it has received divided by
-//! its weight; the backlogged key with the least start tag goes next.
+//!
+//! Load pattern: one customer sends a hundred times as many calls as the
+//! others. In a single queue its calls would take all places, and all others
+//! would wait behind them. Here each key has a finish tag, the work it has
+//! received divided by its weight, and the backlogged key with the lowest start
+//! tag goes next.
+//!
 //!
 //! A key without a backlog earns no credit: its start tag is never below the
-//! virtual time, so that a customer who was idle cannot lock others out
-//! afterwards. Tags at or below the virtual time say nothing and are
-//! dropped, which bounds memory by the keys served lately.
+//! virtual time, so that a customer that was idle cannot lock others out
+//! afterwards. Tags at or below the virtual time carry no information and are
+//! dropped, which bounds memory by the recently served keys.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Tags held at most; beyond it all keys start level again. Sixteen times
-/// the keys that the default queue of 64 calls can hold backlogged.
+/// Maximum number of tags held; beyond it all keys start equal again. Sixteen
+/// times the keys that can be backlogged in the default queue of 64 calls.
 const TAGS_MAX: usize = 1_024;
 
 /// Finish tags of keys and the virtual time, in microseconds of work.
@@ -36,7 +39,7 @@
 }
 
 impl<K: Eq + Hash> FairTags<K> {
-    /// The tag by which `key`'s next call is ordered.
+    /// Start tag of `key`'s next call.
     pub fn start<Q>(&self, key: &Q) -> u64
     where
         K: Borrow<Q>,
@@ -46,7 +49,7 @@
         finish.max(self.virtual_time)
     }
 
-    /// Charges `key` with the work of a call that goes now.
+    /// Charges `key` for the work of a call that starts now.
     pub fn charge(&mut self, key: K, cost: Duration, weight: u64) {
         let start = self.start(&key);
         let work = (cost.as_micros() as u64).max(1);
@@ -57,12 +60,12 @@
         }
     }
 
-    /// Tags held.
+    /// Number of tags held.
     pub fn len(&self) -> usize {
         self.finish.len()
     }
 
-    /// True where no key has a tag.
+    /// True if no key has a tag.
     pub fn is_empty(&self) -> bool {
         self.finish.is_empty()
     }
--- a/crates/core/src/load/late_call_limit.rs
+++ b/crates/core/src/load/late_call_limit.rs
@@ -1,31 +1,34 @@
-//! How much of a server goes to calls that are late already.
+//! Limits how much of a server goes to calls that are already late.
 //!
-//! Load pattern: a server cannot answer all its calls in time, be it that a
-//! burst comes, that others were lost, or that it is cold and takes nearly as
-//! long as the target. Late calls that may take every free slot are begun in
-//! the moments between two others, and the next call that could still be in
-//! time waits behind their work until it is late as well: the server is busy
-//! all the time and hardly an answer is in time. Those that wait for a gap in
-//! turn, and are refused when their time is over, would have done better to
-//! ask elsewhere at once.
 //!
-//! So late calls leave a part of the slots free for those that come, and few
-//! of them wait; the others are told to come back.
+//! Load pattern: a server cannot answer all its calls in time, because of a
+//! burst, because other servers were lost, or because it is cold and takes
+//! nearly as long as the target. If late calls may take every free slot, they
+//! start in the moments between two other calls, and the next call that could
+//! still be in time waits behind them until it is late as well: the server is
+//! always busy, and hardly any answer is in time. Late calls that wait for a
+//! free slot and are refused at their deadline would have done better to try
+//! elsewhere at once.
+//!
+//!
+//! Late calls therefore leave part of the slots free for new calls, and only a
+//! few of them may wait; the others are told to come back later.
 
-/// Part of the slots that late calls leave free.
-const KEPT_PART: u32 = 3;
+/// Divisor for the part of the slots that late calls leave free.
+const RESERVED_DIVISOR: u32 = 3;
 
-/// Late calls that may wait, as a part of the slots: more would not find a gap
-/// before their time is over where the load lasts.
-const WAITING_PART: u32 = 3;
+/// Divisor of the slots for the number of late calls that may wait. Under
+/// lasting load, more would not get a slot before their deadline.
+const WAITING_DIVISOR: u32 = 3;
 
-/// Whether a late call may start beside `running` others where `allowed` may
-/// run.
+/// Whether a late call may start while `running` calls run of `allowed` at
+/// most.
 pub fn may_start(running: u32, allowed: u32) -> bool {
-    running + allowed / KEPT_PART < allowed
+    running + allowed / RESERVED_DIVISOR < allowed
 }
 
-/// Late calls that may wait where `allowed` run at once; one at least.
+/// Maximum number of late calls that may wait while `allowed` may run at once;
+/// at least one.
 pub fn waiting_max(allowed: u32) -> usize {
-    (allowed / WAITING_PART).max(1) as usize
+    (allowed / WAITING_DIVISOR).max(1) as usize
 }
--- a/crates/core/src/load/outlier_detector.rs
+++ b/crates/core/src/load/outlier_detector.rs
@@ -1,45 +1,48 @@
-//! Whether a server's failures are its own.
+//! Outlier detection: whether failures are a server's own fault.
 //!
-//! Load pattern: one server of a service fails, often quickly, and goes on
-//! getting its share of calls, or more since it looks idle. It is ejected on
-//! evidence, for a time that doubles with each relapse, and comes back by
-//! single trial calls. Where the others fail as well, the fault is in the
-//! requests or in something behind all servers, and ejecting them one by one
-//! would leave nobody to serve what still works: then nobody is ejected.
+//!
+//! Load pattern: one server of a service fails, often quickly, and keeps
+//! getting its share of calls, or more because it looks idle. It is ejected
+//! once there is enough evidence, for a time that doubles with each relapse,
+//! and returns by single trial calls. If the other servers fail as well, the
+//! fault is in the requests or in a shared dependency. Ejecting the servers one
+//! by one would then leave none for the calls that still work, so none is
+//! ejected.
 
 use std::time::Duration;
 
 use crate::load::decayed_count::DecayedCount;
 
-/// Failures in a row that eject. Five random failures in a row at a failure
-/// share of 10 % happen once in 100,000 calls.
-const IN_ROW: u32 = 5;
+/// Consecutive failures that eject a server. At a random failure rate of 10 %,
+/// five in a row occur once in 100,000 calls.
+const CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Least evidence, in calls of late, for ejection by share.
-const CALLS_MIN: f64 = 10.0;
+/// Minimum number of recent calls for ejection by failure share.
+const SHARE_CALLS_MIN: f64 = 10.0;
 
-/// Failure share that ejects.
-const SHARE_MIN: f64 = 0.5;
+/// Failure share that ejects a server.
+const FAILURE_SHARE_MIN: f64 = 0.5;
 
-/// The server must fail this many times as often as the others together.
-const OTHERS_FACTOR: f64 = 2.0;
+/// How many times as high as the others' failure share the server's must be.
+const OUTLIER_FACTOR: f64 = 2.0;
 
 /// Half-life of the counts.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// First ejection, and the longest after doubling. The first is longer than
-/// a restart of a process, the last bounds how long a mended server idles.
-const EJECT_FIRST: Duration = Duration::from_secs(5);
-const EJECT_MAX: Duration = Duration::from_secs(60);
+/// First ejection time, and the maximum after doubling. The first is longer
+/// than a process restart; the maximum bounds how long a recovered server stays
+/// idle.
+const EJECTION_FIRST: Duration = Duration::from_secs(5);
+const EJECTION_MAX: Duration = Duration::from_secs(60);
 
-/// Successes and failures of late.
+/// Decayed counts of recent successes and failures.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FailureShare {
+pub struct OutcomeCounts {
     answered: DecayedCount,
     failed: DecayedCount,
 }
 
-impl FailureShare {
+impl OutcomeCounts {
     /// Counts one call.
     pub fn add(&mut self, now: Duration, failed: bool) {
         let count = if failed {
@@ -56,107 +59,108 @@
     }
 }
 
-/// Where a server stands.
+/// Whether a server is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerStanding {
-    /// It gets calls.
-    In,
-    /// It gets none until then, and single trial calls afterwards.
+pub enum EjectionState {
+    /// The server gets calls.
+    Healthy,
+    /// The server gets no calls until then, and single trial calls afterwards.
     Ejected(Duration),
 }
 
-/// Evidence on one server.
+/// Failure statistics and ejection state of one server.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
-    own: FailureShare,
-    in_row: u32,
+    own: OutcomeCounts,
+    consecutive: u32,
     ejections: u32,
-    standing: ServerStanding,
+    state: EjectionState,
 }
 
 impl Default for OutlierDetector {
     fn default() -> Self {
         Self {
-            own: FailureShare::default(),
-            in_row: 0,
+            own: OutcomeCounts::default(),
+            consecutive: 0,
             ejections: 0,
-            standing: ServerStanding::In,
+            state: EjectionState::Healthy,
         }
     }
 }
 
 impl OutlierDetector {
-    /// Where the server stands.
-    pub fn standing(&self) -> ServerStanding {
-        self.standing
+    /// Returns the ejection state.
+    pub fn state(&self) -> EjectionState {
+        self.state
     }
 
-    /// True while it is ejected or on trial.
+    /// True while the server is ejected or on trial.
     pub fn is_ejected(&self) -> bool {
-        self.standing != ServerStanding::In
+        self.state != EjectionState::Healthy
     }
 
-    /// Whether a call may go there with `outstanding` of this node there.
-    /// A trial is an idempotent call, or any once the ejection is over for
-    /// as long again, since some services get no idempotent calls.
+    /// Whether a call may be sent to the server while `outstanding` calls of
+    /// this node are there. A trial is an idempotent call; after a further
+    /// ejection time any call may be one, since some services get no idempotent
+    /// calls.
     pub fn admits(&self, now: Duration, outstanding: u32, idempotent: bool) -> bool {
-        let ServerStanding::Ejected(until) = self.standing else {
+        let EjectionState::Ejected(until) = self.state else {
             return true;
         };
-        let for_any = until + self.length();
-        outstanding == 0 && (now >= for_any || idempotent && now >= until)
+        let any_from = until + self.ejection_time();
+        outstanding == 0 && (now >= any_from || idempotent && now >= until)
     }
 
-    /// An answer came. True where it ends an ejection.
+    /// Records an answer; returns true if it ends an ejection.
     pub fn answered(&mut self, now: Duration) -> bool {
         self.own.add(now, false);
-        self.in_row = 0;
-        let ServerStanding::Ejected(until) = self.standing else {
+        self.consecutive = 0;
+        let EjectionState::Ejected(until) = self.state else {
             return false;
         };
-        // Guards against answers of calls sent before the ejection: they
-        // say nothing of the server as it is now.
+        // Ignores answers to calls sent before the ejection, which tell nothing
+        // about the current state of the server.
         if now < until {
             return false;
         }
-        self.standing = ServerStanding::In;
-        self.own = FailureShare::default();
+        self.state = EjectionState::Healthy;
+        self.own = OutcomeCounts::default();
         true
     }
 
-    /// A try failed. True where the evidence asks for ejection, judged
-    /// against `pool`, the counts of all servers of the version together.
-    pub fn failed(&mut self, now: Duration, pool: &FailureShare) -> bool {
+    /// Records a failed try. Returns true if the server should be ejected,
+    /// compared with `pool`, the counts of all servers of the version.
+    pub fn failed(&mut self, now: Duration, pool: &OutcomeCounts) -> bool {
         self.own.add(now, true);
-        self.in_row += 1;
-        match self.standing {
-            ServerStanding::In => self.is_outlier(now, pool),
-            ServerStanding::Ejected(until) => now >= until,
+        self.consecutive += 1;
+        match self.state {
+            EjectionState::Healthy => self.is_outlier(now, pool),
+            EjectionState::Ejected(until) => now >= until,
         }
     }
 
-    fn is_outlier(&self, now: Duration, pool: &FailureShare) -> bool {
+    fn is_outlier(&self, now: Duration, pool: &OutcomeCounts) -> bool {
         let (failed, calls) = self.own.counts(now);
         let share = failed / calls.max(1.0);
-        let by_share = calls >= CALLS_MIN && share >= SHARE_MIN;
-        if self.in_row < IN_ROW && !by_share {
+        let by_share = calls >= SHARE_CALLS_MIN && share >= FAILURE_SHARE_MIN;
+        if self.consecutive < CONSECUTIVE_FAILURES && !by_share {
             return false;
         }
         let (pool_failed, pool_calls) = pool.counts(now);
         let others_calls = (pool_calls - calls).max(0.0);
         let others_failed = (pool_failed - failed).max(0.0);
         let others_share = others_failed / others_calls.max(1.0);
-        others_share * OTHERS_FACTOR <= share
+        others_share * OUTLIER_FACTOR <= share
     }
 
-    /// Ejects it from now on.
+    /// Ejects the server from `now` on.
     pub fn eject(&mut self, now: Duration) {
         self.ejections += 1;
-        self.standing = ServerStanding::Ejected(now + self.length());
+        self.state = EjectionState::Ejected(now + self.ejection_time());
     }
 
-    fn length(&self) -> Duration {
+    fn ejection_time(&self) -> Duration {
         let doublings = self.ejections.saturating_sub(1).min(8);
-        (EJECT_FIRST * 2_u32.pow(doublings)).min(EJECT_MAX)
+        (EJECTION_FIRST * 2_u32.pow(doublings)).min(EJECTION_MAX)
     }
 }
--- a/crates/core/src/load/repeat_share.rs
+++ b/crates/core/src/load/repeat_share.rs
@@ -1,39 +1,41 @@
-//! How likely a call repeats work that a service has been asked for before.
+//! How likely a call repeats work that a service was asked for before.
 //!
-//! Load pattern: one of a service's servers fails half of its calls, each is
-//! repeated elsewhere, and each further run makes its calls to the next
-//! service anew. There they look like first tries, earn retries of their own,
-//! and the next service gets more repeats than the fleet allows.
 //!
-//! So a further try says so to the server's node, and what the server calls
-//! meanwhile is charged to the budget of the service that it calls. The node
-//! cannot tell which of the running requests made a call; it takes the part
-//! of them that are repeats.
+//! Load pattern: one server of a service fails half of its calls. Each is
+//! retried elsewhere, and each retry calls the next service again. There these
+//! calls look like first tries and earn retries of their own, so the next
+//! service gets more repeats than the fleet allows.
+//!
+//!
+//! A retry is therefore marked for the server's node, and calls that the server
+//! makes meanwhile are charged to the retry budget of the service they go to.
+//! The node cannot tell which running request made a call, so it uses the share
+//! of running requests that are repeats.
 
-/// One whole repeat.
+/// A certain repeat, in thousandths.
 const WHOLE: u16 = 1_000;
 
-/// Likelihood that a call is a repeat.
+/// Probability that a call is a repeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RepeatShare {
     per_mille: u16,
 }
 
 impl RepeatShare {
-    /// A first try of a call that nothing repeats.
+    /// A first try of a call that repeats nothing.
     pub const FIRST: Self = Self { per_mille: 0 };
 
-    /// A further try.
+    /// A retry.
     pub const REPEAT: Self = Self { per_mille: WHOLE };
 
-    /// Thousandths, at most all of them.
+    /// Converts from thousandths, capped at 1,000.
     pub fn of_per_mille(per_mille: u16) -> Self {
         Self {
             per_mille: per_mille.min(WHOLE),
         }
     }
 
-    /// The mean over the requests that a server runs; none for none.
+    /// The mean over the requests that a server runs; zero without any.
     pub fn mean(shares: impl Iterator<Item = Self>) -> Self {
         let (mut sum, mut count) = (0_u32, 0_u32);
         for share in shares {
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Thousandths, as nodes tell each other.
+    /// The probability in thousandths, as sent between nodes.
     pub fn per_mille(self) -> u16 {
         self.per_mille
     }
 
-    /// Repeats to be expected.
+    /// Expected number of repeats, between 0 and 1.
     pub fn expected(self) -> f64 {
         f64::from(self.per_mille) / f64::from(WHOLE)
     }
--- a/crates/core/src/load/retry_advice.rs
+++ b/crates/core/src/load/retry_advice.rs
@@ -1,14 +1,15 @@
-//! When a refused caller is told to come back.
+//! When a refused caller is told to retry.
 //!
-//! Load pattern: a burst is refused, and all its callers come back at the
-//! same moment as the next burst. Without a time they come back at once and
-//! the overload feeds itself. The time is drawn at random over a span, so
-//! that the returning load is spread thinly. The refusal itself is given at
-//! once and never held back.
 //!
-//! A span of seconds is of no use to a caller whose call is over in one: it
-//! comes back when its answer is late or not at all. So where the caller says
-//! how much time it has, the span is a part of that.
+//! Load pattern: a burst is refused, and all its callers retry at the same
+//! moment as the next burst arrives. Without a retry time they retry at once,
+//! and the overload sustains itself. The time is random within a span, so that
+//! the retries are spread out. The refusal itself is always sent at once.
+//!
+//!
+//! A span of seconds is useless to a caller with a deadline of one second: it
+//! would retry too late or not at all. If the caller sends its remaining time,
+//! the span is a part of that.
 
 use std::time::Duration;
 
@@ -16,58 +17,59 @@
 
 use crate::refusal::RefusalReason;
 
-/// Span over which callers refused for overload come back. With queues of
-/// at most 1 s, what was full then has been worked off by its end.
+/// Span of retries after a refusal for overload. Queues hold at most 1 s of
+/// work, so a queue that was full has been worked off by the end of the span.
 const OVERLOAD_SPAN: Duration = Duration::from_secs(4);
 
-/// Span for what an instance's start, stop or loss causes: other nodes know
-/// of it within about 2 s.
+/// Span of retries after a refusal because an instance starts, stops or was
+/// lost; other nodes learn of that within about 2 s.
 const CHURN_SPAN: Duration = Duration::from_secs(2);
 
-/// The least wait where the header counts whole seconds.
-const LEAST: Duration = Duration::from_secs(1);
+/// Minimum delay if the header counts whole seconds.
+const MIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Part of a caller's time within which it is to come back: what is left
-/// then is enough for the work, and for one more refusal.
-const LEFT_PART: u32 = 4;
+/// Divisor of the caller's remaining time within which it is to retry. The time
+/// left after that is enough for the work and for one more refusal.
+const REMAINING_DIVISOR: u32 = 4;
 
-/// Span for a server that refused though its slots were not all taken. It has
-/// not run out of room, so the next one may take the call: some round trips,
-/// and long enough that callers do not return together.
+/// Span after a server refused a call although not all slots were taken. The
+/// service still has capacity, so the next server may take the call: the span
+/// covers a few round trips and is long enough that callers do not return
+/// together.
 const SHED_SPAN: Duration = Duration::from_millis(100);
 
-/// Least wait where fractions of a second are told: what a new connection and
-/// the way to a server take at most.
-const LEAST_FRACTION: Duration = Duration::from_millis(20);
+/// Minimum delay if fractions of a second are sent: the maximum time for a new
+/// connection and the way to a server.
+const MIN_SUBSECOND_DELAY: Duration = Duration::from_millis(20);
 
-/// What decides how long a span may be.
+/// Properties of the caller that limit the span.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerTime {
-    /// Time that the caller has left, where it said so.
+    /// Time that the caller has left, if it sent it.
     pub left: Option<Duration>,
-    /// True where it reads fractions of a second.
+    /// Whether the caller reads fractions of a second.
     pub fractions: bool,
 }
 
-/// Why callers come back, by what they wait for.
-enum ReturnCause {
-    /// A server refused though it had room.
+/// What a retry has to wait for.
+enum DelayCause {
+    /// Another server, since one refused although it had free slots.
     Shed,
-    /// Work that is before them.
+    /// The work queued before the call.
     Overload,
-    /// News of an instance that starts, stops or was lost.
+    /// The update about an instance that starts, stops or was lost.
     Churn,
 }
 
-fn cause(reason: RefusalReason) -> Option<ReturnCause> {
+fn cause(reason: RefusalReason) -> Option<DelayCause> {
     match reason {
-        RefusalReason::ServerRefused => Some(ReturnCause::Shed),
+        RefusalReason::ServerRefused => Some(DelayCause::Shed),
         RefusalReason::RetryBudget
         | RefusalReason::NoFreeSlot
         | RefusalReason::QueueFull
         | RefusalReason::QueueTimeout
         | RefusalReason::CustomerLimit
-        | RefusalReason::DeadlinePassed => Some(ReturnCause::Overload),
+        | RefusalReason::DeadlinePassed => Some(DelayCause::Overload),
         RefusalReason::NoConfiguration
         | RefusalReason::NoEndpoint
         | RefusalReason::Draining
@@ -75,31 +77,34 @@
         | RefusalReason::ConnectFailed
         | RefusalReason::ClaimNoMajority
         | RefusalReason::ClaimUnanswered
-        | RefusalReason::Stopping => Some(ReturnCause::Churn),
+        | RefusalReason::Stopping => Some(DelayCause::Churn),
         _ => None,
     }
 }
 
-/// When to come back after a refusal for `reason`; `None` where coming back
-/// later gives the same answer.
+/// Returns when to retry after a refusal for `reason`; `None` if a later retry
+/// would get the same answer.
 pub fn retry_after(
     reason: RefusalReason,
     caller: CallerTime,
     rng: &mut impl Rng,
 ) -> Option<Duration> {
     let cause = cause(reason)?;
-    let drawn = rng.random_range(0.0..=1.0);
-    let whole = match cause {
-        ReturnCause::Shed | ReturnCause::Overload => OVERLOAD_SPAN,
-        ReturnCause::Churn => CHURN_SPAN,
+    let fraction = rng.random_range(0.0..=1.0);
+    let full_span = match cause {
+        DelayCause::Shed | DelayCause::Overload => OVERLOAD_SPAN,
+        DelayCause::Churn => CHURN_SPAN,
     };
     if !caller.fractions {
-        return Some(LEAST + whole.mul_f64(drawn));
+        return Some(MIN_DELAY + full_span.mul_f64(fraction));
     }
-    let useful = caller.left.map(|left| left / LEFT_PART).unwrap_or(whole);
+    let useful_span = caller
+        .left
+        .map(|left| left / REMAINING_DIVISOR)
+        .unwrap_or(full_span);
     let span = match cause {
-        ReturnCause::Shed => SHED_SPAN.min(useful),
-        ReturnCause::Overload | ReturnCause::Churn => whole.min(useful),
+        DelayCause::Shed => SHED_SPAN.min(useful_span),
+        DelayCause::Overload | DelayCause::Churn => full_span.min(useful_span),
     };
-    Some(LEAST_FRACTION.min(useful / 4) + span.mul_f64(drawn))
+    Some(MIN_SUBSECOND_DELAY.min(useful_span / 4) + span.mul_f64(fraction))
 }
--- a/crates/core/src/load/returning_callers.rs
+++ b/crates/core/src/load/returning_callers.rs
@@ -1,47 +1,49 @@
-//! Calls that were refused here and come again.
+//! Recognizes calls that were refused here and are tried again.
+//!
 //!
 //! Load pattern: a service is short of servers for longer than its callers
-//! wait. Those that were refused ask again, and their answers are late
-//! whatever is done; taken for new calls they wait in front of calls that
-//! could still be in time, and their servers' slots are spent on late answers.
-//! Callers' own times differ by more than the time after which they come back,
-//! so what is left of it alone does not tell them apart. But the moment at
-//! which a caller's time is over stays the same however often it asks: a call
-//! whose time ends when that of a refused one would have ended is that call.
+//! wait. Refused callers retry, and their answers are late in any case. If
+//! these calls were treated as new, they would wait in front of calls that can
+//! still be in time, and slots would be spent on late answers. Callers'
+//! deadlines differ by more than the delay before a retry, so the time left
+//! does not identify a retry. The absolute deadline stays the same for all
+//! tries of a caller, however: a call with the same deadline as a refused one
+//! is a retry of it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The ends of two tries of one caller lie this near to each other: the way
-/// of each of them and a new connection, on links and processors under load.
-const SAME_END: Duration = Duration::from_millis(8);
+/// Maximum difference between the deadlines of two tries of one caller, as seen
+/// here: the transfer of each and a new connection, with links and processors
+/// under load.
+const END_TOLERANCE: Duration = Duration::from_millis(8);
 
-/// Refused calls held for a route at most.
+/// Maximum number of refused calls held for a route.
 const CALLS_MAX: usize = 256;
 
-/// Routes held at most; a service has tens.
+/// Maximum number of routes held; a service has tens.
 const ROUTES_MAX: usize = 1_024;
 
-/// When a refused caller began to ask, by when its time is over.
+/// When each refused call was first sent, by its deadline.
 type RefusedCalls = BTreeMap<Duration, Duration>;
 
-/// Calls refused lately, by route.
+/// Recently refused calls, by route.
 #[derive(Clone, Debug, Default)]
 pub struct ReturningCallers {
     routes: HashMap<Arc<str>, RefusedCalls>,
 }
 
 impl ReturningCallers {
-    /// A call on `route` whose caller began to ask at `asked_at` and has time
-    /// until `until` was refused.
+    /// Records a refused call on `route` that was first sent at `asked_at` and
+    /// whose deadline is `deadline_at`.
     pub fn refused(
         &mut self,
         now: Duration,
         route: &Arc<str>,
         asked_at: Duration,
-        until: Duration,
+        deadline_at: Duration,
     ) {
         if !self.routes.contains_key(route) && self.routes.len() >= ROUTES_MAX {
             return;
@@ -51,17 +53,17 @@
             calls.pop_first();
         }
         if calls.len() < CALLS_MAX {
-            calls.insert(until, asked_at);
+            calls.insert(deadline_at, asked_at);
         }
     }
 
-    /// When the caller of a call on `route` that has time until `until` began
-    /// to ask, where it was refused here before.
-    pub fn asked_at(&mut self, route: &str, until: Duration) -> Option<Duration> {
+    /// Returns when a call on `route` with a deadline of `deadline_at` was
+    /// first sent, and forgets it; `None` if no such call was refused here.
+    pub fn asked_at(&mut self, route: &str, deadline_at: Duration) -> Option<Duration> {
         let calls = self.routes.get_mut(route)?;
-        let from = until.saturating_sub(SAME_END);
-        let mut near = calls.range(from..=until + SAME_END);
-        let end = near.next().map(|(end, _)| *end)?;
+        let from = deadline_at.saturating_sub(END_TOLERANCE);
+        let mut matching = calls.range(from..=deadline_at + END_TOLERANCE);
+        let end = matching.next().map(|(end, _)| *end)?;
         calls.remove(&end)
     }
 }
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -1,17 +1,22 @@
-//! Chooses the server for a call among those of one service and version.
+//! Selects a server for a call among the servers of one service and version.
 //!
-//! Load pattern: many entry nodes choose among the same servers with old
-//! knowledge. Choosing the least loaded of all makes every entry node run to
-//! the same server at once; choosing at random loads some twice as much as
-//! others. Two drawn at random and the less loaded taken keeps the greatest
-//! load near the mean without a message between entry nodes. No key is bound
-//! to a server, so a hot key spreads like any other load.
 //!
-//! The failure domain of the entry node comes first, since every other hop
-//! costs 1.5 ms; others are looked at once the near servers are filled. The
-//! choice does not widen with the time waited: calls wait at the servers.
+//! Load pattern: many entry nodes choose among the same servers with stale load
+//! data. If each picks the least loaded server, all pick the same one at once;
+//! a random choice leaves some servers with about twice the load of others.
+//! Power of two choices, taking the less loaded of two random servers, keeps
+//! the maximum load near the mean without messages between entry nodes. No key
+//! is bound to a server, so a hot key spreads like any other load.
 //!
-//! A choice costs the same for three servers and for hundreds.
+//!
+//! Servers in the entry node's own failure domain are preferred, since every
+//! other hop costs 1.5 ms. Servers in other failure domains are considered once
+//! the near ones are loaded. The choice does not widen with the time a call has
+//! waited, because calls wait at the servers.
+//!
+//!
+//! The cost of a choice does not depend on the number of servers, be it three
+//! or hundreds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,80 +28,85 @@
 use crate::call_try::ServerTry;
 use crate::directory::EndpointRecord;
 use crate::load::answer_value::AnswerValue;
-use crate::load::outlier_detector::FailureShare;
+use crate::load::outlier_detector::OutcomeCounts;
 use crate::load::outlier_detector::OutlierDetector;
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_load::ServerLoad;
 
-/// Score of the better near server from which others are looked at: three
-/// quarters of its slots, before calls begin to wait there.
-const WIDEN_AT: f64 = 0.75;
+/// Score of the better near server above which far servers are considered as
+/// well: three quarters of its slots, before calls begin to queue there.
+const WIDEN_SCORE: f64 = 0.75;
 
-/// Draws before a side is walked through from a random place.
+/// Random draws before the servers of a side are scanned in order from a random
+/// start.
 const DRAWS_MAX: usize = 4;
 
-/// Part of the servers that may be ejected together. With a third gone the
-/// rest gets half as much again, which a fleet sized for the loss of one
-/// failure domain of three bears.
-const EJECTED_PART: usize = 3;
+/// Divisor for the share of servers that may be ejected at the same time. With
+/// a third ejected, the rest get half as much load again, which a fleet sized
+/// for the loss of one of three failure domains can take.
+const EJECTED_DIVISOR: usize = 3;
 
-/// A server that said it was leaving is passed over this long, until the
-/// directory says it too.
-const AWAY_TIME: Duration = Duration::from_secs(2);
+/// How long a server that reported that it is leaving is skipped, until the
+/// directory reports it too.
+const UNAVAILABLE_TIME: Duration = Duration::from_secs(2);
 
-/// Servers looked at on each side for a free slot: two, as in the choice by
-/// score, so that nodes with the same knowledge do not run to one server.
+/// Servers examined on each side for a free slot. Two, as in the choice by
+/// score, so that nodes with the same data do not all pick the same server.
 const FREE_DRAWS: usize = 2;
 
-/// Servers looked at on each side for the least wait; their nodes have told
-/// their waits a moment ago.
+/// Servers examined on each side for the least wait. It can be higher than
+/// [`FREE_DRAWS`] because the servers' nodes have just reported their waits.
 const WAIT_DRAWS: usize = 8;
 
-/// Part of a server's load that the servers of a small share take beyond
-/// theirs before another is added.
+/// Fraction of one server's load by which the servers chosen for a small
+/// traffic share may exceed their normal load before another server is added.
 const SHARE_EXCESS: f64 = 0.1;
 
-/// What a call asks of the choice.
+/// Which servers are eligible for a call, and how one is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerCriteria<'a> {
-    /// Instances that failed it already.
+    /// Instances that already failed the call.
     pub tried: &'a [Arc<str>],
-    /// Whether it may be a trial of an ejected server.
+    /// Whether the call may be a trial of an ejected server.
     pub idempotent: bool,
-    /// How the call seeks a slot.
+    /// How a server with a slot is searched for.
     pub search: SlotSearch<'a>,
-    /// Instances that it may go to; all where absent.
+    /// Instances that the call may go to; `None` allows all.
     pub allowed: Option<&'a [Arc<str>]>,
 }
 
-/// How a call seeks a slot.
+/// How a server with a slot is searched for.
 ///
-/// Load pattern: at seven tenths of the capacity, servers of unlike speed and
-/// some twenty entry nodes that each know their own calls alone. A call that
-/// waits where it was sent first waits behind others while slots stand free
-/// elsewhere: a third of all calls did. Asked for a slot that is free at
-/// once, the server's node answers within a round trip, and the next one is
-/// asked; only where none has one the call waits, where the wait is least.
+///
+/// Load pattern: at 70 % of capacity, with servers of unequal speed and about
+/// twenty entry nodes that each know only their own calls, a call that waits at
+/// the server it was first sent to waits behind others while slots are free
+/// elsewhere. This happened to a third of all calls. When it is asked for a
+/// slot that is free at once, the server's node answers within a round trip and
+/// the next server can be asked. Only if none has a free slot does the call
+/// wait, where the wait is shortest.
 #[derive(Clone, Copy, Debug)]
 pub enum SlotSearch<'a> {
-    /// By this node's own knowledge alone; the call waits where it is sent.
+    /// Uses only this node's own load data; the call waits at the server it is
+    /// sent to.
     ByScore,
-    /// A slot that is free at once, or a near one that is worth a wait.
+    /// A slot that is free at once, or a near server whose expected wait is
+    /// acceptable.
     Free(SearchCosts<'a>),
-    /// Where the answer loses least; the call waits there.
+    /// The server with the least expected loss of value; the call waits there.
     LeastWait(SearchCosts<'a>),
 }
 
-/// What a search weighs.
+/// Inputs that a search weighs.
 #[derive(Clone, Copy, Debug)]
 pub struct SearchCosts<'a> {
-    /// Instances that had no free slot for this call a moment ago.
+    /// Instances that recently had no free slot for this call.
     pub full: &'a [Arc<str>],
-    /// Path of its route.
+    /// Path of the call's route.
     pub route: &'a str,
-    /// Usual time of the call's work, where its server's node told none.
+    /// Expected duration of the job at a server whose node has reported none.
     pub default_work: Duration,
-    /// What its answer is worth.
+    /// Value of the answer over time.
     pub value: AnswerValue,
 }
 
@@ -107,18 +117,20 @@
     }
 }
 
-/// What a try showed of its server.
+/// What a try revealed about its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TryOutcome {
-    /// It answered, this many times as slowly as is usual for the route.
+    /// The server answered; the response time as a multiple of the route's
+    /// baseline.
     Answered(f64),
-    /// It failed, or its node could not be reached.
+    /// The try failed, or the server's node could not be reached.
     Failed,
-    /// Its node has no place left, or the server itself shed the call.
+    /// The server's node had no capacity left, or the server itself shed the
+    /// call.
     Full,
-    /// It is leaving or was not there.
+    /// The server is leaving or was not there.
     Unavailable,
-    /// Nothing: the caller left.
+    /// No information, because the caller disconnected.
     Nothing,
 }
 
@@ -126,31 +138,31 @@
 struct PooledServer {
     record: EndpointRecord,
     load: ServerLoad,
-    watch: OutlierDetector,
-    away_until: Duration,
+    detector: OutlierDetector,
+    unavailable_until: Duration,
 }
 
 impl PooledServer {
-    fn admits(&self, now: Duration, need: &ServerCriteria<'_>) -> bool {
-        now >= self.away_until
+    fn admits(&self, now: Duration, criteria: &ServerCriteria<'_>) -> bool {
+        now >= self.unavailable_until
             && self
-                .watch
-                .admits(now, self.load.outstanding(), need.idempotent)
-            && !need.tried.contains(&self.record.instance)
-            && need.allows(&self.record.instance)
+                .detector
+                .admits(now, self.load.outstanding(), criteria.idempotent)
+            && !criteria.tried.contains(&self.record.instance)
+            && criteria.allows(&self.record.instance)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ScoredPlace {
-    place: PoolPlace,
+struct ScoredServer {
+    position: PoolPosition,
     score: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct PoolPlace {
+struct PoolPosition {
     side: usize,
-    at: usize,
+    index: usize,
 }
 
 const NEAR: usize = 0;
@@ -158,19 +170,20 @@
 
 /// The best server that a search found.
 #[derive(Clone, Copy, Debug)]
-struct SoughtServer {
-    place: PoolPlace,
+struct FoundServer {
+    position: PoolPosition,
     work: Duration,
     loss: f64,
-    /// What the best far server would lose; all where there is none.
+    /// Expected loss at the best far server; 1 if there is none.
     far_loss: f64,
 }
 
-impl SoughtServer {
-    /// How long the call waits there before it is offered elsewhere: at a near
-    /// server until the best far one would lose less, at a far one not at all.
+impl FoundServer {
+    /// How long the call waits at this server before it is offered elsewhere:
+    /// at a near server until the best far one would lose less, at a far server
+    /// not at all.
     fn wait_max(&self, costs: &SearchCosts<'_>) -> Duration {
-        if self.place.side == FAR {
+        if self.position.side == FAR {
             return Duration::ZERO;
         }
         costs.value.wait_for(self.work, self.far_loss)
@@ -181,29 +194,29 @@
 #[derive(Debug, Default)]
 pub struct ServerPool {
     sides: [Vec<PooledServer>; 2],
-    places: HashMap<Arc<str>, PoolPlace>,
-    outcomes: FailureShare,
+    positions: HashMap<Arc<str>, PoolPosition>,
+    outcomes: OutcomeCounts,
 }
 
 impl ServerPool {
-    /// Servers in the pool.
+    /// Number of servers in the pool.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// True where there is none.
+    /// True if the pool has no servers.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Servers that are ejected or on trial.
+    /// Number of servers that are ejected or on trial.
     pub fn ejected(&self) -> usize {
         let all = self.sides.iter().flatten();
-        all.filter(|server| server.watch.is_ejected()).count()
+        all.filter(|server| server.detector.is_ejected()).count()
     }
 
-    /// Takes a new record of a server; one of an instance's new start, or of
-    /// one not here before, begins its load anew.
+    /// Adds or updates a server. Its load data are reset if the instance is new
+    /// or has restarted.
     pub fn put(&mut self, now: Duration, record: EndpointRecord, near: bool) {
         let side = if near { NEAR } else { FAR };
         if let Some(held) = self.get_mut(&record.instance) {
@@ -213,31 +226,34 @@
             }
         }
         self.remove(&record.instance);
-        let place = PoolPlace {
+        let position = PoolPosition {
             side,
-            at: self.sides[side].len(),
+            index: self.sides[side].len(),
         };
-        self.places.insert(Arc::clone(&record.instance), place);
+        self.positions
+            .insert(Arc::clone(&record.instance), position);
         self.sides[side].push(PooledServer {
             load: ServerLoad::new(record.slots, now),
-            watch: OutlierDetector::default(),
-            away_until: Duration::ZERO,
+            detector: OutlierDetector::default(),
+            unavailable_until: Duration::ZERO,
             record,
         });
     }
 
-    /// The first servers by name, as many as take `share_per_mille` of the
-    /// load that all of them are meant for; one at least.
+    /// Returns the first servers by name, as many as `share_per_mille` of the
+    /// traffic of the whole pool needs, at least one.
+    ///
     ///
-    /// Load pattern: a version that fails only under load, on trial with a
-    /// small share. Spread over all of its servers the share loads none, and
-    /// what is wrong shows only when nearly all calls go there: one had got
-    /// 668 calls where 272 were allowed. On a few servers each is loaded as
-    /// it will be, from a small share on. So a server is not added for the
-    /// little that a share exceeds what those before it are meant for: 256 of
-    /// 1,000 on two of four servers fill none of them.
+    /// Load pattern: a new version that fails only under load is tried with a
+    /// small traffic share. Spread over all of its servers, the share loads
+    /// none of them, and the fault shows only when nearly all calls go there:
+    /// one such version received 668 calls where 272 were allowed. On a few
+    /// servers, each gets its later load even at a small share. A server is
+    /// therefore not added for a small excess over what the servers before it
+    /// are meant to take: a share of 256 per mille on two of four servers would
+    /// load neither fully.
     pub fn subset_for_share(&self, share_per_mille: u16) -> Vec<Arc<str>> {
-        let mut names: Vec<Arc<str>> = self.places.keys().cloned().collect();
+        let mut names: Vec<Arc<str>> = self.positions.keys().cloned().collect();
         names.sort_unstable();
         let wanted = names.len() as f64 * f64::from(share_per_mille) / 1_000.0;
         let count = (wanted - SHARE_EXCESS).ceil().max(1.0);
@@ -245,55 +261,59 @@
         names
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove(&mut self, instance: &str) {
-        let Some(place) = self.places.remove(instance) else {
+        let Some(position) = self.positions.remove(instance) else {
             return;
         };
-        let side = &mut self.sides[place.side];
-        side.swap_remove(place.at);
-        if let Some(moved) = side.get(place.at) {
+        let side = &mut self.sides[position.side];
+        side.swap_remove(position.index);
+        if let Some(moved) = side.get(position.index) {
             let name = Arc::clone(&moved.record.instance);
-            self.places.insert(name, place);
+            self.positions.insert(name, position);
         }
     }
 
-    /// Chooses a server and counts the call there until
-    /// [`ServerPool::end`]; `None` where all have been tried.
+    /// Chooses a server and counts the call as outstanding there until
+    /// [`ServerPool::end`]; `None` if all servers have been tried.
     pub fn choose(
         &mut self,
         now: Duration,
-        need: &ServerCriteria<'_>,
+        criteria: &ServerCriteria<'_>,
         rng: &mut SmallRng,
     ) -> Option<ServerTry> {
-        match need.search {
+        match criteria.search {
             SlotSearch::ByScore => {}
             SlotSearch::Free(costs) => {
-                let found = self.seek(now, need, &costs, true, rng)?;
-                return Some(self.begin_at(found.place, Some(found.wait_max(&costs))));
+                let found = self.search_least_loss(now, criteria, &costs, true, rng)?;
+                return Some(self.begin_at(found.position, Some(found.wait_max(&costs))));
             }
             SlotSearch::LeastWait(costs) => {
-                let found = self.seek(now, need, &costs, false, rng);
-                let place = found.map(|found| found.place);
-                let place = place.or_else(|| self.last_resort(need))?;
-                return Some(self.begin_at(place, None));
+                let found = self.search_least_loss(now, criteria, &costs, false, rng);
+                let position = found.map(|found| found.position);
+                let position = position.or_else(|| self.last_resort(criteria))?;
+                return Some(self.begin_at(position, None));
             }
         }
-        let near = self.draw(NEAR, now, need, rng);
+        let near = self.draw(NEAR, now, criteria, rng);
         let mut best = near;
-        if near.is_none_or(|near| near.score > WIDEN_AT) {
-            let far = self.draw(FAR, now, need, rng);
-            best = lighter(near, far);
+        if near.is_none_or(|near| near.score > WIDEN_SCORE) {
+            let far = self.draw(FAR, now, criteria, rng);
+            best = lower_score(near, far);
         }
-        let place = match best {
-            Some(best) => best.place,
-            None => self.last_resort(need)?,
+        let position = match best {
+            Some(best) => best.position,
+            None => self.last_resort(criteria)?,
         };
-        Some(self.begin_at(place, None))
+        Some(self.begin_at(position, None))
     }
 
-    fn begin_at(&mut self, place: PoolPlace, wait_max: Option<Duration>) -> ServerTry {
-        let server = &mut self.sides[place.side][place.at];
+    fn begin_at(
+        &mut self,
+        position: PoolPosition,
+        wait_max: Option<Duration>,
+    ) -> ServerTry {
+        let server = &mut self.sides[position.side][position.index];
         server.load.begin();
         ServerTry {
             instance: Arc::clone(&server.record.instance),
@@ -303,42 +323,43 @@
         }
     }
 
-    /// The server where the answer is expected to lose least, of some drawn on
-    /// each side. With `free` it is one that had a slot a moment ago, or a near
-    /// one that is worth a wait.
-    fn seek(
+    /// Finds the server with the least expected loss among some drawn on each
+    /// side. With `free` set, only servers that recently had a free slot, or
+    /// near ones whose wait is acceptable, are considered.
+    fn search_least_loss(
         &self,
         now: Duration,
-        need: &ServerCriteria<'_>,
+        criteria: &ServerCriteria<'_>,
         costs: &SearchCosts<'_>,
         free: bool,
         rng: &mut SmallRng,
-    ) -> Option<SoughtServer> {
-        let mut best: Option<SoughtServer> = None;
-        let mut least_far: Option<f64> = None;
+    ) -> Option<FoundServer> {
+        let mut best: Option<FoundServer> = None;
+        let mut best_far_loss: Option<f64> = None;
         for side in [NEAR, FAR] {
             let servers = &self.sides[side];
             let draws = if free { FREE_DRAWS } else { WAIT_DRAWS };
             let first = rng.random_range(0..servers.len().max(1));
             let mut drawn = 0;
             for step in 0..servers.len() {
-                let at = (first + step) % servers.len();
-                let server = &servers[at];
-                let wait = server.load.told_wait(now);
+                let index = (first + step) % servers.len();
+                let server = &servers[index];
+                let wait = server.load.reported_wait(now);
                 let was_full = costs.full.contains(&server.record.instance);
                 let far_and_full = side == FAR && !wait.is_zero();
-                if !server.admits(now, need) || free && (was_full || far_and_full) {
+                if !server.admits(now, criteria) || free && (was_full || far_and_full) {
                     continue;
                 }
                 let work = server.load.work(now, costs.route, costs.default_work);
                 let loss = costs.value.loss(wait, work, side == FAR);
                 if side == FAR {
-                    least_far = Some(least_far.map_or(loss, |least| least.min(loss)));
+                    best_far_loss =
+                        Some(best_far_loss.map_or(loss, |least| least.min(loss)));
                 }
                 if best.is_none_or(|best| loss < best.loss) {
-                    let place = PoolPlace { side, at };
-                    best = Some(SoughtServer {
-                        place,
+                    let position = PoolPosition { side, index };
+                    best = Some(FoundServer {
+                        position,
                         work,
                         loss,
                         far_loss: 1.0,
@@ -351,11 +372,11 @@
             }
         }
         let mut best = best?;
-        best.far_loss = least_far.unwrap_or(1.0);
+        best.far_loss = best_far_loss.unwrap_or(1.0);
         Some(best)
     }
 
-    /// A server's node told of its load.
+    /// Records the load that a server's node reported.
     pub fn record_load(
         &mut self,
         now: Duration,
@@ -372,115 +393,116 @@
         &self,
         side: usize,
         now: Duration,
-        need: &ServerCriteria<'_>,
+        criteria: &ServerCriteria<'_>,
         rng: &mut SmallRng,
-    ) -> Option<ScoredPlace> {
-        let first = self.draw_one(side, None, now, need, rng);
-        let second = self.draw_one(side, first.map(|one| one.place), now, need, rng);
-        lighter(first, second)
+    ) -> Option<ScoredServer> {
+        let first = self.draw_one(side, None, now, criteria, rng);
+        let second =
+            self.draw_one(side, first.map(|one| one.position), now, criteria, rng);
+        lower_score(first, second)
     }
 
     fn draw_one(
         &self,
         side: usize,
-        besides: Option<PoolPlace>,
+        excluded: Option<PoolPosition>,
         now: Duration,
-        need: &ServerCriteria<'_>,
+        criteria: &ServerCriteria<'_>,
         rng: &mut SmallRng,
-    ) -> Option<ScoredPlace> {
+    ) -> Option<ScoredServer> {
         let servers = &self.sides[side];
         if servers.is_empty() {
             return None;
         }
-        let mut at = 0;
+        let mut index = 0;
         for step in 0..DRAWS_MAX * 2 {
-            at = if step < DRAWS_MAX {
+            index = if step < DRAWS_MAX {
                 rng.random_range(0..servers.len())
             } else {
-                (at + 1) % servers.len()
+                (index + 1) % servers.len()
             };
-            let place = PoolPlace { side, at };
-            if besides == Some(place) || !servers[at].admits(now, need) {
+            let position = PoolPosition { side, index };
+            if excluded == Some(position) || !servers[index].admits(now, criteria) {
                 continue;
             }
-            let score = servers[at].load.score(now);
-            return Some(ScoredPlace { place, score });
+            let score = servers[index].load.score(now);
+            return Some(ScoredServer { position, score });
         }
         None
     }
 
-    /// Where no server admits the call, the first not tried: it may have
-    /// come back, and refusing unasked would be no better.
-    fn last_resort(&self, need: &ServerCriteria<'_>) -> Option<PoolPlace> {
+    /// Returns the first untried server if none is eligible. It may have
+    /// recovered, and refusing the call without asking it would be no better.
+    fn last_resort(&self, criteria: &ServerCriteria<'_>) -> Option<PoolPosition> {
         for (side, servers) in self.sides.iter().enumerate() {
-            for (at, server) in servers.iter().enumerate() {
+            for (index, server) in servers.iter().enumerate() {
                 let instance = &server.record.instance;
-                if !need.tried.contains(instance) && need.allows(instance) {
-                    return Some(PoolPlace { side, at });
+                if !criteria.tried.contains(instance) && criteria.allows(instance) {
+                    return Some(PoolPosition { side, index });
                 }
             }
         }
         None
     }
 
-    /// A try is over.
-    pub fn end(&mut self, now: Duration, instance: &str, evidence: TryOutcome) {
-        let ejected = self.ejected_if_asked(evidence);
-        let allowed = self.ejected_max();
-        let mut pool = self.outcomes;
+    /// Ends a try and records its outcome.
+    pub fn end(&mut self, now: Duration, instance: &str, outcome: TryOutcome) {
+        let ejected = self.ejected_if_failed(outcome);
+        let ejected_max = self.ejected_max();
+        let mut outcomes = self.outcomes;
         let Some(server) = self.get_mut(instance) else {
             return;
         };
         server.load.end();
-        match evidence {
+        match outcome {
             TryOutcome::Answered(ratio) => {
-                pool.add(now, false);
+                outcomes.add(now, false);
                 server.load.answered(now, ratio);
-                if server.watch.answered(now) {
+                if server.detector.answered(now) {
                     server.load.restart(now);
                 }
             }
             TryOutcome::Failed => {
-                pool.add(now, true);
+                outcomes.add(now, true);
                 server.load.failed(now);
-                let again = server.watch.is_ejected();
-                let room = again || ejected < allowed;
-                if server.watch.failed(now, &pool) && room {
-                    server.watch.eject(now);
+                let already_ejected = server.detector.is_ejected();
+                let may_eject = already_ejected || ejected < ejected_max;
+                if server.detector.failed(now, &outcomes) && may_eject {
+                    server.detector.eject(now);
                 }
             }
-            TryOutcome::Full => server.load.full(now),
-            TryOutcome::Unavailable => server.away_until = now + AWAY_TIME,
+            TryOutcome::Full => server.load.overloaded(now),
+            TryOutcome::Unavailable => server.unavailable_until = now + UNAVAILABLE_TIME,
             TryOutcome::Nothing => {}
         }
-        self.outcomes = pool;
+        self.outcomes = outcomes;
     }
 
-    fn ejected_if_asked(&self, evidence: TryOutcome) -> usize {
-        match evidence {
+    fn ejected_if_failed(&self, outcome: TryOutcome) -> usize {
+        match outcome {
             TryOutcome::Failed => self.ejected(),
             _ => 0,
         }
     }
 
-    /// A third, one of two, and never the only one.
+    /// A third of the servers, but one of two, and never the only one.
     fn ejected_max(&self) -> usize {
         match self.len() {
             0 | 1 => 0,
-            len => (len / EJECTED_PART).max(1),
+            len => (len / EJECTED_DIVISOR).max(1),
         }
     }
 
     fn get_mut(&mut self, instance: &str) -> Option<&mut PooledServer> {
-        let place = self.places.get(instance)?;
-        self.sides[place.side].get_mut(place.at)
+        let position = self.positions.get(instance)?;
+        self.sides[position.side].get_mut(position.index)
     }
 }
 
-fn lighter(
-    first: Option<ScoredPlace>,
-    second: Option<ScoredPlace>,
-) -> Option<ScoredPlace> {
+fn lower_score(
+    first: Option<ScoredServer>,
+    second: Option<ScoredServer>,
+) -> Option<ScoredServer> {
     match (first, second) {
         (Some(one), Some(other)) if other.score < one.score => Some(other),
         (Some(one), _) => Some(one),
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -1,4 +1,4 @@
-//! What one entry node remembers of the load on one service.
+//! What one entry node remembers about the load on one service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use crate::load::server_pool::TryOutcome;
 use crate::load::service_times::ServiceTimes;
 
-/// The throttle is dropped when no server has refused for this long: several
-/// half-lives of its counts.
-const CALM_AFTER: Duration = Duration::from_secs(10);
+/// The throttle is dropped when no server has refused a call for this long,
+/// several half-lives of its counts.
+const THROTTLE_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// Weight of an answer in the usual size: about the last 16.
-const SIZE_PART: f64 = 1.0 / 16.0;
+/// Weight of an answer in the mean size: about the last 16.
+const SIZE_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Routes whose sizes are held at most; a service has tens.
+/// Maximum number of routes whose sizes are held; a service has tens.
 const ROUTES_MAX: usize = 1_024;
 
-/// Retry budget, usual times and, under overload, the customers' throttle.
+/// Retry budget, job times and, under overload, the customer throttle.
 #[derive(Debug, Default)]
 pub struct ServiceLoad {
-    /// Further tries left.
+    /// Retries left.
     pub budget: RetryBudget,
     times: ServiceTimes,
     sizes: HashMap<Arc<str>, f64>,
@@ -40,7 +40,7 @@
 }
 
 impl ServiceLoad {
-    /// Counts a call that came in; false where the throttle refuses it.
+    /// Counts an incoming call; returns false if the throttle refuses it.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -48,7 +48,7 @@
         priority: CallPriority,
         rng: &mut SmallRng,
     ) -> bool {
-        if now > self.refused_at + CALM_AFTER {
+        if now > self.refused_at + THROTTLE_IDLE_TIME {
             self.throttle = None;
         }
         let Some(throttle) = &mut self.throttle else {
@@ -57,15 +57,15 @@
         throttle.admit(now, customer, priority, rng)
     }
 
-    /// A server took a call.
+    /// Counts a call that a server accepted.
     pub fn accepted(&mut self, now: Duration, customer: &str, priority: CallPriority) {
         if let Some(throttle) = &mut self.throttle {
             throttle.accepted(now, customer, priority);
         }
     }
 
-    /// What an answer says of its server: its time beside that of others'
-    /// answers on the route.
+    /// Returns the outcome of a try that was answered, with its time compared
+    /// with that of other answers on the route.
     pub fn outcome(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
         if failed {
             return TryOutcome::Failed;
@@ -75,8 +75,7 @@
         TryOutcome::Answered(ratio)
     }
 
-    /// How long ago the caller of a call that gives it `deadline` began to
-    /// ask.
+    /// Returns how long ago a call that has `deadline` left was first sent.
     pub fn age(
         &mut self,
         now: Duration,
@@ -88,44 +87,45 @@
         known.map_or(least, |asked_at| now.saturating_sub(asked_at))
     }
 
-    /// A call on `route` whose caller began to ask at `asked_at` and has time
-    /// until `until` was refused.
+    /// Records a refused call on `route` that was first sent at `asked_at` and
+    /// whose deadline is `deadline_at`.
     pub fn record_refusal(
         &mut self,
         now: Duration,
         route: &Arc<str>,
         asked_at: Duration,
-        until: Duration,
+        deadline_at: Duration,
     ) {
-        self.returning.refused(now, route, asked_at, until);
+        self.returning.refused(now, route, asked_at, deadline_at);
     }
 
-    /// A call on `route` wants its answer within `target`.
+    /// Sets a prior for job times on `route` from a call's target.
     pub fn add_prior(&mut self, route: &Arc<str>, target: Duration) {
         self.times.add_prior(route, target);
     }
 
-    /// What an answer on `route` takes lately, at whichever server.
+    /// Current mean time of an answer on `route`, over all servers.
     pub fn mean_time(&self, route: &str) -> Duration {
         self.times.mean_time(route)
     }
 
-    /// An answer on `route` had this many bytes.
+    /// Records the size of an answer on `route`.
     pub fn record_size(&mut self, route: &Arc<str>, bytes: u64) {
         if self.sizes.len() >= ROUTES_MAX && !self.sizes.contains_key(route) {
             return;
         }
-        let held = self.sizes.entry(Arc::clone(route));
-        let held = held.or_insert(bytes as f64);
-        *held += (bytes as f64 - *held) * SIZE_PART;
+        let size = self.sizes.entry(Arc::clone(route));
+        let size = size.or_insert(bytes as f64);
+        *size += (bytes as f64 - *size) * SIZE_WEIGHT;
     }
 
-    /// Usual kilobytes of an answer on `route`; zero where not known.
+    /// Mean size of an answer on `route` in kilobytes; zero if unknown.
     pub fn kilobytes(&self, route: &str) -> f64 {
         self.sizes.get(route).map_or(0.0, |bytes| bytes / 1_024.0)
     }
 
-    /// A server's node refused a call for want of room.
+    /// Records that a server's node refused a call for lack of capacity, and
+    /// starts the throttle.
     pub fn refused(&mut self, now: Duration, rng: &mut SmallRng) {
         self.refused_at = now;
         self.throttle
--- a/crates/core/src/load/timely_queue.rs
+++ b/crates/core/src/load/timely_queue.rs
@@ -1,12 +1,13 @@
-//! Calls that wait for one backend server: those whose answer can still come
-//! in time first, those that are late already with what is left over.
+//! Calls that wait for one backend server. Calls that can still meet their
+//! target go first, and late calls use the remaining capacity.
 //!
-//! Load pattern: more calls than the server can answer, each worth most
-//! within a target and little after it. In one queue, oldest first, every
-//! call is started just too late once the queue is as long as the target, and
-//! nothing is in time until the load has gone. Here a call that cannot meet
-//! its target any more steps aside: the others stay in time, and the late are
-//! answered in the gaps.
+//!
+//! Load pattern: more calls than the server can answer, each with full value
+//! only within its target and little after it. In a single queue, oldest first,
+//! every call would start just too late once the queue is as long as the
+//! target, and no call would be in time until the load falls. Here a call that
+//! can no longer meet its target moves to a second queue, so that the others
+//! stay in time and late calls use the gaps.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,95 +17,98 @@
 use crate::load::call_queue::WaitingCall;
 use crate::load::queue_order::QueueOrder;
 
-/// Both queues of one server.
+/// Queues of timely and late calls of one server.
 #[derive(Debug, Default)]
 pub struct TimelyQueue {
     timely: CallQueue,
     late: CallQueue,
-    by_late: BTreeSet<(Duration, CallTicket)>,
+    by_late_at: BTreeSet<(Duration, CallTicket)>,
 }
 
 impl TimelyQueue {
-    /// Calls waiting.
+    /// Number of calls waiting.
     pub fn len(&self) -> usize {
         self.timely.len() + self.late.len()
     }
 
-    /// True where none waits.
+    /// True if no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Calls waiting that can still be in time.
+    /// Number of waiting calls that can still be in time.
     pub fn timely(&self) -> usize {
         self.timely.len()
     }
 
-    /// Adds a call; `in_time` where its turn is expected to come before it
-    /// is late.
+    /// Adds a call; `in_time` if it is expected to start before it is late.
     pub fn push(&mut self, call: WaitingCall, in_time: bool) {
         if !in_time {
             self.late.push(call);
             return;
         }
         if let Some(late_at) = call.late_at {
-            self.by_late.insert((late_at, call.ticket));
+            self.by_late_at.insert((late_at, call.ticket));
         }
         self.timely.push(call);
     }
 
-    /// Takes the call whose turn it is; long ones only where `long_free`, late
-    /// ones only where `late_free`.
+    /// Removes the next call to start; long jobs only if `long_allowed`, late
+    /// calls only if `late_allowed`.
     pub fn pop(
         &mut self,
         now: Duration,
         order: QueueOrder,
-        long_free: bool,
-        late_free: bool,
+        long_allowed: bool,
+        late_allowed: bool,
     ) -> Option<WaitingCall> {
-        self.age(now);
-        if let Some(call) = self.timely.pop(order, long_free) {
-            self.forget(&call);
+        self.demote_late(now);
+        if let Some(call) = self.timely.pop(order, long_allowed) {
+            self.unindex(&call);
             return Some(call);
         }
-        if !late_free {
+        if !late_allowed {
             return None;
         }
-        self.late.pop(order, long_free)
+        self.late.pop(order, long_allowed)
     }
 
-    /// Where more than `room` late calls wait, takes one of them out.
-    pub fn evict_late(&mut self, room: usize, order: QueueOrder) -> Option<WaitingCall> {
-        self.late.evict(room, order)
+    /// If more than `capacity` late calls wait, removes one of them.
+    pub fn evict_late(
+        &mut self,
+        capacity: usize,
+        order: QueueOrder,
+    ) -> Option<WaitingCall> {
+        self.late.evict(capacity, order)
     }
 
-    /// Where more than `room` wait, takes one out, a late one first.
-    pub fn evict(&mut self, room: usize, order: QueueOrder) -> Option<WaitingCall> {
-        if self.len() <= room {
+    /// If more than `capacity` calls wait, removes one, preferring late calls.
+    pub fn evict(&mut self, capacity: usize, order: QueueOrder) -> Option<WaitingCall> {
+        if self.len() <= capacity {
             return None;
         }
         if let Some(call) = self.late.evict(0, order) {
             return Some(call);
         }
-        let call = self.timely.evict(room, order)?;
-        self.forget(&call);
+        let call = self.timely.evict(capacity, order)?;
+        self.unindex(&call);
         Some(call)
     }
 
-    /// Takes out a call whose caller has left.
+    /// Removes a call whose caller has disconnected.
     pub fn remove(&mut self, ticket: CallTicket) {
         if let Some(call) = self.timely.take(ticket) {
-            self.forget(&call);
+            self.unindex(&call);
             return;
         }
         self.late.remove(ticket);
     }
 
-    /// Takes one call that it is of no more use to start.
+    /// Removes one call that has expired, so that starting it is useless.
     pub fn expire(&mut self, now: Duration) -> Option<CallTicket> {
-        self.age(now);
+        self.demote_late(now);
         let expired = self.timely.expire(now).or_else(|| self.late.expire(now))?;
-        self.by_late.retain(|(_, ticket)| *ticket != expired);
+        self.by_late_at.retain(|(_, ticket)| *ticket != expired);
         Some(expired)
     }
 
@@ -118,24 +122,24 @@
         }
     }
 
-    /// Takes one call out, whichever; for a server that leaves.
+    /// Removes any one call; used to empty the queue when its server leaves.
     pub fn take_any(&mut self) -> Option<CallTicket> {
         self.timely.take_any().or_else(|| self.late.take_any())
     }
 
-    fn forget(&mut self, call: &WaitingCall) {
+    fn unindex(&mut self, call: &WaitingCall) {
         if let Some(late_at) = call.late_at {
-            self.by_late.remove(&(late_at, call.ticket));
+            self.by_late_at.remove(&(late_at, call.ticket));
         }
     }
 
-    /// Lets those step aside that cannot be in time any more.
-    fn age(&mut self, now: Duration) {
-        while let Some((late_at, ticket)) = self.by_late.first().copied() {
+    /// Moves calls that can no longer be in time to the late queue.
+    fn demote_late(&mut self, now: Duration) {
+        while let Some((late_at, ticket)) = self.by_late_at.first().copied() {
             if late_at > now {
                 return;
             }
-            self.by_late.remove(&(late_at, ticket));
+            self.by_late_at.remove(&(late_at, ticket));
             if let Some(call) = self.timely.take(ticket) {
                 self.late.push(call);
             }
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -59,7 +59,7 @@
     pool
 }
 
-fn need(tried: &[Arc<str>]) -> ServerCriteria<'_> {
+fn criteria(tried: &[Arc<str>]) -> ServerCriteria<'_> {
     ServerCriteria {
         allowed: None,
         search: SlotSearch::ByScore,
@@ -76,7 +76,7 @@
         let mut pool = pool(servers);
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut tried: Vec<Arc<str>> = Vec::new();
-        while let Some(server) = pool.choose(WARM, &need(&tried), &mut rng) {
+        while let Some(server) = pool.choose(WARM, &criteria(&tried), &mut rng) {
             prop_assert!(!tried.contains(&server.instance));
             pool.end(WARM, &server.instance, TryOutcome::Full);
             tried.push(server.instance);
@@ -96,14 +96,14 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         for step in 0..400 {
             let now = WARM + millis(step * 20);
-            let server = pool.choose(now, &need(&[]), &mut rng);
+            let server = pool.choose(now, &criteria(&[]), &mut rng);
             let server = server.expect("some server takes the call");
             let number: usize = server.instance["server-".len()..].parse().unwrap();
-            let evidence = match failing[number] {
+            let outcome = match failing[number] {
                 true => TryOutcome::Failed,
                 false => TryOutcome::Answered(1.0),
             };
-            pool.end(now, &server.instance, evidence);
+            pool.end(now, &server.instance, outcome);
             let cap = if servers == 1 { 0 } else { (servers / 3).max(1) };
             prop_assert!(pool.ejected() <= cap);
         }
@@ -133,7 +133,7 @@
             let mut found: Vec<Arc<str>> = Vec::new();
             let mut rng = SmallRng::seed_from_u64(1);
             while let Some(pool) = servers.pool("contract", version) {
-                let Some(server) = pool.choose(WARM, &need(&found), &mut rng) else {
+                let Some(server) = pool.choose(WARM, &criteria(&found), &mut rng) else {
                     break;
                 };
                 found.push(server.instance);
@@ -226,7 +226,7 @@
         allowed: None,
         search: SlotSearch::ByScore,
         idempotent: false,
-        ..need(&[])
+        ..criteria(&[])
     };
     for _ in 0..50 {
         let server = pool.choose(back, &acceptance, &mut rng);
@@ -234,7 +234,7 @@
         assert_ne!(server.instance, broken);
         pool.end(back, &server.instance, TryOutcome::Nothing);
     }
-    let trial = pool.choose(back, &need(&others), &mut rng);
+    let trial = pool.choose(back, &criteria(&others), &mut rng);
     assert_eq!(
         trial.map(|server| server.instance),
         Some(Arc::clone(&broken))
