--- a/crates/core/benches/load_decisions.rs
+++ b/crates/core/benches/load_decisions.rs
@@ -1,5 +1,5 @@
-//! Processor time of each decision under load, and the memory it holds, at
-//! three sizes each so that slopes can be read.
+//! CPU time of each load decision and the memory it holds, at three or more
+//! sizes each to show how they grow.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -35,12 +35,12 @@
 use cowslip_core::server_gate::SlotOutcome;
 use cowslip_core::version::ConfigVersion;
 
-/// Counts the bytes that are held.
+/// Counts the bytes currently allocated.
 struct CountingAllocator;
 
 static HELD: AtomicIsize = AtomicIsize::new(0);
 
-// SAFETY: both pass on to the system's allocator unchanged.
+// SAFETY: both methods forward to the system allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
@@ -100,7 +100,7 @@
     router
 }
 
-/// A call's whole way through the entry node's decisions.
+/// Runs one call through all decisions of the entry node.
 fn entry_call(router: &mut EntryRouter, now: Duration) {
     let head = CallHead {
         host: "",
@@ -190,8 +190,8 @@
     }
 }
 
-/// Ten calls run and the room is full: each round one ends, the next starts,
-/// one comes and one is evicted.
+/// Ten calls run and the queue is full. In each round one call ends, the next
+/// starts, a new one arrives and one is evicted.
 fn gate_times() {
     for room in [16, 64, 256, 1_024] {
         let names = names(10_000);
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,7 +1,6 @@
 //! Overload control and load balancing: which calls are served, which wait,
 //! which are refused, and which server gets each call.
 //!
-//!
 //! Each module states the load pattern it handles, what happens without it and
 //! the reasons for its constants. [`crate::server_gate`] combines the modules
 //! used by a backend server's own node, [`crate::entry_router`] those used by
--- a/crates/core/src/load/answer_value.rs
+++ b/crates/core/src/load/answer_value.rs
@@ -1,6 +1,5 @@
 //! Expected loss of an answer's value at a server.
 //!
-//!
 //! Load patterns: servers of unequal speed, one or two in each failure domain,
 //! and traffic between domains that has a cost. Always taking the fastest
 //! answer sends most calls across domains to save a few milliseconds that
--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -1,12 +1,10 @@
 //! The bounded queue in front of one backend server.
 //!
-//!
 //! Load patterns: bursts (calls wait briefly for a slot instead of being
 //! refused), priorities (an urgent call does not wait behind less urgent ones),
 //! long jobs among short ones, and overload (the queue is bounded, and a call
 //! that cannot be served is refused at once).
 //!
-//!
 //! Calls wait in lanes, one for each combination of priority and job length.
 //! Lanes take turns by [`FairTags`], weighted by priority, so that an urgent
 //! call goes next in nearly every turn and yet no lane starves. A lane of long
--- a/crates/core/src/load/caller_ages.rs
+++ b/crates/core/src/load/caller_ages.rs
@@ -1,6 +1,5 @@
 //! Estimates how long ago the caller of a call first sent it.
 //!
-//!
 //! Load pattern: a fleet recovers after a second without service, and all calls
 //! refused in the meantime are retried along with the new ones. The answers to
 //! the retried calls are late in any case. If they were treated as new, they
@@ -9,7 +8,6 @@
 //! calls of a route and send the time that is left, so a call with much less
 //! time left has been tried before.
 //!
-//!
 //! Only a lower bound of the age is used, because callers' deadlines differ by
 //! up to 15 %. With a single assumed deadline, the shortest deadlines of new
 //! calls looked like calls that had used up their whole target (600 ms of 4 s).
--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -1,18 +1,15 @@
 //! Limits how many requests a backend server gets at once.
 //!
-//!
 //! Load pattern: a server announced more slots than it can use, or has slowed
 //! down. If only the announced slots counted, it would still get its full
 //! share, every job in it would slow the others, and calls would time out in
 //! the server instead of being refused while they could still go elsewhere.
 //!
-//!
 //! The limit never exceeds the announced slots. It decreases by a factor when
 //! the server sheds load or when jobs take more than twice their baseline time,
 //! which is learned under light load. It increases by one while jobs are near
 //! the baseline and the limit is fully used.
 //!
-//!
 //! Jobs may also take longer because they are larger while the server is as
 //! fast as before. A lower limit then only makes callers wait. Decreases are
 //! therefore on trial: if three in a row, to about half the limit, have not
--- a/crates/core/src/load/customer_lane.rs
+++ b/crates/core/src/load/customer_lane.rs
@@ -1,6 +1,5 @@
 //! Calls that wait in one lane, shared fairly among customers.
 //!
-//!
 //! Load pattern: many small customers and one hot customer. Each customer has
 //! its own short queue; turns follow [`FairTags`], and when the queue is over
 //! capacity the customer with the most calls waiting loses one of its own.
--- a/crates/core/src/load/customer_throttle.rs
+++ b/crates/core/src/load/customer_throttle.rs
@@ -1,6 +1,5 @@
 //! Adaptive throttling of customers at the entry node.
 //!
-//!
 //! Load pattern: one customer sends many times its share through many entry
 //! nodes. The servers' gates share capacity fairly, but each refusal there
 //! costs a hop and, with retries, several. Every answer shows this node what
@@ -10,7 +9,6 @@
 //! holds across all entry nodes without extra messages. The servers still
 //! receive more than they accept, so that they decide and not this estimate.
 //!
-//!
 //! Counts are kept in a sketch of fixed size with two rows of cells selected by
 //! hash; the cell with the lower refusal probability counts. Memory does not
 //! depend on the number of customers, and a small customer is affected by hot
--- a/crates/core/src/load/deadline_budget.rs
+++ b/crates/core/src/load/deadline_budget.rs
@@ -1,6 +1,5 @@
 //! How much of a call's remaining time is passed on to the next hop.
 //!
-//!
 //! Load pattern: deep chains of calls. If each hop passed on all of its time,
 //! the innermost answer would arrive at the last moment, after every outer hop
 //! has timed out. The work would be wasted, and the caller would get "may have
--- a/crates/core/src/load/late_call_limit.rs
+++ b/crates/core/src/load/late_call_limit.rs
@@ -1,6 +1,5 @@
 //! Limits how much of a server goes to calls that are already late.
 //!
-//!
 //! Load pattern: a server cannot answer all its calls in time, because of a
 //! burst, because other servers were lost, or because it is cold and takes
 //! nearly as long as the target. If late calls may take every free slot, they
@@ -10,7 +9,6 @@
 //! free slot and are refused at their deadline would have done better to try
 //! elsewhere at once.
 //!
-//!
 //! Late calls therefore leave part of the slots free for new calls, and only a
 //! few of them may wait; the others are told to come back later.
 
--- a/crates/core/src/load/outlier_detector.rs
+++ b/crates/core/src/load/outlier_detector.rs
@@ -1,6 +1,5 @@
 //! Outlier detection: whether failures are a server's own fault.
 //!
-//!
 //! Load pattern: one server of a service fails, often quickly, and keeps
 //! getting its share of calls, or more because it looks idle. It is ejected
 //! once there is enough evidence, for a time that doubles with each relapse,
--- a/crates/core/src/load/queue_order.rs
+++ b/crates/core/src/load/queue_order.rs
@@ -1,13 +1,11 @@
 //! Which of a customer's waiting calls is started first, and how many may wait
 //! while a standing queue persists.
 //!
-//!
 //! Load patterns: a burst, in which every call can still be served in time if
 //! it may wait, and overload, in which a long queue only makes each call wait
 //! before it is served or refused. A burst may therefore use the whole queue,
 //! but a standing queue only a small part of it.
 //!
-//!
 //! The oldest call goes first. In a queue kept short this answers at least as
 //! many calls in time as newest first, and it refuses sooner
 //! (docs/design/load.md).
--- a/crates/core/src/load/repeat_share.rs
+++ b/crates/core/src/load/repeat_share.rs
@@ -1,12 +1,10 @@
 //! How likely a call repeats work that a service was asked for before.
 //!
-//!
 //! Load pattern: one server of a service fails half of its calls. Each is
 //! retried elsewhere, and each retry calls the next service again. There these
 //! calls look like first tries and earn retries of their own, so the next
 //! service gets more repeats than the fleet allows.
 //!
-//!
 //! A retry is therefore marked for the server's node, and calls that the server
 //! makes meanwhile are charged to the retry budget of the service they go to.
 //! The node cannot tell which running request made a call, so it uses the share
--- a/crates/core/src/load/retry_advice.rs
+++ b/crates/core/src/load/retry_advice.rs
@@ -1,12 +1,10 @@
 //! When a refused caller is told to retry.
 //!
-//!
 //! Load pattern: a burst is refused, and all its callers retry at the same
 //! moment as the next burst arrives. Without a retry time they retry at once,
 //! and the overload sustains itself. The time is random within a span, so that
 //! the retries are spread out. The refusal itself is always sent at once.
 //!
-//!
 //! A span of seconds is useless to a caller with a deadline of one second: it
 //! would retry too late or not at all. If the caller sends its remaining time,
 //! the span is a part of that.
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -1,12 +1,10 @@
 //! How many retries one entry node may spend on one service.
 //!
-//!
 //! Load pattern: a service is full or down, and every call is tried up to its
 //! limit, so that the load triples when the service can bear it least and stays
 //! high after the cause is gone. Each first try earns a fraction of a retry,
 //! and a retry costs one. A minimum rate lets rare calls be retried as well.
 //!
-//!
 //! Only one layer retries: a call that a backend server makes is retried only
 //! if nothing has run, and the outer call gets the backend server's own answer,
 //! which is never retried. Tries therefore do not multiply along a chain of
@@ -44,7 +42,6 @@
     /// for a hundred first tries and `burst` more at once; a `burst` of 0 sets
     /// no limit for the fleet.
     ///
-    ///
     /// Guards against every node saving up the burst meant for all: after a
     /// calm minute, 70 nodes together would send ten times the burst at once.
     pub fn of(percent: u64, burst: u64, nodes: usize) -> Self {
@@ -94,7 +91,6 @@
 
     /// Spends one retry; returns false if none is left.
     ///
-    ///
     /// A node that can save only a fraction of a retry spends it for a whole
     /// retry with that probability. With many such nodes, rounding up would
     /// exceed the fleet's limit together, and rounding down would allow no
--- a/crates/core/src/load/returning_callers.rs
+++ b/crates/core/src/load/returning_callers.rs
@@ -1,6 +1,5 @@
 //! Recognizes calls that were refused here and are tried again.
 //!
-//!
 //! Load pattern: a service is short of servers for longer than its callers
 //! wait. Refused callers retry, and their answers are late in any case. If
 //! these calls were treated as new, they would wait in front of calls that can
--- a/crates/core/src/load/server_load.rs
+++ b/crates/core/src/load/server_load.rs
@@ -1,6 +1,5 @@
 //! What one entry node knows about a server's load.
 //!
-//!
 //! Load patterns: a slow server among fast ones (its outstanding work must
 //! weigh more), and a server that fails or refuses quickly (it looks idle, so
 //! failures count as slow answers). The score uses only this node's own
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -1,6 +1,5 @@
 //! Selects a server for a call among the servers of one service and version.
 //!
-//!
 //! Load pattern: many entry nodes choose among the same servers with stale load
 //! data. If each picks the least loaded server, all pick the same one at once;
 //! a random choice leaves some servers with about twice the load of others.
@@ -8,13 +7,11 @@
 //! the maximum load near the mean without messages between entry nodes. No key
 //! is bound to a server, so a hot key spreads like any other load.
 //!
-//!
 //! Servers in the entry node's own failure domain are preferred, since every
 //! other hop costs 1.5 ms. Servers in other failure domains are considered once
 //! the near ones are loaded. The choice does not widen with the time a call has
 //! waited, because calls wait at the servers.
 //!
-//!
 //! The cost of a choice does not depend on the number of servers, be it three
 //! or hundreds.
 
@@ -77,7 +74,6 @@
 
 /// How a server with a slot is searched for.
 ///
-///
 /// Load pattern: at 70 % of capacity, with servers of unequal speed and about
 /// twenty entry nodes that each know only their own calls, a call that waits at
 /// the server it was first sent to waits behind others while slots are free
@@ -243,7 +239,6 @@
     /// Returns the first servers by name, as many as `share_per_mille` of the
     /// traffic of the whole pool needs, at least one.
     ///
-    ///
     /// Load pattern: a new version that fails only under load is tried with a
     /// small traffic share. Spread over all of its servers, the share loads
     /// none of them, and the fault shows only when nearly all calls go there:
--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -1,6 +1,5 @@
 //! Job times at one backend server, by route.
 //!
-//!
 //! Load patterns: deadlines too short to be met, long jobs among short ones,
 //! and a server that slows down. The estimates tell which work cannot end in
 //! time (it is refused before it takes a slot), which routes have long jobs,
@@ -94,7 +93,6 @@
 impl ServiceTimes {
     /// Sets a prior for `route` from a call whose target is `target_left` away.
     ///
-    ///
     /// Guards against a node that starts while its server has a second of work
     /// queued. With no job times known, a full queue would look empty, and all
     /// entry nodes would send their calls there.
@@ -220,7 +218,6 @@
     /// Whether jobs on `route` are long compared with those of another route
     /// that is called often enough.
     ///
-    ///
     /// Guards against a route that is called a few times a minute and answers
     /// at once. Compared with it every other job is long, and slots reserved
     /// for it (three of nine, in one case) stay free while calls wait.
--- a/crates/core/src/load/slow_start.rs
+++ b/crates/core/src/load/slow_start.rs
@@ -1,6 +1,5 @@
 //! How much of its slots a server gets after it starts or returns.
 //!
-//!
 //! Load pattern: a server starts or returns, has no outstanding work, and looks
 //! better than all others to every entry node at once. All send it calls, it is
 //! cold, and its first calls time out. The usable share of its slots therefore
@@ -8,8 +7,9 @@
 
 use std::time::Duration;
 
-/// Time until all slots are used. Cold servers are slow for their first ten
-/// requests; at a tenth of the usual load those take a small part of this time.
+/// Time until all slots are used. Cold stand-in servers are slow for their
+/// first ten requests; at a tenth of the usual load those take a small part of
+/// this time.
 const RAMP_TIME: Duration = Duration::from_secs(10);
 
 /// Initial share: one slot in ten, so that there are some answers to judge the
--- a/crates/core/src/load/startup_wait.rs
+++ b/crates/core/src/load/startup_wait.rs
@@ -1,6 +1,5 @@
 //! Which calls wait while a newly started node gets its first configuration.
 //!
-//!
 //! Load pattern: all processes of a fleet are lost at once and restart. A node
 //! accepts calls a few tenths of a second before a control instance can send it
 //! the configuration. If those calls were refused at once, all their callers
@@ -8,7 +7,6 @@
 //! moment: all of their answers would be late, and the servers would be idle
 //! first and overloaded afterwards. A short wait serves most of them in time.
 //!
-//!
 //! The wait is bounded: it applies only right after the start of a process, for
 //! a part of the caller's deadline, and to a limited number of calls. A node
 //! that still has no configuration refuses at once and says when to retry.
--- a/crates/core/tests/caller_ages.rs
+++ b/crates/core/tests/caller_ages.rs
@@ -1,4 +1,4 @@
-//! What a caller's remaining time tells of how long it has asked.
+//! Tests of estimating a call's age from its remaining time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,15 @@
     Duration::from_millis(millis)
 }
 
-// After a second without service callers come back with what is left of
-// their time, among new ones that give all of it.
+// After a second without service, retried calls arrive with what is left of
+// their deadline, among new calls with all of it.
 #[test]
-fn less_time_than_usual_means_asked_before() {
+fn a_shorter_remaining_time_means_a_retry() {
     let mut ages = CallerAges::default();
     let route: Arc<str> = "/sheets".into();
     assert_eq!(ages.age(millis(0), &route, millis(2_000)), millis(0));
-    // Its own time was 1,700 to 2,000 ms: it has asked for 800 ms at least.
+    // Its own deadline was 1,700 to 2,000 ms, so it was first sent at least 800
+    // ms ago.
     let asked = ages.age(millis(10), &route, millis(900));
     assert!((millis(700)..=millis(800)).contains(&asked), "{asked:?}");
     assert_eq!(ages.age(millis(20), &route, millis(2_000)), millis(0));
@@ -26,10 +27,10 @@
     assert_eq!(ages.age(millis(20), &other, millis(900)), millis(0));
 }
 
-// Callers are set to give less time. For a while all of them look as if they
-// had asked before; that must end by itself.
+// Callers are configured with a shorter deadline. All of them look like retries
+// at first, which must end without intervention.
 #[test]
-fn a_shorter_time_becomes_the_usual_one() {
+fn a_shorter_deadline_becomes_the_longest_one() {
     let mut ages = CallerAges::default();
     let route: Arc<str> = "/sheets".into();
     ages.age(millis(0), &route, millis(2_000));
@@ -38,11 +39,11 @@
 }
 
 proptest! {
-    // Growers give their lookups about four seconds, each a little less or more.
-    // Were the difference taken for time that they have asked, new calls would
-    // count as late from the start and wait behind all others.
+    // Callers set deadlines of about four seconds, each slightly different. If
+    // the difference were taken for age, new calls would count as late from the
+    // start and wait behind all others.
     #[test]
-    fn new_calls_are_no_older_than_they_are(
+    fn calls_are_never_estimated_too_old(
         callers in prop::collection::vec((0.85..=1.0_f64, 0..3_000_u64), 1..200),
     ) {
         let mut ages = CallerAges::default();
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -1,4 +1,4 @@
-//! The entry node's choice of server, ejection, retries and throttle.
+//! Tests of an entry node's server selection, ejection, retries and throttling.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -69,8 +69,8 @@
 }
 
 proptest! {
-    // A call that failed at a server never goes there again, and it finds
-    // every other server before it is refused.
+    // A call is never sent again to a server that failed it, and every other
+    // server is tried before the call is refused.
     #[test]
     fn no_server_is_tried_twice(servers in 1..12_usize, seed in any::<u64>()) {
         let mut pool = pool(servers);
@@ -84,7 +84,7 @@
         prop_assert_eq!(tried.len(), servers);
     }
 
-    // Whatever servers do, no more than a third are ejected, and one of two;
+    // Whatever the servers do, at most a third are ejected, one of two, and
     // never the only one. Calls always find a server.
     #[test]
     fn ejection_is_capped(
@@ -97,7 +97,7 @@
         for step in 0..400 {
             let now = WARM + millis(step * 20);
             let server = pool.choose(now, &criteria(&[]), &mut rng);
-            let server = server.expect("some server takes the call");
+            let server = server.expect("some server accepts the call");
             let number: usize = server.instance["server-".len()..].parse().unwrap();
             let outcome = match failing[number] {
                 true => TryOutcome::Failed,
@@ -109,22 +109,22 @@
         }
     }
 
-    // After any records the pools hold just the serving instances, each in
-    // the pool of its last version.
+    // After any sequence of records, the pools hold exactly the serving
+    // instances, each in the pool of its latest version.
     #[test]
-    fn pools_follow_the_directory(
+    fn pools_match_the_directory(
         arrived in prop::collection::vec((0..5_usize, 1..9_u64), 0..60),
     ) {
         let mut servers = FleetServers::default();
-        let mut naive: BTreeMap<usize, EndpointRecord> = BTreeMap::new();
+        let mut latest: BTreeMap<usize, EndpointRecord> = BTreeMap::new();
         for (number, sequence) in arrived {
             let record = record(number, sequence);
             servers.put(WARM, record.clone(), number % 2 == 0);
-            naive.insert(number, record);
+            latest.insert(number, record);
         }
         for version in ["v0", "v1"] {
             let mut expected = BTreeSet::new();
-            for record in naive.values() {
+            for record in latest.values() {
                 let serving = record.standing == EndpointStanding::Serving;
                 if serving && &*record.version == version {
                     expected.insert(Arc::clone(&record.instance));
@@ -143,33 +143,33 @@
         }
     }
 
-    // Retries are at most the saved ones, the floor over time, and the
-    // stated share of first tries, whatever the order.
+    // Retries never exceed the initial balance, the minimum rate over time and
+    // the configured share of first tries, in whatever order they occur.
     #[test]
-    fn retries_keep_to_the_budget(
+    fn retries_stay_within_the_budget(
         steps in prop::collection::vec((any::<bool>(), 0..100_u64), 0..500),
         percent in 0..=100_u64,
     ) {
         let mut budget = RetryBudget::default();
         let mut rng = SmallRng::seed_from_u64(1);
-        let (mut first, mut again, mut now) = (0_u64, 0_u64, Duration::ZERO);
+        let (mut first, mut retried, mut now) = (0_u64, 0_u64, Duration::ZERO);
         for (earn, wait) in steps {
             now += millis(wait);
             if earn {
                 first += 1;
                 budget.earn(now, BudgetConfig::of(percent, 0, 1));
             } else if budget.spend(&mut rng) {
-                again += 1;
+                retried += 1;
             }
         }
         let allowed = 10.0 + now.as_secs_f64() * 0.5 + first as f64 * percent as f64 / 100.0;
-        prop_assert!(again as f64 <= allowed + 1e-6);
+        prop_assert!(retried as f64 <= allowed + 1e-6);
     }
 
-    // Over the deepest chain planned for, each hop has less than the one
-    // before it and the innermost still has two fifths.
+    // Along the deepest chain planned for, each hop gets less time than the one
+    // before it, and the innermost still gets two fifths.
     #[test]
-    fn time_shrinks_over_each_hop(whole in 100..600_000_u64) {
+    fn remaining_time_decreases_with_each_hop(whole in 100..600_000_u64) {
         let mut left = millis(whole);
         for _ in 0..28 {
             let next = deadline_budget::for_next_hop(left);
@@ -179,9 +179,9 @@
         prop_assert!(left >= millis(whole * 2 / 5));
     }
 
-    // Keys with work to do get work in proportion to their weights.
+    // Backlogged keys receive work in proportion to their weights.
     #[test]
-    fn work_follows_weights(weights in prop::collection::vec(1..20_u64, 2..6)) {
+    fn work_is_proportional_to_weights(weights in prop::collection::vec(1..20_u64, 2..6)) {
         let mut tags = FairTags::default();
         let mut turns = vec![0_u64; weights.len()];
         let rounds = 100 * weights.iter().sum::<u64>();
@@ -197,7 +197,7 @@
         }
     }
 
-    // Customers come and go without end; what is held does not grow.
+    // Memory does not grow with the number of customers that come and go.
     #[test]
     fn tags_of_many_customers_are_bounded(count in 1..20_000_u32) {
         let mut tags = FairTags::default();
@@ -208,10 +208,11 @@
     }
 }
 
-// A server that broke is ejected. Once its time is up, one idempotent call
-// at a time tries it; a buyer's contract acceptance does not.
+// A failing server is ejected. After its ejection time one idempotent call at a
+// time tries it; a buyer's contract acceptance, which is not idempotent, does
+// not.
 #[test]
-fn an_ejected_server_comes_back_by_trial() {
+fn an_ejected_server_returns_after_a_successful_trial() {
     let mut pool = pool(3);
     let mut rng = SmallRng::seed_from_u64(1);
     let broken: Arc<str> = "server-1".into();
@@ -230,7 +231,7 @@
     };
     for _ in 0..50 {
         let server = pool.choose(back, &acceptance, &mut rng);
-        let server = server.expect("two servers are well");
+        let server = server.expect("two servers are healthy");
         assert_ne!(server.instance, broken);
         pool.end(back, &server.instance, TryOutcome::Nothing);
     }
@@ -243,18 +244,19 @@
     assert_eq!(pool.ejected(), 0);
 }
 
-// One customer sends 500 calls a second where 20 are taken; a hundred others
-// send four and all are taken. Only the hot one is refused at the entry.
+// One customer sends 500 calls a second of which 20 are accepted; a hundred
+// others send four each, all accepted. Only the hot customer is refused at the
+// entry node.
 #[test]
-fn the_throttle_finds_the_hot_customer() {
+fn the_throttle_refuses_only_the_hot_customer() {
     let mut throttle = CustomerThrottle::new(3);
     let mut rng = SmallRng::seed_from_u64(3);
     let priority = CallPriority::Normal;
-    let (mut hot_passed, mut small_refused) = (0, 0);
+    let (mut hot_forwarded, mut small_refused) = (0, 0);
     for step in 0..5_000_u64 {
         let now = millis(step * 2);
         if throttle.admit(now, "hot", priority, &mut rng) {
-            hot_passed += 1;
+            hot_forwarded += 1;
         }
         if step % 25 == 0 {
             throttle.accepted(now, "hot", priority);
@@ -266,34 +268,37 @@
         }
     }
     assert_eq!(small_refused, 0);
-    assert!((400..900).contains(&hot_passed), "{hot_passed} went on");
+    assert!(
+        (400..900).contains(&hot_forwarded),
+        "{hot_forwarded} were forwarded"
+    );
 }
 
-// A status of 503 or 429 says "later". Without a time callers choose "now",
-// and a refused load comes back whole at once.
+// A status of 429 or 503 asks the caller to retry later. Without a retry time
+// callers retry at once, and all of the refused load returns together.
 #[test]
-fn whoever_is_told_later_is_told_when() {
+fn retry_later_statuses_have_a_retry_time() {
     let mut rng = SmallRng::seed_from_u64(1);
     for reason in RefusalReason::ALL {
         if !matches!(reason.status(), 429 | 503) {
             continue;
         }
         let after = retry_advice::retry_after(*reason, CallerTime::default(), &mut rng);
-        assert!(after.is_some(), "{reason} gives no time");
+        assert!(after.is_some(), "{reason} has no retry time");
     }
 }
 
-// Hundreds of callers are refused in one moment. Told the same second, they
-// would be the next burst.
+// Guards against refusing hundreds of callers with the same retry time, which
+// would make them the next burst.
 #[test]
-fn refused_callers_come_back_spread_out() {
+fn retry_times_are_spread_out() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..1_000 {
         let full = RefusalReason::QueueFull;
         let after = retry_advice::retry_after(full, CallerTime::default(), &mut rng);
         *seconds
-            .entry(after.expect("worth it").as_secs())
+            .entry(after.expect("a retry time is given").as_secs())
             .or_default() += 1;
     }
     assert!(seconds.len() >= 4);
@@ -308,11 +313,11 @@
     );
 }
 
-// A clerk's call is over in a second. Told to come back after one to five, it
-// returns when nobody waits for its answer any more; and callers who do not say
-// how long they wait are told as before.
+// A caller whose deadline is one second away would retry too late if it were
+// told to wait one to five seconds. The delay is a part of the caller's
+// remaining time.
 #[test]
-fn a_caller_is_told_a_time_that_it_has() {
+fn retry_time_is_within_the_remaining_time() {
     let mut rng = SmallRng::seed_from_u64(1);
     for left in [millis(200), millis(1_000), millis(4_000)] {
         let caller = CallerTime {
@@ -323,18 +328,18 @@
         for _ in 0..200 {
             let full = RefusalReason::QueueFull;
             let after = retry_advice::retry_after(full, caller, &mut rng);
-            longest = longest.max(after.expect("worth it"));
+            longest = longest.max(after.expect("a retry time is given"));
         }
         assert!(longest <= left / 3, "{longest:?} of {left:?}");
-        assert!(longest >= left / 8, "all come back within {longest:?}");
+        assert!(longest >= left / 8, "all retry within {longest:?}");
     }
 }
 
-// All servers of a service turn half of the calls away, with slots free. Each
-// of a caller's tries is taken with even chances, so that the next one soon is
-// better than one when its answer is late.
+// All servers of a service shed half of the calls although slots are free. Each
+// try of a call is then accepted with even probability, so an early retry is
+// better than one when the answer would be late.
 #[test]
-fn whoever_was_turned_away_at_random_comes_back_soon() {
+fn shed_calls_are_retried_soon() {
     let mut rng = SmallRng::seed_from_u64(1);
     let caller = CallerTime {
         left: Some(millis(4_000)),
@@ -347,10 +352,10 @@
     }
 }
 
-// Seventy nodes are allowed 40 retries at once between them. Each saving up
-// ten of its own, they would send 700 after the loss of one server.
+// Guards against each node saving up retries of its own: with ten each, seventy
+// nodes would send 700 after the loss of one server where the fleet allows 40.
 #[test]
-fn nodes_share_the_retries_that_the_fleet_allows() {
+fn nodes_share_the_retry_burst_of_the_fleet() {
     let nodes = 20;
     let mut spent = 0;
     let mut rng = SmallRng::seed_from_u64(1);
@@ -367,11 +372,11 @@
     assert!((20..=40).contains(&spent), "{spent}");
 }
 
-// A call whose first try may have run is refused in the second one. A status
-// that promises "not run" would make its caller send it again, and a status
-// that promises nothing would keep one from coming back that has not run.
+// A call whose first try may have run is refused on its second. A status that
+// means "not run" would make the caller send it again, and a status that means
+// nothing would keep a caller from retrying a call that has not run.
 #[test]
-fn statuses_promise_what_is_true() {
+fn statuses_match_the_verdict() {
     for reason in RefusalReason::ALL {
         for verdict in [CallVerdict::MayHaveRun, CallVerdict::Ran] {
             let status = reason.status_for(verdict);
--- a/crates/core/tests/retry_sum.rs
+++ b/crates/core/tests/retry_sum.rs
@@ -1,4 +1,4 @@
-//! Repeats that a service gets from all nodes together.
+//! Tests of the repeats that a service gets from all nodes together.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
 const PERCENT: u64 = 15;
 const BURST: u64 = 42;
 
-/// Calls a second of the outer service, and seconds that are played: one
-/// window of the sum.
+/// Calls per second of the outer service, and simulated seconds: one window of
+/// the sum.
 const PER_SECOND: u64 = 140;
 const SECONDS: u64 = 10;
 
@@ -105,7 +105,8 @@
     repeats: u64,
 }
 
-/// One call and all its tries; `ends` says whether a try fails, and how.
+/// Runs one call with all its tries; `ends` returns how a try fails, if it
+/// does.
 fn run_call(
     router: &mut EntryRouter,
     now: Duration,
@@ -143,8 +144,8 @@
     }
 }
 
-/// Repeats at the inner service and its calls, where 7 of 20 runs of the outer
-/// one fail after they have called it, and a third of its own tries are shed.
+/// Repeats and calls at the inner service, if 7 of 20 runs of the outer service
+/// fail after calling it and a third of the inner service's own tries are shed.
 fn inner_repeats(nodes: usize) -> ServiceCounts {
     let mut rng = SmallRng::seed_from_u64(nodes as u64);
     let mut routers: Vec<EntryRouter> = Vec::new();
@@ -195,11 +196,11 @@
 }
 
 // A server of the contract service fails a third of its calls, and one of the
-// records service sheds. Each repeated contract call asks the records service
-// anew, its retries come on top, and together they exceed what the fleet
-// allows for it.
+// records service sheds load. Each retried contract call repeats its call to
+// the records service, where further retries are added. Without a common budget
+// the sum exceeds what the fleet allows for the records service.
 #[test]
-fn repeats_of_an_outer_call_count_at_the_service_it_calls() {
+fn repeats_of_an_outer_call_count_at_the_inner_service() {
     for nodes in [6, 9, 60, 300] {
         let inner = inner_repeats(nodes);
         let allowed = inner.calls * 20 / 100 + 56;
@@ -212,11 +213,11 @@
     }
 }
 
-// A fleet of 300 starts and a server is lost. If each node held a whole retry
-// at least, 300 would go out where 40 are allowed; if it held none, no call
-// could be tried again.
+// A fleet of 300 nodes starts and a server is lost. If each node held at least
+// one whole retry, 300 would be sent where 40 are allowed; if it held none, no
+// call could be retried.
 #[test]
-fn starting_nodes_hold_no_more_than_the_sum() {
+fn starting_nodes_stay_within_the_fleet_burst() {
     for nodes in [1, 6, 60, 300, 1_000] {
         let mut rng = SmallRng::seed_from_u64(nodes as u64);
         let terms = BudgetConfig::of(0, 40, nodes);
--- a/crates/core/tests/returning_callers.rs
+++ b/crates/core/tests/returning_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that were refused and come again, told from new ones.
+//! Tests of telling retries of refused calls from new calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,11 +77,12 @@
     }
 }
 
-// A service is short of servers, and a lookup is refused. Its caller comes back
-// 400 ms later, with a time that a new caller may give as well. Taken for new it
-// waits for a slot in front of calls that can still be in time.
+// A service is short of servers and refuses a lookup. Its caller retries 400 ms
+// later with a remaining time that a new call could have as well. If the retry
+// were treated as new, it would wait for a slot in front of calls that can
+// still be in time.
 #[test]
-fn a_refused_caller_that_returns_keeps_its_age() {
+fn a_retry_of_a_refused_call_keeps_its_age() {
     let mut router = router();
     let now = millis(20_000);
     let mut plan = router.plan(now, &head(2_500)).expect("a plan");
@@ -95,14 +96,14 @@
     let later = now + millis(400);
     let returned = router.plan(later, &head(2_101)).expect("a plan");
     assert_eq!(returned.target_at, Some(now + TARGET));
-    // Another caller with nearly the same time is new.
+    // Another call with nearly the same remaining time is new.
     let fresh = router.plan(later, &head(2_150)).expect("a plan");
     assert_eq!(fresh.target_at, Some(later + TARGET));
 }
 
-// Its second refusal does not make it younger either.
+// A second refusal does not reset the age of a call either.
 #[test]
-fn a_caller_that_is_refused_twice_is_known_still() {
+fn a_call_refused_twice_is_still_recognized() {
     let mut callers = ReturningCallers::default();
     let route: Arc<str> = "/quota".into();
     callers.refused(millis(0), &route, millis(0), millis(2_500));
@@ -114,10 +115,10 @@
 }
 
 proptest! {
-    // Many are refused. What is remembered of them is bounded, ends with their
-    // time, and a caller whose time ends elsewhere is none of them.
+    // With many refused calls, the stored data are bounded and expire with the
+    // deadlines, and a call with a different deadline is not taken for a retry.
     #[test]
-    fn only_the_refused_are_known(
+    fn only_refused_calls_are_recognized(
         refused in prop::collection::vec(0..5_000_u64, 0..600),
         asked in prop::collection::vec(0..6_000_u64, 0..50),
     ) {
