--- a/crates/core/benches/load_decisions.rs
+++ b/crates/core/benches/load_decisions.rs
@@ -27,7 +27,7 @@
 use cowslip_core::entry_router::EntryRouter;
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::load::customer_throttle::CustomerThrottle;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::server_gate::AnnouncedServer;
 use cowslip_core::server_gate::OfferedCall;
 use cowslip_core::server_gate::QueueBounds;
@@ -147,7 +147,7 @@
         target_left: None,
         wait_max: None,
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
         service: "records".into(),
         route: "/prices".into(),
         customer: Arc::clone(customer),
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -25,7 +25,7 @@
 use crate::document::ServiceSpec;
 use crate::load::answer_value::AnswerValue;
 use crate::load::fleet_servers::FleetServers;
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 use crate::load::retry_budget::BudgetConfig;
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::SearchCosts;
@@ -260,7 +260,7 @@
             verdict: CallVerdict::NotRun,
             idempotent,
             origin: head.origin,
-            repeats: RepeatShare::FIRST,
+            repeats: RepeatProbability::FIRST,
             asked_at: now.saturating_sub(age),
             caller_until: head.deadline.map(|deadline| now + deadline),
             target_at: target.map(|target| now + target.saturating_sub(age)),
@@ -288,7 +288,7 @@
 
     /// A request that is itself a repeat makes this call, as likely as
     /// `repeats` says: it counts among the retries of the called service.
-    pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatShare) {
+    pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatProbability) {
         plan.repeats = repeats;
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
             pressure.budget.charge(repeats);
@@ -436,7 +436,7 @@
             // Failed by a version on trial, it is not for that one again.
             let spec = self.snapshot.document.services.get(&plan.service);
             plan.version = spec.map(|spec| Arc::clone(&spec.version));
-            plan.repeats = RepeatShare::REPEAT;
+            plan.repeats = RepeatProbability::REPEAT;
         }
         plan.tries.spend(failure);
         let tries_left = !plan.tries.is_spent();
--- a/crates/core/src/entry_router/call_plan.rs
+++ b/crates/core/src/entry_router/call_plan.rs
@@ -7,7 +7,7 @@
 use crate::document::CallPriority;
 use crate::document::RouteSpec;
 use crate::entry_router::CallOrigin;
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 use crate::refusal::RefusalReason;
 use crate::verdict::CallVerdict;
 
@@ -31,7 +31,7 @@
     /// Listener it came in by.
     pub origin: CallOrigin,
     /// How likely its next try repeats work at a backend server.
-    pub repeats: RepeatShare,
+    pub repeats: RepeatProbability,
     pub(super) idempotent: bool,
     /// When its caller began to ask, over earlier calls too.
     pub(super) asked_at: Duration,
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -19,7 +19,7 @@
 pub mod late_call_limit;
 pub mod outlier_detector;
 pub mod queue_order;
-pub mod repeat_share;
+pub mod repeat_probability;
 pub mod retry_advice;
 pub mod retry_budget;
 pub mod returning_callers;
--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -20,7 +20,7 @@
 use crate::load::customer_lane::CustomerLane;
 use crate::load::fair_tags::FairTags;
 use crate::load::queue_order::QueueOrder;
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 
 /// Divisor for the part of the queue's capacity that a lane keeps against more
 /// urgent lanes. An eighth, so that the six lanes together cannot reserve all
@@ -61,7 +61,7 @@
     /// Expected amount of work.
     pub cost: Duration,
     /// How likely the call repeats work at a backend server.
-    pub repeats: RepeatShare,
+    pub repeats: RepeatProbability,
 }
 
 impl WaitingCall {
--- a/crates/core/src/load/repeat_share.rs
+++ b/crates/core/src/load/repeat_probability.rs
@@ -15,11 +15,11 @@
 
 /// Probability that a call is a repeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RepeatShare {
+pub struct RepeatProbability {
     per_mille: u16,
 }
 
-impl RepeatShare {
+impl RepeatProbability {
     /// A first try of a call that repeats nothing.
     pub const FIRST: Self = Self { per_mille: 0 };
 
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 
 /// Maximum number of retries that one node saves, and its initial balance, if
 /// the fleet sets no burst: losing a server affects about as many calls as it
@@ -84,7 +84,7 @@
 
     /// Charges for an incoming call that may repeat earlier work. The call is
     /// served whatever the balance; retries wait until it has been earned back.
-    pub fn charge(&mut self, repeats: RepeatShare) {
+    pub fn charge(&mut self, repeats: RepeatProbability) {
         let saved = self.saved.unwrap_or(DEFAULT_SAVED_MAX);
         self.saved = Some(saved - repeats.expected());
     }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -17,7 +17,7 @@
 use crate::load::late_call_limit;
 use crate::load::queue_order::QueueOrder;
 use crate::load::queue_order::StandingQueue;
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 use crate::load::service_times::ServiceTimes;
 use crate::load::timely_queue::TimelyQueue;
 use crate::outbound_calls::OutboundCalls;
@@ -73,7 +73,7 @@
     /// True where a backend server makes it while it serves another.
     pub inner: bool,
     /// How likely it repeats work at a backend server.
-    pub repeats: RepeatShare,
+    pub repeats: RepeatProbability,
 }
 
 /// How a call that held a slot ended.
@@ -123,7 +123,7 @@
     route: Arc<str>,
     length: JobLength,
     started_at: Duration,
-    repeats: RepeatShare,
+    repeats: RepeatProbability,
     /// Jobs at the server when it started, itself included.
     beside: u32,
     outbound: OutboundMark,
@@ -350,8 +350,8 @@
     }
 
     /// How likely a request that the server runs now repeats earlier work.
-    pub fn repeats(&self) -> RepeatShare {
-        RepeatShare::mean(self.running.values().map(|call| call.repeats))
+    pub fn repeats(&self) -> RepeatProbability {
+        RepeatProbability::mean(self.running.values().map(|call| call.repeats))
     }
 
     fn has_free_slot(&self) -> bool {
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -12,7 +12,7 @@
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::document::CallPriority;
 use cowslip_core::load::answer_value::AnswerValue;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::load::server_pool::SearchCosts;
 use cowslip_core::load::server_pool::ServerCriteria;
@@ -185,7 +185,7 @@
         target_left: Some(target),
         wait_max: (!stays).then_some(Duration::ZERO),
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     }
 }
 
--- a/crates/core/tests/gate_chain.rs
+++ b/crates/core/tests/gate_chain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cowslip_core::document::CallPriority;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::server_gate::AnnouncedServer;
 use cowslip_core::server_gate::GateAction;
 use cowslip_core::server_gate::OfferedCall;
@@ -33,7 +33,7 @@
         waited: Duration::ZERO,
         left: Duration::from_secs(10),
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     }
 }
 
@@ -131,7 +131,7 @@
         target_left: None,
         wait_max: None,
         inner: true,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
         ..call()
     };
     assert_eq!(
--- a/crates/core/tests/load_gate.rs
+++ b/crates/core/tests/load_gate.rs
@@ -14,7 +14,7 @@
 use cowslip_core::load::call_queue::WaitingCall;
 use cowslip_core::load::customer_lane::CustomerLane;
 use cowslip_core::load::queue_order::QueueOrder;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::server_gate::AnnouncedServer;
 use cowslip_core::server_gate::GateAction;
@@ -50,7 +50,7 @@
         target_left: None,
         wait_max: None,
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
         service: "ledger".into(),
         route: format!("/route-{}", customer % 2).into(),
         customer: format!("customer-{customer}").into(),
@@ -219,7 +219,7 @@
         arrived_at: millis(ticket),
         expires_at: millis(10_000),
         cost: millis(10),
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     }
 }
 
@@ -350,7 +350,7 @@
         target_left: None,
         wait_max: None,
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     };
     let mut now = Duration::ZERO;
     for ticket in 0..220 {
--- a/crates/core/tests/load_patterns/fake_fleet.rs
+++ b/crates/core/tests/load_patterns/fake_fleet.rs
@@ -28,7 +28,7 @@
 use cowslip_core::entry_router::TryReport;
 use cowslip_core::load::deadline_budget;
 use cowslip_core::load::queue_order::QueueOrder;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::retry_advice;
 use cowslip_core::load::retry_advice::CallerTime;
 use cowslip_core::refusal::RefusalReason;
@@ -381,7 +381,7 @@
             target_left: None,
             wait_max: None,
             inner: false,
-            repeats: RepeatShare::FIRST,
+            repeats: RepeatProbability::FIRST,
             service: SERVICE.into(),
             route: path.into(),
             customer: Arc::clone(&fake.offered.customer),
--- a/crates/core/tests/retry_sum.rs
+++ b/crates/core/tests/retry_sum.rs
@@ -20,7 +20,7 @@
 use cowslip_core::entry_router::EntryRouter;
 use cowslip_core::entry_router::NextStep;
 use cowslip_core::entry_router::TryFailure;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::retry_budget::BudgetConfig;
 use cowslip_core::load::retry_budget::RetryBudget;
 use cowslip_core::refusal::RefusalReason;
@@ -111,9 +111,9 @@
     router: &mut EntryRouter,
     now: Duration,
     head: &CallHead<'_>,
-    repeats: RepeatShare,
+    repeats: RepeatProbability,
     counts: &mut ServiceCounts,
-    mut ends: impl FnMut(Arc<str>, RepeatShare) -> Option<TryFailure>,
+    mut ends: impl FnMut(Arc<str>, RepeatProbability) -> Option<TryFailure>,
 ) {
     let mut plan = router.plan(now, head).expect("there is a route");
     router.charge_repeats(&mut plan, repeats);
@@ -122,7 +122,7 @@
         let Ok(server) = router.begin(now, &mut plan) else {
             return;
         };
-        counts.repeats += u64::from(plan.repeats == RepeatShare::REPEAT);
+        counts.repeats += u64::from(plan.repeats == RepeatProbability::REPEAT);
         let Some(failure) = ends(Arc::clone(&server.instance), plan.repeats) else {
             return router.abandoned(now, &server.instance);
         };
@@ -169,7 +169,7 @@
             &mut routers[entry],
             now,
             &outside,
-            RepeatShare::FIRST,
+            RepeatProbability::FIRST,
             &mut outer,
             |server, repeats| {
                 runs.push((server, repeats));
--- a/crates/core/tests/timely_overload.rs
+++ b/crates/core/tests/timely_overload.rs
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 
 use cowslip_core::document::CallPriority;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::server_gate::AnnouncedServer;
 use cowslip_core::server_gate::GateAction;
 use cowslip_core::server_gate::OfferedCall;
@@ -93,7 +93,7 @@
             target_left: Some(TARGET),
             wait_max: None,
             inner: false,
-            repeats: RepeatShare::FIRST,
+            repeats: RepeatProbability::FIRST,
         };
         self.gate.offer(now, ticket, call)
     }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -19,7 +19,7 @@
 use cowslip_core::entry_router::CallOrigin;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::deadline_budget;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::evidence::MeasuredTry;
@@ -187,7 +187,9 @@
             idempotent: call_headers::is_idempotent(request.method()),
             deadline,
             repeats: match origin {
-                CallOrigin::Outside if !self.dialect.mixed_callers => RepeatShare::FIRST,
+                CallOrigin::Outside if !self.dialect.mixed_callers => {
+                    RepeatProbability::FIRST
+                }
                 _ => self.view.repeats(),
             },
         };
@@ -414,7 +416,7 @@
         if plan.origin == CallOrigin::Backend {
             told.push((call_headers::INNER, "1".to_owned()));
         }
-        if plan.repeats > RepeatShare::FIRST {
+        if plan.repeats > RepeatProbability::FIRST {
             let share = plan.repeats.per_mille().to_string();
             told.push((call_headers::REPEATS, share));
         }
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -22,7 +22,7 @@
 use cowslip_core::entry_router::ServerTry;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::entry_router::TryReport;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::move_board::NodeReport;
 use cowslip_core::refusal::RefusalReason;
@@ -63,7 +63,7 @@
     /// Time the caller gives it.
     pub deadline: Option<Duration>,
     /// How likely a request that is itself a repeat makes this call.
-    pub repeats: RepeatShare,
+    pub repeats: RepeatProbability,
 }
 
 /// A call and the server that gets its next try.
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -18,7 +18,7 @@
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::endpoint_announcer::EndpointAnnouncer;
 use cowslip_core::load::call_queue::CallTicket;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::rollout::cold_start::ColdStart;
 use cowslip_core::server_gate::AnnouncedServer;
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct GateView {
     wait: Rc<Cell<Duration>>,
-    repeats: Rc<Cell<RepeatShare>>,
+    repeats: Rc<Cell<RepeatProbability>>,
     works: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
 }
 
@@ -133,7 +133,7 @@
     }
 
     /// How likely a request that the server runs now repeats earlier work.
-    pub fn repeats(&self) -> RepeatShare {
+    pub fn repeats(&self) -> RepeatProbability {
         self.repeats.get()
     }
 
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -16,7 +16,7 @@
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::call_queue::CallTicket;
 use cowslip_core::load::deadline_budget;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::server_gate::OfferedCall;
 use cowslip_core::server_gate::SlotOutcome;
@@ -290,7 +290,7 @@
         inner: request.headers().contains_key(call_headers::INNER),
         repeats: text(call_headers::REPEATS)
             .and_then(|share| share.parse().ok())
-            .map_or(RepeatShare::FIRST, RepeatShare::of_per_mille),
+            .map_or(RepeatProbability::FIRST, RepeatProbability::of_per_mille),
     })
 }
 
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -19,7 +19,7 @@
 use cowslip_core::document::RouteSpec;
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::entry_router::CallOrigin;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::startup_wait;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::version::ConfigVersion;
@@ -62,7 +62,7 @@
         customer: String::new(),
         idempotent: true,
         deadline: Some(Duration::from_millis(deadline_ms)),
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     };
     let (reply, answer) = oneshot::channel();
     let sent = entry.send(EntryMessage::Admit(head, reply)).await;
