--- a/crates/core/tests/load_patterns/fake_fleet.rs
+++ b/crates/core/tests/load_patterns/fake_fleet.rs
@@ -29,8 +29,8 @@
 use cowslip_core::load::deadline_budget;
 use cowslip_core::load::queue_order::QueueOrder;
 use cowslip_core::load::repeat_probability::RepeatProbability;
-use cowslip_core::load::retry_advice;
-use cowslip_core::load::retry_advice::CallerTime;
+use cowslip_core::load::retry_delay;
+use cowslip_core::load::retry_delay::CallerTime;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::server_gate::AnnouncedServer;
 use cowslip_core::server_gate::GateAction;
@@ -543,7 +543,7 @@
         let after = match self.plan.side {
             Side::Real => {
                 let caller = CallerTime::default();
-                retry_advice::retry_after(reason, caller, &mut self.rng)
+                retry_delay::retry_after(reason, caller, &mut self.rng)
             }
             Side::Naive(_) => None,
         };
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -17,10 +17,10 @@
 use cowslip_core::load::deadline_budget;
 use cowslip_core::load::fair_tags::FairTags;
 use cowslip_core::load::fleet_servers::FleetServers;
-use cowslip_core::load::retry_advice;
-use cowslip_core::load::retry_advice::CallerTime;
 use cowslip_core::load::retry_budget::BudgetConfig;
 use cowslip_core::load::retry_budget::RetryBudget;
+use cowslip_core::load::retry_delay;
+use cowslip_core::load::retry_delay::CallerTime;
 use cowslip_core::load::server_pool::ServerCriteria;
 use cowslip_core::load::server_pool::ServerPool;
 use cowslip_core::load::server_pool::SlotSearch;
@@ -283,7 +283,7 @@
         if !matches!(reason.status(), 429 | 503) {
             continue;
         }
-        let after = retry_advice::retry_after(*reason, CallerTime::default(), &mut rng);
+        let after = retry_delay::retry_after(*reason, CallerTime::default(), &mut rng);
         assert!(after.is_some(), "{reason} has no retry time");
     }
 }
@@ -296,7 +296,7 @@
     let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..1_000 {
         let full = RefusalReason::QueueFull;
-        let after = retry_advice::retry_after(full, CallerTime::default(), &mut rng);
+        let after = retry_delay::retry_after(full, CallerTime::default(), &mut rng);
         *seconds
             .entry(after.expect("a retry time is given").as_secs())
             .or_default() += 1;
@@ -304,11 +304,7 @@
     assert!(seconds.len() >= 4);
     assert!(seconds.values().all(|callers| *callers < 350));
     assert_eq!(
-        retry_advice::retry_after(
-            RefusalReason::NoRoute,
-            CallerTime::default(),
-            &mut rng
-        ),
+        retry_delay::retry_after(RefusalReason::NoRoute, CallerTime::default(), &mut rng),
         None
     );
 }
@@ -327,7 +323,7 @@
         let mut longest = Duration::ZERO;
         for _ in 0..200 {
             let full = RefusalReason::QueueFull;
-            let after = retry_advice::retry_after(full, caller, &mut rng);
+            let after = retry_delay::retry_after(full, caller, &mut rng);
             longest = longest.max(after.expect("a retry time is given"));
         }
         assert!(longest <= left / 3, "{longest:?} of {left:?}");
@@ -347,7 +343,7 @@
     };
     for _ in 0..200 {
         let refused = RefusalReason::ServerRefused;
-        let after = retry_advice::retry_after(refused, caller, &mut rng);
+        let after = retry_delay::retry_after(refused, caller, &mut rng);
         assert!(after.is_some_and(|after| after <= millis(120)), "{after:?}");
     }
 }
--- a/crates/node/src/refusal_reply.rs
+++ b/crates/node/src/refusal_reply.rs
@@ -4,8 +4,8 @@
 
 use actix_http::StatusCode;
 
-use cowslip_core::load::retry_advice;
-use cowslip_core::load::retry_advice::CallerTime;
+use cowslip_core::load::retry_delay;
+use cowslip_core::load::retry_delay::CallerTime;
 use cowslip_wire::http_reply;
 use cowslip_wire::http_reply::HttpReply;
 
@@ -30,7 +30,7 @@
         left,
         fractions: dialect.fractions,
     };
-    let after = retry_advice::retry_after(refusal.reason, caller, &mut rand::rng());
+    let after = retry_delay::retry_after(refusal.reason, caller, &mut rand::rng());
     if let Some(after) = after.filter(|_| later) {
         let seconds = if dialect.fractions {
             format!("{:.2}", after.as_secs_f64())
