--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -345,7 +345,7 @@
         };
         let mut searches = vec![SlotSearch::ByScore];
         if plan.seeks_slots {
-            searches = vec![SlotSearch::LeastWait(costs)];
+            searches = vec![SlotSearch::LeastLoss(costs)];
         }
         if plan.probes_left > 0 {
             searches.insert(0, SlotSearch::Free(costs));
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -90,7 +90,7 @@
     /// acceptable.
     Free(SearchCosts<'a>),
     /// The server with the least expected loss of value; the call waits there.
-    LeastWait(SearchCosts<'a>),
+    LeastLoss(SearchCosts<'a>),
 }
 
 /// Inputs that a search weighs.
@@ -283,7 +283,7 @@
                 let found = self.search_least_loss(now, criteria, &costs, true, rng)?;
                 return Some(self.begin_at(found.position, Some(found.wait_max(&costs))));
             }
-            SlotSearch::LeastWait(costs) => {
+            SlotSearch::LeastLoss(costs) => {
                 let found = self.search_least_loss(now, criteria, &costs, false, rng);
                 let position = found.map(|found| found.position);
                 let position = position.or_else(|| self.last_resort(criteria))?;
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -76,7 +76,7 @@
         search: if free {
             SlotSearch::Free(costs)
         } else {
-            SlotSearch::LeastWait(costs)
+            SlotSearch::LeastLoss(costs)
         },
     }
 }
