--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -116,7 +116,7 @@
 
     /// Whether so few requests run that they do not slow each other: at most
     /// the default minimum part of the slots.
-    pub fn is_light(&self, in_flight: u32) -> bool {
+    pub fn is_uncontended(&self, in_flight: u32) -> bool {
         in_flight <= (self.slots / FLOOR_DIVISOR).max(1)
     }
 
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -411,7 +411,7 @@
         let ratio = self.times.ratio(&call.route, lasted);
         match outcome {
             SlotOutcome::Answered(taken) => {
-                let light = self.limit.is_light(in_flight.max(call.beside));
+                let light = self.limit.is_uncontended(in_flight.max(call.beside));
                 self.times.observe(&call.route, taken, light);
                 if own {
                     self.times.observe_local(&call.route, taken);
