--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -430,7 +430,7 @@
         let pressure = self.pressures.entry(Arc::clone(&plan.service));
         let pressure = pressure.or_default();
         if evidence == TryOutcome::Full {
-            pressure.refused(now, &mut self.rng);
+            pressure.record_overload(now, &mut self.rng);
         }
         if failure.reached_server() {
             // Failed by a version on trial, it is not for that one again.
@@ -473,7 +473,7 @@
         let pressure = pressure.or_default();
         let evidence = match report.status {
             STATUS_SHED => {
-                pressure.refused(now, &mut self.rng);
+                pressure.record_overload(now, &mut self.rng);
                 TryOutcome::Full
             }
             status => {
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -126,7 +126,7 @@
 
     /// Records that a server's node refused a call for lack of capacity, and
     /// starts the throttle.
-    pub fn refused(&mut self, now: Duration, rng: &mut SmallRng) {
+    pub fn record_overload(&mut self, now: Duration, rng: &mut SmallRng) {
         self.refused_at = now;
         self.throttle
             .get_or_insert_with(|| CustomerThrottle::new(rng.random()));
