--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -25,7 +25,7 @@
 use crate::document::ServiceSpec;
 use crate::load::answer_value::AnswerValue;
 use crate::load::fleet_servers::FleetServers;
-use crate::load::repeat_share::RepeatShare;
+use crate::load::repeat_probability::RepeatProbability;
 use crate::load::retry_budget::BudgetConfig;
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::SearchCosts;
@@ -260,7 +260,7 @@
             verdict: CallVerdict::NotRun,
             idempotent,
             origin: head.origin,
-            repeats: RepeatShare::FIRST,
+            repeats: RepeatProbability::FIRST,
             asked_at: now.saturating_sub(age),
             caller_until: head.deadline.map(|deadline| now + deadline),
             target_at: target.map(|target| now + target.saturating_sub(age)),
@@ -288,7 +288,7 @@
 
     /// A request that is itself a repeat makes this call, as likely as
     /// `repeats` says: it counts among the retries of the called service.
-    pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatShare) {
+    pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatProbability) {
         plan.repeats = repeats;
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
             pressure.budget.charge(repeats);
@@ -335,7 +335,7 @@
         let kilobytes = pressure.kilobytes(&plan.route);
         let costs = SearchCosts {
             full: &plan.full,
-            usual: pressure.mean_time(&plan.route),
+            default_work: pressure.mean_time(&plan.route),
             route: &plan.route,
             value: AnswerValue {
                 target_left: plan.target_left(now),
@@ -345,7 +345,7 @@
         };
         let mut searches = vec![SlotSearch::ByScore];
         if plan.seeks_slots {
-            searches = vec![SlotSearch::LeastWait(costs)];
+            searches = vec![SlotSearch::LeastLoss(costs)];
         }
         if plan.probes_left > 0 {
             searches.insert(0, SlotSearch::Free(costs));
@@ -379,7 +379,7 @@
                     tried: &plan.tried,
                     idempotent: plan.idempotent,
                     search: *search,
-                    among: among.as_deref(),
+                    allowed: among.as_deref(),
                 };
                 chosen = chosen.or_else(|| pool.choose(now, &need, &mut self.rng));
             }
@@ -430,13 +430,13 @@
         let pressure = self.pressures.entry(Arc::clone(&plan.service));
         let pressure = pressure.or_default();
         if evidence == TryOutcome::Full {
-            pressure.refused(now, &mut self.rng);
+            pressure.record_overload(now, &mut self.rng);
         }
         if failure.reached_server() {
             // Failed by a version on trial, it is not for that one again.
             let spec = self.snapshot.document.services.get(&plan.service);
             plan.version = spec.map(|spec| Arc::clone(&spec.version));
-            plan.repeats = RepeatShare::REPEAT;
+            plan.repeats = RepeatProbability::REPEAT;
         }
         plan.tries.spend(failure);
         let tries_left = !plan.tries.is_spent();
@@ -473,7 +473,7 @@
         let pressure = pressure.or_default();
         let evidence = match report.status {
             STATUS_SHED => {
-                pressure.refused(now, &mut self.rng);
+                pressure.record_overload(now, &mut self.rng);
                 TryOutcome::Full
             }
             status => {
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,9 +1,9 @@
-//! Decisions under load: whom to serve, who waits, who is refused, and
-//! where work goes.
+//! Overload control and load balancing: which calls are served, which wait,
+//! which are refused, and which server gets each call.
 //!
-//! Each module states the load pattern it answers, what happens without it
-//! and the grounds for its figures. [`crate::server_gate`] puts together
-//! those of a backend server's own node, [`crate::entry_router`] those of
+//! Each module states the load pattern it handles, what happens without it and
+//! the reasons for its constants. [`crate::server_gate`] combines the modules
+//! used by a backend server's own node, [`crate::entry_router`] those used by
 //! an entry node.
 
 pub mod answer_value;
@@ -17,16 +17,16 @@
 pub mod fair_tags;
 pub mod fleet_servers;
 pub mod late_call_limit;
-pub mod outlier_watch;
+pub mod outlier_detector;
 pub mod queue_order;
-pub mod repeat_share;
-pub mod retry_advice;
+pub mod repeat_probability;
 pub mod retry_budget;
+pub mod retry_delay;
 pub mod returning_callers;
 pub mod server_load;
 pub mod server_pool;
 pub mod service_load;
 pub mod service_times;
+pub mod slow_start;
 pub mod startup_wait;
 pub mod timely_queue;
-pub mod warm_ramp;
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -12,7 +12,7 @@
 use cowslip_core::directory::EndpointStanding;
 use cowslip_core::document::CallPriority;
 use cowslip_core::load::answer_value::AnswerValue;
-use cowslip_core::load::repeat_share::RepeatShare;
+use cowslip_core::load::repeat_probability::RepeatProbability;
 use cowslip_core::load::server_load::ReportedLoad;
 use cowslip_core::load::server_pool::SearchCosts;
 use cowslip_core::load::server_pool::ServerCriteria;
@@ -62,7 +62,7 @@
     let costs = SearchCosts {
         full,
         route: "/sheets",
-        usual: WORK,
+        default_work: WORK,
         value: AnswerValue {
             target_left: TARGET,
             left: millis(2_000),
@@ -70,13 +70,13 @@
         },
     };
     ServerCriteria {
-        among: None,
+        allowed: None,
         tried: &[],
         idempotent: true,
         search: if free {
             SlotSearch::Free(costs)
         } else {
-            SlotSearch::LeastWait(costs)
+            SlotSearch::LeastLoss(costs)
         },
     }
 }
@@ -185,7 +185,7 @@
         target_left: Some(target),
         wait_max: (!stays).then_some(Duration::ZERO),
         inner: false,
-        repeats: RepeatShare::FIRST,
+        repeats: RepeatProbability::FIRST,
     }
 }
 
@@ -304,7 +304,7 @@
     assert_eq!(pool.subset_for_share(1).len(), 1);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut need = search(true, 0.0, &[]);
-    need.among = Some(&among);
+    need.allowed = Some(&among);
     for _ in 0..20 {
         let chosen = pool.choose(millis(60_000), &need, &mut rng);
         assert_eq!(&chosen.expect("a server").instance, &among[0]);
