--- a/crates/core/src/call_try.rs
+++ b/crates/core/src/call_try.rs
@@ -1,4 +1,4 @@
-//! One try of a call at one backend server, and what it came to.
+//! One try of a call at one backend server, and its result.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,64 +14,65 @@
 pub struct ServerTry {
     /// Instance of the backend server.
     pub instance: Arc<str>,
-    /// Where its node listens.
+    /// Address on which the server's node listens.
     pub address: SocketAddr,
-    /// Backend server version it runs.
+    /// Backend server version that it runs.
     pub version: Arc<str>,
-    /// The call is to be offered elsewhere where it would wait longer than
-    /// this; absent where it stays.
+    /// Longest expected wait at which the call is queued at this server; beyond
+    /// it the call is offered to another one. `None` if it is queued however
+    /// long the wait.
     pub wait_max: Option<Duration>,
 }
 
-/// How a try ended without a whole answer from a backend server.
+/// End of a try that got no complete answer from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryFailure {
     /// Whether the request may have run in this try.
     pub verdict: CallVerdict,
-    /// Why it failed.
+    /// Cause of the failure.
     pub reason: RefusalReason,
 }
 
 impl TryFailure {
-    /// True where the other side said or did something before the time ran
-    /// out, be it that it broke off.
+    /// True if the other side reacted before the deadline, even if it only
+    /// closed the connection.
     pub fn ended_before_deadline(&self) -> bool {
         self.reason != RefusalReason::DeadlinePassed
     }
 
-    /// True where the request came to a backend server, be it that the
-    /// server refused it.
+    /// True if the request may have reached a backend server, including a
+    /// server that refused it.
     pub fn reached_server(self) -> bool {
         self.verdict != CallVerdict::NotRun || self.reason == RefusalReason::ServerRefused
     }
 }
 
-/// What to do after a failed try.
+/// Decision after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try again at another server.
+    /// Try the call again at another server.
     Retry(RetryReason),
-    /// Tell the caller.
+    /// Refuse the call with this reason.
     Refuse(RefusalReason),
 }
 
-/// A try whose answer began, and is now passed on or given up.
+/// A try whose answer began and has now been passed on or abandoned.
 #[derive(Clone, Debug)]
 pub struct TryReport {
     /// Instance that answered.
     pub instance: Arc<str>,
     /// Service of the call.
     pub service: Arc<str>,
-    /// Path of its route.
+    /// Path of the call's route.
     pub route: Arc<str>,
-    /// Customer it was made for.
+    /// Customer that the call was made for.
     pub customer: Arc<str>,
-    /// Urgency of its route.
+    /// Priority of the call's route.
     pub priority: CallPriority,
     /// Status of the backend server's answer.
     pub status: u16,
-    /// Time from the try's start to the answer's head.
+    /// Time from the start of the try to the answer's head.
     pub taken: Duration,
-    /// Bytes of the answer's body, where its head states them.
+    /// Length of the answer's body in bytes, if its head states it.
     pub bytes: Option<u64>,
 }
--- a/crates/core/src/connection_renewal.rs
+++ b/crates/core/src/connection_renewal.rs
@@ -1,96 +1,98 @@
-//! Which kept connections to a server may get new work.
+//! Decides when the pooled connections to a server are replaced.
 //!
-//! Load pattern: something between the two ends forgets open connections,
-//! so that what is sent on them is lost without a word while new ones work.
-//! Without a guard every kept connection costs one call its whole deadline
-//! before it is found out. Here the first call that ends without a byte of
-//! an answer condemns all connections that were opened with or before its
-//! own: what they still carry ends by itself, and new work goes on new ones.
+//! Load pattern: a device on the network path drops the state of open
+//! connections, so that data sent on them is lost silently while new
+//! connections work. Without a guard, each pooled connection costs one call its
+//! whole deadline before the loss is noticed. Here the first call that ends
+//! without a byte of an answer retires every connection of its generation:
+//! calls in flight on them run to their end, and new calls use new connections.
 //!
-//! A server that is merely slow looks the same. New connections cost it
-//! about 1 ms each, so they are renewed once a second at most, and no more
-//! than [`CONNECTIONS_PER_SERVER`] are open at once.
+//! A server that is merely slow looks the same. New connections cost it about
+//! 1 ms each, so they are renewed at most once a second, and at most
+//! [`CONNECTIONS_PER_SERVER`] are open at the same time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections to one server: what the users' servers take.
+/// Largest number of connections to one server, as many as the users' servers
+/// accept.
 pub const CONNECTIONS_PER_SERVER: usize = 100;
 
-/// Least time between two renewals. A hundred new connections of 1 ms each
+/// Shortest time between two renewals. A hundred new connections at 1 ms each
 /// then take at most a tenth of one of the server's cores.
-const RENEW_PAUSE: Duration = Duration::from_secs(1);
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A server that has had no call for this long is forgotten; its idle
-/// connections have been closed long before.
-const FORGET_TIME: Duration = Duration::from_secs(60);
+/// Time without a call after which a server is forgotten; its idle connections
+/// have been closed long before.
+const UNUSED_EXPIRY: Duration = Duration::from_secs(60);
 
-/// How often forgotten servers are looked for.
-const SWEEP_PAUSE: Duration = Duration::from_secs(10);
+/// Shortest time between two searches for servers to forget.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Number of a server's set of connections; a renewal begins the next.
+/// Generation of a server's connections; a renewal starts a new one.
 pub type PoolGeneration = u64;
 
 #[derive(Debug)]
-struct ServerPool {
+struct ServerConnections {
     generation: PoolGeneration,
-    renewed: Duration,
-    used: Duration,
+    renewed_at: Duration,
+    used_at: Duration,
     silent: bool,
 }
 
-/// Decides when kept connections are given up.
+/// Tracks the connection generation of each server and renews it after a call
+/// without any answer.
 #[derive(Debug, Default)]
 pub struct ConnectionRenewal {
-    servers: HashMap<SocketAddr, ServerPool>,
-    generations: PoolGeneration,
-    swept: Duration,
+    servers: HashMap<SocketAddr, ServerConnections>,
+    last_generation: PoolGeneration,
+    swept_at: Duration,
 }
 
 impl ConnectionRenewal {
-    /// A call is about to be sent to `server`; the set of connections to
-    /// use. One that was not given before begins empty.
+    /// Returns the generation of connections to use for a call to `server` that
+    /// is about to be sent. A new generation starts without connections.
     pub fn begin(&mut self, now: Duration, server: SocketAddr) -> PoolGeneration {
-        let fresh = ServerPool {
-            generation: self.generations + 1,
-            renewed: now,
-            used: now,
+        let fresh = ServerConnections {
+            generation: self.last_generation + 1,
+            renewed_at: now,
+            used_at: now,
             silent: false,
         };
-        let Some(pool) = self.servers.get_mut(&server) else {
-            self.generations += 1;
+        let Some(connections) = self.servers.get_mut(&server) else {
+            self.last_generation += 1;
             self.servers.insert(server, fresh);
-            return self.generations;
+            return self.last_generation;
         };
-        if pool.silent && now >= pool.renewed + RENEW_PAUSE {
-            self.generations += 1;
-            *pool = fresh;
+        if connections.silent && now >= connections.renewed_at + RENEW_INTERVAL {
+            self.last_generation += 1;
+            *connections = fresh;
         }
-        pool.used = now;
-        pool.generation
+        connections.used_at = now;
+        connections.generation
     }
 
-    /// A call on this set of connections ended without a byte of an answer.
-    /// Late word of a set that was given up already changes nothing.
+    /// Records that a call on a connection of `generation` ended without a byte
+    /// of an answer. Reports of earlier generations are ignored.
     pub fn report_silent(&mut self, server: SocketAddr, generation: PoolGeneration) {
-        let Some(pool) = self.servers.get_mut(&server) else {
+        let Some(connections) = self.servers.get_mut(&server) else {
             return;
         };
-        if pool.generation == generation {
-            pool.silent = true;
+        if connections.generation == generation {
+            connections.silent = true;
         }
     }
 
-    /// Servers whose connections can be forgotten now.
+    /// Forgets the servers that were not used lately and returns them.
     pub fn sweep(&mut self, now: Duration) -> Vec<SocketAddr> {
         let mut forgotten = Vec::new();
-        if now < self.swept + SWEEP_PAUSE {
+        if now < self.swept_at + SWEEP_INTERVAL {
             return forgotten;
         }
-        self.swept = now;
-        for (server, pool) in &self.servers {
-            if now >= pool.used + FORGET_TIME {
+        self.swept_at = now;
+        for (server, connections) in &self.servers {
+            if now >= connections.used_at + UNUSED_EXPIRY {
                 forgotten.push(*server);
             }
         }
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -1,8 +1,9 @@
-//! Routing of one entry node: from a call's head to the server that gets
-//! it, and from a failed try to the next step.
+//! Routing at an entry node: matches a call's head to a route, chooses a
+//! server for each try, and decides whether a failed try is retried.
 //!
-//! Holds one whole configuration snapshot and the directory; the snapshot is
-//! swapped in one step, never edited, so a route never outlives its service.
+//! The router holds one complete configuration snapshot and the endpoint
+//! directory. A snapshot is replaced as a whole and never edited, so a route
+//! cannot outlive its service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -52,47 +53,48 @@
 pub use crate::call_try::TryFailure;
 pub use crate::call_try::TryReport;
 
-/// Thousandths, the unit of traffic shares.
+/// A whole in per mille, the unit of traffic shares.
 const WHOLE_PER_MILLE: u16 = 1_000;
 
-/// Parts of an answer's worth in which costs are set.
+/// Divisor of the cost settings, which are in thousandths of an answer's
+/// worth.
 const WORTH_PARTS: f64 = 1_000.0;
 
-/// Who sent a call to this node.
+/// Sender of a call to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOrigin {
     /// A caller on the callers' listener.
     Outside,
-    /// The backend server beside this node.
+    /// The backend server that this node serves.
     Backend,
 }
 
-/// What routing needs of a call's head.
+/// The parts of a call's head that routing needs.
 #[derive(Clone, Debug)]
 pub struct CallHead<'a> {
-    /// Host that the caller names, without a port; empty where it names none.
+    /// Requested host without a port; empty if the caller names none.
     pub host: &'a str,
-    /// Path without the query.
+    /// Requested path without the query.
     pub path: &'a str,
-    /// Listener it came in by.
+    /// Listener on which the call arrived.
     pub origin: CallOrigin,
-    /// Customer it is made for; empty where the caller names none.
+    /// Customer that the call is made for; empty if the caller names none.
     pub customer: &'a str,
-    /// True where its method says that running it twice does no harm; the
-    /// route's own rule goes before it.
+    /// True if the call's method is idempotent; a repeat rule of the route
+    /// takes precedence.
     pub idempotent: bool,
-    /// Time the caller gives it, if it says.
+    /// Time that the caller allows for the call, if it states one.
     pub deadline: Option<Duration>,
 }
 
-/// Status by which a backend server says that it has no room.
+/// Status of a backend server that sheds load.
 const STATUS_SHED: u16 = 503;
 
-/// Statuses by which a backend server says that it failed; others of the
-/// 500s say that it does not know the request.
+/// Statuses that count as failures of the backend server. Other 5xx statuses,
+/// except [`STATUS_SHED`], say that it does not support the request.
 const STATUS_FAILED: [u16; 3] = [500, 502, 504];
 
-/// State of one entry node's routing.
+/// Routing state of one entry node.
 #[derive(Debug)]
 pub struct EntryRouter {
     failure_domain: Arc<str>,
@@ -106,7 +108,8 @@
 }
 
 impl EntryRouter {
-    /// A router that knows nothing yet, in `failure_domain`.
+    /// Creates a router in `failure_domain` without a configuration and with an
+    /// empty directory. `seed` seeds its random choices.
     pub fn new(failure_domain: Arc<str>, seed: u64) -> Self {
         Self {
             failure_domain,
@@ -120,23 +123,23 @@
         }
     }
 
-    /// Version in use; `ZERO` before the first.
+    /// Version of the configuration in use; `ZERO` before the first one.
     pub fn version(&self) -> ConfigVersion {
         self.snapshot.version
     }
 
-    /// The document in use.
+    /// Document of the configuration in use.
     pub fn document(&self) -> &FleetDocument {
         &self.snapshot.document
     }
 
-    /// The directory as this node knows it.
+    /// This node's copy of the endpoint directory.
     pub fn directory(&self) -> &EndpointDirectory {
         &self.directory
     }
 
-    /// The sets of nodes that hold a key's claim; none where no node holds
-    /// claims yet.
+    /// Sets of nodes that hold the claim on a key; empty if the configuration
+    /// names no claim holders yet.
     pub fn holder_sets(&self, key: &KeyDigest) -> Vec<Vec<Arc<str>>> {
         let roster = &self.snapshot.document.holders;
         if roster.is_empty() {
@@ -145,12 +148,16 @@
         roster.sets(key)
     }
 
-    /// Swaps in a snapshot whole. `Ok(false)` where it is not newer than the
-    /// one in use; the faults where it is invalid, and then nothing changes.
+    /// Replaces the snapshot in use. Returns `Ok(false)` if the new one is not
+    /// newer.
+    ///
+    /// # Errors
+    ///
+    /// Returns the faults of an invalid snapshot and keeps the one in use.
     pub fn swap(&mut self, snapshot: ConfigSnapshot) -> Result<bool, Vec<DocumentFault>> {
-        // Guards against late answers and instances cut off with an old
-        // configuration: routes would go back in time. No way leads into
-        // the snapshot in use but this one.
+        // Guards against late answers, and sources that were cut off with an
+        // old configuration, reverting the routes. Only this function replaces
+        // the snapshot in use.
         if snapshot.version <= self.snapshot.version {
             return Ok(false);
         }
@@ -166,17 +173,19 @@
         Ok(true)
     }
 
-    /// Counts and verdicts of the services under a move.
+    /// Guard that counts the calls and outcomes of services under a rollout.
     pub fn guard(&mut self) -> &mut NodeGuard {
         &mut self.guard
     }
 
-    /// True where `instance` must stay until a move is done.
+    /// True if `instance` is the last server of the old version and must run
+    /// until the rollout ends.
     pub fn is_last_of_old(&self, instance: &str) -> bool {
         is_last_of_old(&self.snapshot.document, &self.directory, instance)
     }
 
-    /// Takes directory records; older ones than those held are passed over.
+    /// Merges records into the directory; records older than those held are
+    /// ignored.
     pub fn merge(&mut self, now: Duration, records: Vec<EndpointRecord>) {
         for record in records {
             if !self.directory.merge(record.clone()) {
@@ -187,7 +196,7 @@
         }
     }
 
-    /// Bounds of the queue in front of a backend server of `service`.
+    /// Bounds of the queue at a backend server of `service`.
     pub fn queue_bounds(&self, service: &str) -> QueueBounds {
         let place = CallPlace {
             service,
@@ -203,12 +212,17 @@
         }
     }
 
-    /// Names of the services of the snapshot in use.
+    /// Names of the services in the configuration in use.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         self.snapshot.document.services.keys()
     }
 
-    /// Matches a call to its route and deadline, or says why not.
+    /// Matches a call to its route, service and deadline.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if there is no configuration, no route serves the
+    /// call, or the customer's throttle refuses it.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -261,24 +275,25 @@
             idempotent,
             origin: head.origin,
             repeats: RepeatShare::FIRST,
-            asked_at: now.saturating_sub(age),
-            caller_until: head.deadline.map(|deadline| now + deadline),
+            first_asked_at: now.saturating_sub(age),
+            caller_deadline_at: head.deadline.map(|deadline| now + deadline),
             target_at: target.map(|target| now + target.saturating_sub(age)),
             tries: TryAllowance::of(route, tries),
-            seeks_slots: probes > 0,
+            probes_slots: probes > 0,
             probes_left: probes,
             far_cost_per_kb: document.tuning(TuningKey::FarCostPerKb, &place),
             version: None,
-            full: Vec::new(),
-            tried: Vec::new(),
-            failed_for: None,
+            full_servers: Vec::new(),
+            tried_servers: Vec::new(),
+            last_failure: None,
         };
-        // Guards against overload that feeds itself: a call that a server makes
-        // for a request already running takes the work of that request with it
-        // when it is refused, and its caller asks for all of it again.
+        // Guards against self-sustaining overload: when a call that a server
+        // makes for a running request is refused, the work already done for
+        // that request is lost, and its caller retries all of it. The throttle
+        // therefore refuses only calls from outside.
         let admitted = pressure.admit(now, &plan.customer, plan.priority, &mut self.rng);
         if !admitted && plan.origin == CallOrigin::Outside {
-            self.turned_away(now, &plan);
+            self.record_refusal(now, &plan);
             return Err(RefusalReason::CustomerLimit);
         }
         let terms = BudgetTerms::of(percent, burst, self.directory.len());
@@ -286,8 +301,9 @@
         Ok(plan)
     }
 
-    /// A request that is itself a repeat makes this call, as likely as
-    /// `repeats` says: it counts among the retries of the called service.
+    /// Charges a call to the retry budget of the called service in proportion
+    /// to `repeats`, the probability that the request that makes it is itself a
+    /// repeat.
     pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatShare) {
         plan.repeats = repeats;
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
@@ -295,18 +311,22 @@
         }
     }
 
-    fn turned_away(&mut self, now: Duration, plan: &CallPlan) {
-        let Some(until) = plan.caller_until else {
+    fn record_refusal(&mut self, now: Duration, plan: &CallPlan) {
+        let Some(until) = plan.caller_deadline_at else {
             return;
         };
         if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.turned_away(now, &plan.route, plan.asked_at, until);
+            pressure.turned_away(now, &plan.route, plan.first_asked_at, until);
         }
     }
 
-    /// Chooses the server for the plan's next try and counts it outstanding
-    /// there until one of [`EntryRouter::failed`], [`EntryRouter::ended`] and
-    /// [`EntryRouter::abandoned`].
+    /// Chooses the server for the call's next try. The try counts as outstanding
+    /// at that server until [`EntryRouter::failed`], [`EntryRouter::ended`] or
+    /// [`EntryRouter::abandoned`] is called.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the deadline has passed or no server is left.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -314,7 +334,7 @@
     ) -> Result<ServerTry, RefusalReason> {
         let begun = self.begin_at_server(now, plan);
         if begun.is_err() {
-            self.turned_away(now, plan);
+            self.record_refusal(now, plan);
         }
         begun
     }
@@ -334,7 +354,7 @@
         let pressure = pressure.or_default();
         let kilobytes = pressure.kilobytes(&plan.route);
         let costs = SearchCosts {
-            full: &plan.full,
+            full: &plan.full_servers,
             usual: pressure.lately(&plan.route),
             route: &plan.route,
             worth: AnswerWorth {
@@ -344,15 +364,15 @@
             },
         };
         let mut searches = vec![SlotSearch::ByScore];
-        if plan.seeks_slots {
+        if plan.probes_slots {
             searches = vec![SlotSearch::LeastWait(costs)];
         }
         if plan.probes_left > 0 {
             searches.insert(0, SlotSearch::Free(costs));
         }
-        // Guards against a version on trial that gets several times its share
-        // while the servers of the old one are full: a call is offered to
-        // several servers, and a draw for each would add up.
+        // Guards against a candidate version that gets several times its share
+        // while the servers of the old version are full: a call is offered to
+        // several servers, so drawing the version for each offer would add up.
         let drawn = plan.version.take();
         let mut version = drawn.unwrap_or_else(|| draw_version(spec, &mut self.rng));
         if !self.guard.admits(&plan.service, &version) {
@@ -370,13 +390,13 @@
                 continue;
             };
             let share = spec.candidate.as_ref().and_then(|candidate| {
-                let on_trial = candidate.version == *version;
-                on_trial.then_some(candidate.share_per_mille)
+                let is_candidate = candidate.version == *version;
+                is_candidate.then_some(candidate.share_per_mille)
             });
             let among = share.map(|share| pool.for_share(share));
             for search in &searches {
                 let need = ChoiceNeed {
-                    tried: &plan.tried,
+                    tried: &plan.tried_servers,
                     idempotent: plan.idempotent,
                     search: *search,
                     among: among.as_deref(),
@@ -384,20 +404,21 @@
                 chosen = chosen.or_else(|| pool.choose(now, &need, &mut self.rng));
             }
         }
-        // Where every server has been tried, the last refusal says more.
-        let none = plan.failed_for.unwrap_or(RefusalReason::NoEndpoint);
-        let chosen = chosen.ok_or(none)?;
+        // If every server has been tried, the last failure is more specific
+        // than `NoEndpoint`.
+        let refusal = plan.last_failure.unwrap_or(RefusalReason::NoEndpoint);
+        let chosen = chosen.ok_or(refusal)?;
         if chosen.wait_max.is_none() {
-            plan.tried.push(Arc::clone(&chosen.instance));
+            plan.tried_servers.push(Arc::clone(&chosen.instance));
         } else {
             plan.probes_left -= 1;
-            plan.full.push(Arc::clone(&chosen.instance));
+            plan.full_servers.push(Arc::clone(&chosen.instance));
         }
         Ok(chosen)
     }
 
-    /// A try failed: what follows. Only a try that did not run is repeated,
-    /// unless the call is idempotent.
+    /// Records a failed try and decides what follows. A call that may have run
+    /// is retried only if it is idempotent and came from outside.
     pub fn failed(
         &mut self,
         now: Duration,
@@ -407,7 +428,7 @@
     ) -> NextStep {
         let next = self.next_step(now, plan, server, failure);
         if let NextStep::Refuse(_) = next {
-            self.turned_away(now, plan);
+            self.record_refusal(now, plan);
         }
         next
     }
@@ -419,13 +440,14 @@
         server: &ServerTry,
         failure: TryFailure,
     ) -> NextStep {
-        let evidence = evidence_of(failure);
+        let evidence = server_evidence(failure);
         self.servers.end(now, &server.instance, evidence);
         plan.verdict = plan.verdict.max(failure.verdict);
-        plan.failed_for = Some(failure.reason);
+        plan.last_failure = Some(failure.reason);
         if server.wait_max.is_some() && failure.reason != RefusalReason::NoFreeSlot {
-            // It refused or failed for another reason than want of a slot.
-            plan.tried.push(Arc::clone(&server.instance));
+            // The probe failed for another reason than a missing free slot, so
+            // the server is not tried again.
+            plan.tried_servers.push(Arc::clone(&server.instance));
         }
         let pressure = self.pressures.entry(Arc::clone(&plan.service));
         let pressure = pressure.or_default();
@@ -433,7 +455,7 @@
             pressure.refused(now, &mut self.rng);
         }
         if failure.reached_server() {
-            // Failed by a version on trial, it is not for that one again.
+            // The retry must not go to the candidate version that failed.
             let spec = self.snapshot.document.services.get(&plan.service);
             plan.version = spec.map(|spec| Arc::clone(&spec.version));
             plan.repeats = RepeatShare::REPEAT;
@@ -441,33 +463,35 @@
         plan.tries.spend(failure);
         let tries_left = !plan.tries.is_spent();
         let time_left = now < plan.deadline_at;
-        let wanted = failure.reason.retry_reason();
-        let Some(reason) = wanted.filter(|_| tries_left && time_left) else {
+        let retry_reason = failure.reason.retry_reason();
+        let Some(reason) = retry_reason.filter(|_| tries_left && time_left) else {
             return NextStep::Refuse(failure.reason);
         };
-        if !plan.is_harmless(failure.verdict) {
+        if !plan.may_repeat(failure.verdict) {
             return NextStep::Refuse(failure.reason);
         }
-        // A refusal by a server's node reaches no server. Where calls seek slots
-        // it is part of the search, whose length the tries bound.
-        let full = evidence == ServerEvidence::Full && !plan.seeks_slots;
-        let costs = failure.reached_server() || full;
-        if costs && !pressure.budget.spend(&mut self.rng) {
+        // A refusal by a server's node does not reach the server. For calls that
+        // probe for slots it is part of the search, which the allowed tries
+        // bound, and costs nothing of the retry budget.
+        let full = evidence == ServerEvidence::Full && !plan.probes_slots;
+        let uses_budget = failure.reached_server() || full;
+        if uses_budget && !pressure.budget.spend(&mut self.rng) {
             return NextStep::Refuse(match plan.verdict {
-                // Its caller may come back sooner than to a full service.
+                // The caller may retry sooner than after a refusal by a full
+                // service.
                 CallVerdict::NotRun if failure.reason == RefusalReason::ServerRefused => {
                     failure.reason
                 }
                 CallVerdict::NotRun => RefusalReason::RetryBudget,
-                // The caller must read what happened to a request that
-                // may have run in this or an earlier try.
+                // The caller must learn how a request failed that may have run
+                // in this or an earlier try.
                 _ => failure.reason,
             });
         }
         NextStep::Retry(reason)
     }
 
-    /// A try's answer has been passed on, or given up after its head.
+    /// Records a try whose answer was passed on, or abandoned after its head.
     pub fn ended(&mut self, now: Duration, report: &TryReport) {
         let pressure = self.pressures.entry(Arc::clone(&report.service));
         let pressure = pressure.or_default();
@@ -487,7 +511,8 @@
         self.servers.end(now, &report.instance, evidence);
     }
 
-    /// A server's node told of its load, with an answer to a call on `route`.
+    /// Records the load that a server's node reported with its answer to a call
+    /// on `route`.
     pub fn record_load(
         &mut self,
         now: Duration,
@@ -498,14 +523,14 @@
         self.servers.tell(now, instance, route, load);
     }
 
-    /// A try was given up by its caller before any answer.
+    /// Records a try whose caller went away before any answer.
     pub fn abandoned(&mut self, now: Duration, instance: &str) {
         self.servers.end(now, instance, ServerEvidence::Nothing);
     }
 }
 
-/// What a failure says of its server.
-fn evidence_of(failure: TryFailure) -> ServerEvidence {
+/// Evidence about a server that a failed try gives.
+fn server_evidence(failure: TryFailure) -> ServerEvidence {
     match failure.reason {
         RefusalReason::QueueFull
         | RefusalReason::QueueTimeout
@@ -516,7 +541,8 @@
         RefusalReason::ConnectFailed
         | RefusalReason::ConnectionBroken
         | RefusalReason::ServerFailed => ServerEvidence::Failed,
-        // No answer in time; a refusal for want of time says nothing.
+        // The server did not answer in time. A call refused because its
+        // deadline had passed says nothing about the server.
         RefusalReason::DeadlinePassed if failure.verdict != CallVerdict::NotRun => {
             ServerEvidence::Failed
         }
@@ -524,13 +550,13 @@
     }
 }
 
-/// The service for one call: by weight where the route splits its calls.
+/// Draws the service for a call, by weight if the route splits its traffic.
 fn draw_service<'a>(route: &'a RouteSpec, rng: &mut SmallRng) -> &'a Arc<str> {
-    let whole: u32 = route.split.iter().map(|part| part.weight).sum();
-    if whole == 0 {
+    let weight_sum: u32 = route.split.iter().map(|part| part.weight).sum();
+    if weight_sum == 0 {
         return &route.service;
     }
-    let mut drawn = rng.random_range(0..whole);
+    let mut drawn = rng.random_range(0..weight_sum);
     for part in &route.split {
         if drawn < part.weight {
             return &part.service;
@@ -540,8 +566,8 @@
     &route.service
 }
 
-/// The version for one call: the candidate with its share, else the one in
-/// service.
+/// Draws the version for a call: the candidate with the probability of its
+/// share, otherwise the current version.
 fn draw_version(spec: &ServiceSpec, rng: &mut SmallRng) -> Arc<str> {
     let Some(candidate) = &spec.candidate else {
         return Arc::clone(&spec.version);
--- a/crates/core/src/entry_router/call_plan.rs
+++ b/crates/core/src/entry_router/call_plan.rs
@@ -1,4 +1,4 @@
-//! A call on its way: what was decided for it, and what its tries came to.
+//! Routing decisions for one call, and the results of its tries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,75 +11,79 @@
 use crate::refusal::RefusalReason;
 use crate::verdict::CallVerdict;
 
-/// A call that was matched to a route, over all of its tries.
+/// A call that was matched to a route, with its state over all tries.
 #[derive(Clone, Debug)]
 pub struct CallPlan {
-    /// Service that answers.
+    /// Service that the call is sent to.
     pub service: Arc<str>,
-    /// Path of the route that matched.
+    /// Path of the matching route.
     pub route: Arc<str>,
-    /// Urgency of the route.
+    /// Priority of the route.
     pub priority: CallPriority,
-    /// Customer it is made for.
+    /// Customer that the call is made for.
     pub customer: Arc<str>,
-    /// When it came in, since the process's start.
+    /// Arrival time, since the start of the process.
     pub arrived_at: Duration,
-    /// When the call is of no more use, since the process's start.
+    /// Deadline, since the start of the process.
     pub deadline_at: Duration,
     /// Greatest verdict of the tries so far.
     pub verdict: CallVerdict,
-    /// Listener it came in by.
+    /// Listener on which the call arrived.
     pub origin: CallOrigin,
-    /// How likely its next try repeats work at a backend server.
+    /// Probability that the next try repeats work at a backend server.
     pub repeats: RepeatShare,
     pub(super) idempotent: bool,
-    /// When its caller began to ask, over earlier calls too.
-    pub(super) asked_at: Duration,
-    /// When its caller's time is over, where the caller says so.
-    pub(super) caller_until: Option<Duration>,
-    /// When the answer begins to be worth less, where the route says so.
+    /// Estimated time at which the caller first asked, earlier calls included.
+    pub(super) first_asked_at: Duration,
+    /// Deadline that the caller stated, if it did.
+    pub(super) caller_deadline_at: Option<Duration>,
+    /// Time from which the answer is worth less, if the route sets a target
+    /// latency.
     pub target_at: Option<Duration>,
     pub(super) tries: TryAllowance,
-    pub(super) seeks_slots: bool,
+    /// True if the call is offered to servers for a free slot before it waits.
+    pub(super) probes_slots: bool,
     pub(super) probes_left: u64,
     pub(super) far_cost_per_kb: u64,
-    /// Backend server version that was drawn for it.
+    /// Backend server version that was drawn for the call.
     pub(super) version: Option<Arc<str>>,
-    pub(super) full: Vec<Arc<str>>,
-    pub(super) tried: Vec<Arc<str>>,
-    pub(super) failed_for: Option<RefusalReason>,
+    /// Instances that were probed for a free slot.
+    pub(super) full_servers: Vec<Arc<str>>,
+    /// Instances that are not tried again.
+    pub(super) tried_servers: Vec<Arc<str>>,
+    pub(super) last_failure: Option<RefusalReason>,
 }
 
-/// How often a call may be tried.
+/// Remaining tries of a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TryAllowance {
-    /// Backend servers that it may reach.
+    /// Tries that may still reach a backend server.
     servers_left: u64,
-    /// Tries, those that servers' nodes refused included.
+    /// All remaining tries, including those that servers' nodes refuse.
     tries_left: u64,
 }
 
-/// Refusals by servers' nodes that a call may meet beyond the servers that
-/// its route lets it reach: each costs a round trip and reaches no server.
-/// With a quarter of the servers leaving, three in a row are 1 in 64 calls.
+/// Tries that servers' nodes may refuse in addition to the tries that a route
+/// allows: each costs a round trip and reaches no server. With a quarter of the
+/// servers draining, 1 in 64 calls meets three refusals in a row.
 const NODE_REFUSALS_MAX: u64 = 3;
 
 impl TryAllowance {
-    pub(super) fn of(route: &RouteSpec, fleet: u64) -> Self {
+    pub(super) fn of(route: &RouteSpec, tries_default: u64) -> Self {
         match route.tries_max {
             Some(servers) => Self {
                 servers_left: servers,
                 tries_left: servers + NODE_REFUSALS_MAX,
             },
             None => Self {
-                servers_left: fleet,
-                tries_left: fleet,
+                servers_left: tries_default,
+                tries_left: tries_default,
             },
         }
     }
 
     pub(super) fn spend(&mut self, failure: TryFailure) {
-        // Offers for a free slot are counted by themselves.
+        // Probes for a free slot are counted separately.
         if failure.reason == RefusalReason::NoFreeSlot {
             return;
         }
@@ -95,12 +99,12 @@
 }
 
 impl CallPlan {
-    /// True where running it twice does no harm.
+    /// True if the call may run more than once.
     pub fn is_idempotent(&self) -> bool {
         self.idempotent
     }
 
-    /// Time in which its answer is worth most; all of its time where its route
+    /// Time left until the target latency, or until the deadline if the route
     /// sets no target.
     pub(super) fn target_left(&self, now: Duration) -> Duration {
         self.target_at
@@ -108,15 +112,17 @@
             .saturating_sub(now)
     }
 
-    /// Nothing can be sent again: a body that streamed is spent.
+    /// Forbids further tries, as a body that was streamed cannot be sent again.
     pub fn forbid_retry(&mut self) {
         self.tries.tries_left = 0;
     }
 
-    /// Where nothing has run another try does no harm. Where it may have,
-    /// only the outermost layer repeats an idempotent call: if each of 28
-    /// layers did, their tries would multiply at the innermost server.
-    pub(super) fn is_harmless(&self, verdict: CallVerdict) -> bool {
+    /// True if another try is allowed after one with this verdict. A call that
+    /// has not run may always be tried again. A call that may have run is
+    /// repeated only if it is idempotent, and only by the outermost layer: if
+    /// each of 28 layers did, their tries would multiply at the innermost
+    /// server.
+    pub(super) fn may_repeat(&self, verdict: CallVerdict) -> bool {
         let outermost = self.origin == CallOrigin::Outside;
         verdict == CallVerdict::NotRun || self.idempotent && outermost
     }
--- a/crates/core/src/outbound_calls.rs
+++ b/crates/core/src/outbound_calls.rs
@@ -1,53 +1,54 @@
-//! Which of a backend server's jobs were also waiting for others.
+//! Detects jobs during which the backend server waited for other services.
 //!
-//! Load pattern: calls many services deep. A job that calls on to other
-//! services takes as long as they do, and a slow service at the bottom makes
-//! every server above it look slow. With that taken for the server's own
-//! slowness, its concurrency limit falls, its queue grows, and the servers
-//! above it look slower still: one slow leaf throttles the whole tree. A
-//! chain that meets the same server twice no longer fits into its limit and
-//! waits for itself.
+//! Load pattern: call chains many services deep. A job that calls other
+//! services takes at least as long as they do, so a slow service at the bottom
+//! makes every server above it look slow. If that counted as a server's own
+//! slowness, its concurrency limit would fall, its queue would grow, and the
+//! servers above it would look slower still: one slow leaf would throttle the
+//! whole tree. A chain that visits the same server twice would exceed the
+//! reduced limit and wait for itself.
 //!
-//! The node sees its server's own calls. Which job makes which call it does
-//! not know, so a job counts as waiting for others when any such call was
-//! under way during it. Its time then says nothing of the server.
+//! The node sees its server's outbound calls but not which job makes them. A
+//! job is therefore taken to have waited for other services if any outbound
+//! call was in flight during the job, and its time is not evidence of the
+//! server's speed.
 
-/// The backend server's own calls through its node.
+/// Counts the calls that the backend server makes through its node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutboundCalls {
-    under_way: u32,
-    begun: u64,
+    in_flight: u32,
+    started: u64,
 }
 
-/// What was known of outbound calls when a job started.
+/// State of the outbound calls at the start of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutboundMark {
     idle: bool,
-    begun: u64,
+    started: u64,
 }
 
 impl OutboundCalls {
-    /// The backend server sends a call.
+    /// Records the start of an outbound call.
     pub fn begin(&mut self) {
-        self.under_way += 1;
-        self.begun += 1;
+        self.in_flight += 1;
+        self.started += 1;
     }
 
-    /// One of its calls has been answered or given up.
+    /// Records that an outbound call was answered or abandoned.
     pub fn end(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Marks the start of a job.
+    /// Returns the mark for a job that starts now.
     pub fn mark(&self) -> OutboundMark {
         OutboundMark {
-            idle: self.under_way == 0,
-            begun: self.begun,
+            idle: self.in_flight == 0,
+            started: self.started,
         }
     }
 
-    /// True where no call was under way at any time since `mark`.
+    /// True if no outbound call was in flight at any time since `mark`.
     pub fn none_since(&self, mark: OutboundMark) -> bool {
-        mark.idle && self.begun == mark.begun
+        mark.idle && self.started == mark.started
     }
 }
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Why a call was refused or tried again, one word each.
+//! Reasons for which calls are refused or retried.
 //!
-//! Every variant has a counter of its own and a line on the operators' page
+//! Every reason has its own counter and a line in
 //! `docs/operators/refusals.md`.
 
 use std::fmt;
 
 use crate::verdict::CallVerdict;
 
-/// Declares an enum of reasons with its words and the list of all variants,
-/// so that counters and pages can be proved complete.
+/// Declares an enum of reasons with their names and a list of all variants,
+/// which lets tests check that counters and documentation are complete.
 macro_rules! reasons {
     ($(#[$outer:meta])* $name:ident { $($(#[$inner:meta])* $variant:ident => $word:literal,)* }) => {
         $(#[$outer])*
@@ -19,12 +19,12 @@
             /// Every variant, in the order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The word used in headers, logs and metric labels.
+            /// The name used in headers, logs and metric labels.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$variant => $word,)* }
             }
 
-            /// Reads the word back; `None` for any other.
+            /// Parses a name; `None` if it is unknown.
             pub fn parse(text: &str) -> Option<Self> {
                 match text { $($word => Some(Self::$variant),)* _ => None }
             }
@@ -39,89 +39,90 @@
 }
 
 reasons! {
-    /// Why a call was not served.
+    /// Reason for which a call was not served.
     RefusalReason {
         /// No route matches the path.
         NoRoute => "no-route",
-        /// The route is for backend servers' own calls only.
+        /// The route accepts only calls of backend servers.
         InternalOnly => "internal-only",
         /// The node has not yet received any configuration.
         NoConfiguration => "no-configuration",
-        /// No endpoint of the service is known and taking work.
+        /// No known endpoint of the service accepts work.
         NoEndpoint => "no-endpoint",
         /// Every slot of the backend server is taken, and the call was to be
-        /// offered elsewhere before it waits.
+        /// offered to another server rather than wait.
         NoFreeSlot => "no-free-slot",
-        /// Every slot of the backend server is taken and so is every place
-        /// in its queue, or the caller's customer has most of them.
+        /// Every slot of the backend server is taken, and its queue is full or
+        /// the call's customer holds most of it.
         QueueFull => "queue-full",
-        /// The call waited for a slot as long as it may.
+        /// The call's wait for a slot timed out.
         QueueTimeout => "queue-timeout",
-        /// The customer sends more than the service takes from it.
+        /// The customer exceeds the rate that the service accepts from it.
         CustomerLimit => "customer-limit",
-        /// Another try was due, and the retry budget is spent.
+        /// A retry was needed, but the retry budget is exhausted.
         RetryBudget => "retry-budget",
-        /// The backend server is leaving and takes no new work.
+        /// The backend server is draining and accepts no new work.
         Draining => "draining",
-        /// The backend server itself said that it did not run the call.
+        /// The backend server answered that it did not run the call.
         ServerRefused => "server-refused",
         /// The backend server has not announced itself to its node.
         NotAnnounced => "not-announced",
-        /// The deadline had passed, or could not be met.
+        /// The deadline has passed or cannot be met.
         DeadlinePassed => "deadline-passed",
         /// The connection to the server's node could not be made.
         ConnectFailed => "connect-failed",
         /// The connection broke after the request had been sent.
         ConnectionBroken => "connection-broken",
-        /// The backend server ran the call and failed it; callers receive the
-        /// server's own answer.
+        /// The backend server ran the call and answered with a failure, which
+        /// is passed on to the caller.
         ServerFailed => "server-failed",
-        /// The request's body is larger than the limit.
+        /// The request body is larger than the limit.
         BodyTooLarge => "body-too-large",
-        /// The request's body ended before its stated length.
+        /// The request body ended before its stated length.
         BodyTruncated => "body-truncated",
-        /// A header of cowslipwall's own is not well formed.
+        /// A cowslipwall header is malformed.
         BadHeader => "bad-header",
         /// The node is stopping.
         Stopping => "stopping",
-        /// No majority of the key's holders could be reached.
+        /// No majority of the holders of the idempotency key could be reached.
         ClaimNoMajority => "claim-no-majority",
-        /// The call was claimed under this key before, and no answer is
-        /// known: it may be running, or may have run.
+        /// The idempotency key was claimed before and no answer is known: the
+        /// earlier call may be running or may have run.
         ClaimUnanswered => "claim-unanswered",
-        /// The call ran under this key before, and its answer was too large
-        /// to be kept.
+        /// A call with this idempotency key ran before, but its answer was too
+        /// large to be kept.
         AnswerNotKept => "answer-not-kept",
-        /// The key was used before for another request.
+        /// The idempotency key was used before for another request.
         KeyReused => "key-reused",
     }
 }
 
 reasons! {
-    /// Why a call was tried again.
+    /// Reason for which a call was retried.
     RetryReason {
-        /// The server's node had no slot free at once.
+        /// The server's node had no free slot.
         NoFreeSlot => "no-free-slot",
-        /// The server's node refused with its queue full.
+        /// The server's node refused because its queue was full.
         QueueFull => "queue-full",
-        /// The server's node refused because its backend server is leaving.
+        /// The server's node refused because it or its backend server is
+        /// draining or stopping.
         Draining => "draining",
-        /// The server's node knows no backend server yet, or no more.
+        /// The server's node has no announced backend server.
         NotAnnounced => "not-announced",
-        /// The backend server itself said that it did not run the call.
+        /// The backend server answered that it did not run the call.
         ServerRefused => "server-refused",
         /// No connection to the server's node could be made.
         ConnectFailed => "connect-failed",
-        /// An idempotent call that the backend server failed.
+        /// The backend server answered an idempotent call with a failure.
         ServerFailed => "server-failed",
-        /// An idempotent call whose connection broke.
+        /// The connection of an idempotent call broke.
         ConnectionBroken => "connection-broken",
     }
 }
 
 impl RefusalReason {
-    /// The retry this refusal allows when nothing has run; `None` where
-    /// another endpoint would refuse alike.
+    /// Reason for a retry after this refusal; `None` if another endpoint would
+    /// refuse the call as well.
     pub fn retry_reason(self) -> Option<RetryReason> {
         match self {
             Self::NoFreeSlot => Some(RetryReason::NoFreeSlot),
@@ -138,9 +139,9 @@
 
     /// The HTTP status that callers receive with `verdict`.
     ///
-    /// Guards against a status that promises "not run" for a call that may
-    /// have run in one of its tries, and against one that promises nothing
-    /// where nothing has run: callers go by the status alone.
+    /// Callers may look at the status alone. This guards against a status that
+    /// implies "not run" for a call that may have run in one of its tries, and
+    /// against one that implies nothing for a call that has not run.
     pub fn status_for(self, verdict: CallVerdict) -> u16 {
         let status = self.status();
         match (verdict, status) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The HTTP status of the reason alone.
+    /// The HTTP status of the reason, regardless of the verdict.
     pub fn status(self) -> u16 {
         match self {
             Self::NoRoute => 404,
--- a/crates/core/src/route_table.rs
+++ b/crates/core/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Matches a call's path to a route of one configuration snapshot.
+//! Matches a call's host and path to a route of a configuration snapshot.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use crate::document::FleetDocument;
 use crate::document::RouteSpec;
 
-/// Routes of one snapshot by host and path prefix.
+/// Routes of one snapshot, indexed by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<Arc<str>, PathTable>,
@@ -29,23 +29,24 @@
         table
     }
 
-    /// The route with the longest prefix of whole segments of `path`, first
-    /// among those of `host`, then among those of no host.
+    /// Finds the route whose path is the longest prefix of `path` in whole
+    /// segments. The routes of `host` are searched first, then the routes
+    /// without a host.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteSpec> {
-        let own = self.hosts.get(host);
-        let found = own.and_then(|paths| longest(paths, path));
-        found.or_else(|| longest(&self.any_host, path))
+        let host_paths = self.hosts.get(host);
+        let found = host_paths.and_then(|paths| longest_prefix(paths, path));
+        found.or_else(|| longest_prefix(&self.any_host, path))
     }
 }
 
-fn longest<'a>(paths: &'a PathTable, path: &str) -> Option<&'a RouteSpec> {
+fn longest_prefix<'a>(paths: &'a PathTable, path: &str) -> Option<&'a RouteSpec> {
     let mut prefix = path.trim_end_matches('/');
     while !prefix.is_empty() {
         if let Some(route) = paths.get(prefix) {
             return Some(route);
         }
-        let cut = prefix.rfind('/')?;
-        prefix = &prefix[..cut];
+        let segment_start = prefix.rfind('/')?;
+        prefix = &prefix[..segment_start];
     }
     paths.get("/").map(Arc::as_ref)
 }
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -1,9 +1,10 @@
-//! Admission at the backend server's own node.
+//! Admission control at the backend server's own node.
 //!
-//! Only this node knows the server's true slots and work in flight, so its
-//! refusals are truthfully "not run": they are given before a byte of the
-//! request reaches the backend server. Calls that find no slot wait in a
-//! bounded queue, fair among customers whatever entry nodes they come by.
+//! Only this node knows the server's actual slots and work in flight. It
+//! refuses a call before any byte of the request reaches the backend server,
+//! so a refused call is known not to have run. Calls that find no free slot
+//! wait in a bounded queue that is fair among customers, whichever entry nodes
+//! they arrive through.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,54 +26,58 @@
 use crate::refusal::RefusalReason;
 use crate::tuning::TuningKey;
 
-/// Part of the slots that long jobs leave to short ones, rounded up: of five
-/// slots two stay, of ten three. With one of five a queue of short jobs lost
-/// 1.6 % to its deadlines behind long jobs, with two none.
-const SHORT_PART: u32 = 4;
+/// Divisor of the slots that gives the number reserved for short jobs, rounded
+/// up: two of five, three of ten. With one of five reserved, 1.6 % of queued
+/// short jobs miss their deadlines behind long jobs; with two, none do.
+const SHORT_JOBS_DIVISOR: u32 = 4;
 
-/// How much longer than lately a job may take and still be in time when it
-/// was started at the last moment for it.
-const LATE_MARGIN: f64 = 1.25;
+/// Factor on the recent service time that is reserved for a job before its
+/// target: one that is started at the latest moment may take this many times
+/// the recent service time and still end in time.
+const SERVICE_TIME_MARGIN: f64 = 1.25;
 
-/// Part of its target for which a call that has just come waits in front of
-/// those that are late, whatever its work is expected to be: half of the jobs
-/// take less than expected. At nine slots one is free more often than that.
-const NEWCOMER_PART: u32 = 8;
+/// Divisor of a call's target that gives its least slack: for that long a new
+/// call is queued ahead of late calls, however long its work is expected to
+/// take, because half of the jobs take less than expected. With nine slots, one
+/// becomes free within that time.
+const MIN_SLACK_DIVISOR: u32 = 8;
 
-/// What the backend server said of itself when it announced.
+/// A backend server's description of itself in its announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnnouncedServer {
-    /// Service it belongs to.
+    /// Service that the server belongs to.
     pub service: Arc<str>,
-    /// Backend server version it runs.
+    /// Backend server version that it runs.
     pub version: Arc<str>,
-    /// Requests it runs at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// A call that wants a slot, as its entry node describes it.
+/// A call that requests a slot, as described by its entry node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OfferedCall {
-    /// Service wanted.
+    /// Service that is called.
     pub service: Arc<str>,
     /// Path of the matching route.
     pub route: Arc<str>,
-    /// Customer it is made for; empty where the caller names none.
+    /// Customer that the call is made for; empty if the caller names none.
     pub customer: Arc<str>,
-    /// Urgency of the route.
+    /// Priority of the route.
     pub priority: CallPriority,
-    /// Time since it came to its entry node, all tries together.
+    /// Time since the call arrived at its entry node, over all tries.
     pub waited: Duration,
-    /// Time until it is of no more use.
+    /// Time until the call's deadline.
     pub left: Duration,
-    /// Time until its answer is worth less, where its route says so.
+    /// Time until the route's target latency is exceeded; `None` if the route
+    /// sets no target.
     pub target_left: Option<Duration>,
-    /// Another server is asked where it would wait longer than this here;
-    /// absent where it stays.
+    /// Longest expected wait at which the call is queued here; beyond it the
+    /// call is refused so that its entry node can try another server. `None`
+    /// if it is queued however long the wait.
     pub wait_max: Option<Duration>,
-    /// True where a backend server makes it while it serves another.
+    /// True if a backend server makes the call while it serves another one.
     pub inner: bool,
-    /// How likely it repeats work at a backend server.
+    /// Probability that the call repeats work at a backend server.
     pub repeats: RepeatShare,
 }
 
@@ -81,30 +86,30 @@
 pub enum SlotOutcome {
     /// The server's answer began after this time.
     Answered(Duration),
-    /// The server answered that it has no room.
+    /// The server answered that it is overloaded.
     Shed,
-    /// No answer, a failure, which may have been quick without being good,
-    /// or nobody waits for it any more.
+    /// The call got no answer, it failed (a short time to a failure says
+    /// nothing of the server's speed), or its caller went away.
     Abandoned,
 }
 
-/// What the gate wants done.
+/// An action that the gate's owner must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateAction {
-    /// The call goes to the backend server now.
+    /// Send the call to the backend server.
     Start(CallTicket),
-    /// The call gets this answer now.
+    /// Answer the call with this refusal.
     Refuse(CallTicket, RefusalReason),
 }
 
-/// Bounds of the queue, as operators set them.
+/// Queue and concurrency bounds that operators set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueBounds {
-    /// Calls that may wait.
+    /// Largest number of queued calls.
     pub calls: usize,
-    /// Longest wait of a call, all its tries together.
+    /// Longest wait of a call, over all of its tries.
     pub wait: Duration,
-    /// Part of the announced slots that is always used, in hundredths.
+    /// Lower bound of the concurrency limit, in percent of the announced slots.
     pub slots_floor: u32,
 }
 
@@ -124,12 +129,13 @@
     length: JobLength,
     started_at: Duration,
     repeats: RepeatShare,
-    /// Jobs at the server when it started, itself included.
-    beside: u32,
+    /// Jobs at the server when this one started, itself included.
+    in_flight_at_start: u32,
     outbound: OutboundMark,
 }
 
-/// Slots, queue, drain and work in flight of one backend server.
+/// Admission control of one backend server: its slots, its queue, its drain
+/// state and its work in flight.
 #[derive(Debug)]
 pub struct ServerGate {
     announced: Option<AnnouncedServer>,
@@ -152,7 +158,7 @@
 }
 
 impl ServerGate {
-    /// A gate whose queue has this order, with nothing announced yet.
+    /// Creates a gate with this queue order and no announced server.
     pub fn new(order: QueueOrder) -> Self {
         Self {
             announced: None,
@@ -169,7 +175,9 @@
         }
     }
 
-    /// The backend server announced itself, for the first time or anew.
+    /// Records an announcement of the backend server and ends a drain. If the
+    /// announcement differs from the last one, the concurrency limit and the
+    /// recorded service times start afresh.
     pub fn announce(&mut self, server: AnnouncedServer) {
         self.draining = false;
         if self.announced.as_ref() == Some(&server) {
@@ -181,14 +189,14 @@
         self.announced = Some(server);
     }
 
-    /// Bounds from the configuration in force.
+    /// Sets the bounds of the configuration in force.
     pub fn configure(&mut self, bounds: QueueBounds) {
         self.bounds = bounds;
         self.limit.keep(bounds.slots_floor);
     }
 
-    /// The backend server is leaving: nothing new from now on, and what
-    /// waits is sent elsewhere.
+    /// Starts a drain: new calls are refused from now on, and all queued calls
+    /// are refused so that their entry nodes can try another server.
     pub fn drain(&mut self) -> Vec<GateAction> {
         self.draining = true;
         let mut actions = Vec::new();
@@ -198,66 +206,69 @@
         actions
     }
 
-    /// What the backend server announced, if it has.
+    /// The latest announcement of the backend server, if there is one.
     pub fn announced(&self) -> Option<&AnnouncedServer> {
         self.announced.as_ref()
     }
 
-    /// True from the start of a drain until a new announcement.
+    /// True from the start of a drain until the next announcement.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Requests at the backend server now.
+    /// Number of requests at the backend server.
     pub fn in_flight(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Calls that wait for a slot.
+    /// Number of calls that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that the backend server gets at once.
+    /// Concurrency limit in force: requests that the backend server is sent at
+    /// the same time.
     pub fn allowed(&self) -> u32 {
         self.limit.allowed()
     }
 
-    /// A call wants a slot. It starts, waits, or is refused.
+    /// Starts, queues or refuses a call. The returned actions may also refuse
+    /// other calls that expired in the queue or were evicted from it.
     pub fn offer(
         &mut self,
         now: Duration,
         ticket: CallTicket,
         call: OfferedCall,
     ) -> Vec<GateAction> {
-        if let Err(reason) = self.check(&call) {
+        if let Err(reason) = self.check_admissible(&call) {
             return vec![GateAction::Refuse(ticket, reason)];
         }
         if let Some(target) = call.target_left {
             self.times.expect(&call.route, target);
         }
-        let goes_first = call.inner && self.has_free_slot();
+        let skips_queue = call.inner && self.has_free_slot();
         let full = !self.queue.is_empty() || self.in_flight() >= self.limit.allowed();
         let expected = self.expected_wait();
-        let stays = call.wait_max.is_none_or(|most| expected <= most);
-        if full && !goes_first && !stays {
+        let accepts_wait = call.wait_max.is_none_or(|max| expected <= max);
+        if full && !skips_queue && !accepts_wait {
             return vec![GateAction::Refuse(ticket, RefusalReason::NoFreeSlot)];
         }
-        // Guards against work that is begun too late to end in time: its slot
-        // is lost for calls that could still be answered. Where slots are
-        // free a quick run may do, where calls wait what it takes lately.
+        // Guards against work that is started too late to meet its deadline
+        // and takes a slot from calls that could still be answered. The work
+        // is expected to take the least time seen while slots are free, and
+        // the recent service time while calls are queued.
         let work = if full {
             self.times.lately(&call.route)
         } else {
             self.times.least(&call.route)
         };
         let late_at = self.late_at(now, &call);
-        let patience = self.patience(now, &call, late_at);
+        let wait_timeout = self.wait_timeout(now, &call, late_at);
         let waiting = WaitingCall {
             ticket,
             length: self.times.length(&call.route),
             arrived_at: now.saturating_sub(call.waited),
-            give_up_at: now + call.left.saturating_sub(work).min(patience),
+            give_up_at: now + call.left.saturating_sub(work).min(wait_timeout),
             late_at,
             cost: self.times.cost(&call.route),
             repeats: call.repeats,
@@ -265,31 +276,31 @@
             customer: call.customer,
             priority: call.priority,
         };
-        // Guards against a call that waits for itself: an outer call holds
-        // the last slot of a limit that was cut, its inner call queues
-        // behind it, both time out, and no job ends well that could raise
-        // the limit. Work begun elsewhere ends first, within the slots that
-        // the server announced; outer calls alone are limited below them.
-        if goes_first {
+        // Guards against a deadlock: an outer call holds the last slot of a
+        // reduced limit, its inner call is queued behind it, both time out,
+        // and no job succeeds that could raise the limit again. Inner calls
+        // therefore start while an announced slot is free, so that work begun
+        // elsewhere ends first; only outer calls are held to the reduced limit.
+        if skips_queue {
             self.start(now, waiting);
             return vec![GateAction::Start(ticket)];
         }
         let in_time = waiting.late_at.is_none_or(|late| now + expected < late);
         self.queue.push(waiting, in_time);
         let mut actions = Vec::new();
-        self.fill(now, &mut actions);
-        self.bound(now, &mut actions);
+        self.start_waiting(now, &mut actions);
+        self.evict_excess(now, &mut actions);
         actions
     }
 
-    /// How long a call waits for a slot at most.
+    /// Longest time that a call may wait for a slot.
     ///
-    /// Load pattern: servers are lost for good and calls exceed the slots that
-    /// are left for as long as the load lasts. Those that wait beyond the time
-    /// for which they are useful are refused in the end all the same, too late
-    /// to be served elsewhere. One that is late already finds a gap within the
-    /// work of one call or comes back.
-    fn patience(
+    /// Load pattern: servers are permanently lost and the load exceeds the
+    /// remaining slots for as long as it lasts. A call that waits beyond its
+    /// latest useful start is refused in the end anyway, too late to be served
+    /// by another server. A call that is already late waits for at most the
+    /// service time of one call; after that its caller should retry.
+    fn wait_timeout(
         &self,
         now: Duration,
         call: &OfferedCall,
@@ -303,29 +314,31 @@
         bound.min(late_at.saturating_sub(now).max(work))
     }
 
-    /// Latest start from which an answer is in time; work that takes a
-    /// quarter longer than lately still is.
+    /// Latest start at which the call is still expected to meet its target,
+    /// with [`SERVICE_TIME_MARGIN`] on the recent service time.
     ///
-    /// Load pattern: a server that is slow for seconds, cold or loaded, with
-    /// more calls than it can answer. Judged by its usual time, each call is
-    /// started when it is late already; where that time says that none can be
-    /// in time, all are late from the start and wait for each other. With
-    /// both guards 0.90 of the answers that a server could give at 1.1 of
-    /// its capacity are in time after a cold start, without them 0.00
-    /// (`tests/timely_overload.rs`).
+    /// Load pattern: a server that is cold or loaded is slow for seconds and
+    /// gets more calls than it can answer. By its long-term service time, each
+    /// call would be started when it is already late. If the service time says
+    /// that no call can be in time, all calls are late on arrival and wait for
+    /// each other. Using the recent service time guards against the first,
+    /// [`MIN_SLACK_DIVISOR`] against the second. With both, 0.90 of the answers
+    /// that a server could give at 1.1 times its capacity are in time after a
+    /// cold start; without them, 0.00 (`tests/timely_overload.rs`).
     fn late_at(&self, now: Duration, call: &OfferedCall) -> Option<Duration> {
-        let work = self.times.lately(&call.route).mul_f64(LATE_MARGIN);
-        // Brief ones cost the others little, and many are made by servers for
-        // requests that wait for them: late or not, they keep their place.
+        let work = self.times.lately(&call.route).mul_f64(SERVICE_TIME_MARGIN);
+        // Brief calls cost the others little, and many are made by servers on
+        // behalf of requests that wait for them, so they are never treated as
+        // late.
         if self.times.is_brief(&call.route) {
             return None;
         }
         let target = call.target_left?;
-        let slack = target.saturating_sub(work).max(target / NEWCOMER_PART);
+        let slack = target.saturating_sub(work).max(target / MIN_SLACK_DIVISOR);
         Some(now + slack)
     }
 
-    /// How long a call that came now would wait for a slot.
+    /// Expected wait for a slot of a call that arrives now.
     pub fn expected_wait(&self) -> Duration {
         let allowed = self.limit.allowed();
         if self.queue.is_empty() && self.in_flight() < allowed {
@@ -335,21 +348,22 @@
         for call in self.running.values() {
             work += self.times.lately(&call.route);
         }
-        // Slots of equal work at random stages: one is free after a part of
-        // the mean that falls with their number.
+        // Assumes jobs of equal length at random stages of completion: a slot
+        // becomes free every `mean / allowed`.
         let mean = work / self.in_flight().max(1);
-        let before = self.queue.timely() as u32 + 1;
-        mean * before / allowed.max(1)
+        let ahead = self.queue.timely() as u32 + 1;
+        mean * ahead / allowed.max(1)
     }
 
-    /// Route of a call that holds a slot, and what its jobs take lately.
+    /// Route of a call that holds a slot, and the recent service time of that
+    /// route. `None` if the call holds no slot or no job of the route was seen.
     pub fn service_time(&self, ticket: CallTicket) -> Option<(Arc<str>, Duration)> {
         let call = self.running.get(&ticket)?;
         let work = self.times.seen_lately(&call.route)?;
         Some((Arc::clone(&call.route), work))
     }
 
-    /// How likely a request that the server runs now repeats earlier work.
+    /// Mean probability that a running request repeats earlier work.
     pub fn repeats(&self) -> RepeatShare {
         RepeatShare::mean(self.running.values().map(|call| call.repeats))
     }
@@ -359,9 +373,9 @@
         announced.is_some_and(|server| self.in_flight() < server.slots)
     }
 
-    fn check(&self, call: &OfferedCall) -> Result<(), RefusalReason> {
-        // Guards against a stale endpoint record: an address that now
-        // serves another service would give a caller a stranger's answer.
+    fn check_admissible(&self, call: &OfferedCall) -> Result<(), RefusalReason> {
+        // Guards against a stale endpoint record: the address may now belong
+        // to another service, whose answer the caller would get.
         let announced = self.announced.as_ref();
         if announced.is_none_or(|server| server.service != call.service) {
             return Err(RefusalReason::NotAnnounced);
@@ -369,16 +383,16 @@
         if self.draining {
             return Err(RefusalReason::Draining);
         }
-        // Guards against work that ends after its deadline: it would take a
-        // slot from calls that can still be answered in time.
+        // Guards against work that cannot end before its deadline: it would
+        // take a slot from calls that can still be answered in time.
         if call.left <= self.times.least(&call.route) {
             return Err(RefusalReason::DeadlinePassed);
         }
         Ok(())
     }
 
-    /// A call gave its slot back, or whoever asked for one has left.
-    /// Tickets not held are passed over: a refused call ends here too.
+    /// Releases a call's slot, or removes the call from the queue if its caller
+    /// went away. Unknown tickets are ignored, as refused calls end here too.
     pub fn end(
         &mut self,
         now: Duration,
@@ -388,15 +402,15 @@
         let mut actions = Vec::new();
         let in_flight = self.in_flight();
         if let Some(call) = self.running.remove(&ticket) {
-            self.learn(now, &call, in_flight, outcome);
+            self.record_outcome(now, &call, in_flight, outcome);
         } else {
             self.queue.remove(ticket);
         }
-        self.fill(now, &mut actions);
+        self.start_waiting(now, &mut actions);
         actions
     }
 
-    fn learn(
+    fn record_outcome(
         &mut self,
         now: Duration,
         call: &RunningCall,
@@ -406,60 +420,67 @@
         if call.length == JobLength::Long {
             self.running_long -= 1;
         }
-        let own = self.outbound.none_since(call.outbound);
-        let lasted = now.saturating_sub(call.started_at);
-        let ratio = self.times.ratio(&call.route, lasted);
+        let independent = self.outbound.none_since(call.outbound);
+        let elapsed = now.saturating_sub(call.started_at);
+        let ratio = self.times.ratio(&call.route, elapsed);
         match outcome {
             SlotOutcome::Answered(taken) => {
-                let light = self.limit.is_light(in_flight.max(call.beside));
-                self.times.observe(&call.route, taken, light);
-                if own {
+                let lightly_loaded =
+                    self.limit.is_light(in_flight.max(call.in_flight_at_start));
+                self.times.observe(&call.route, taken, lightly_loaded);
+                if independent {
                     self.times.observe_own(&call.route, taken);
                 }
             }
             SlotOutcome::Shed => return self.limit.shed(now),
             SlotOutcome::Abandoned => {
-                self.times.observe_unended(&call.route, lasted);
-                if own {
-                    self.times.observe_given_up(&call.route, lasted);
+                self.times.observe_unended(&call.route, elapsed);
+                if independent {
+                    self.times.observe_given_up(&call.route, elapsed);
                 }
             }
         }
-        if !own {
+        if !independent {
             return self.limit.observe_nothing(now, in_flight);
         }
         let slowdown = self.times.slowdown(&call.route);
         self.limit.observe(now, slowdown, ratio, in_flight);
     }
 
-    /// The backend server sends a call of its own through the node.
+    /// Records that the backend server started a call of its own through the
+    /// node.
     pub fn outbound_begin(&mut self) {
         self.outbound.begin();
     }
 
-    /// One of those calls has been answered or given up.
+    /// Records that one of the server's own calls was answered or abandoned.
     pub fn outbound_end(&mut self) {
         self.outbound.end();
     }
 
-    /// Answers the calls whose time is up.
+    /// Refuses the queued calls whose wait has timed out.
     pub fn wake(&mut self, now: Duration) -> Vec<GateAction> {
         let mut actions = Vec::new();
-        self.expire(now, &mut actions);
+        self.refuse_expired(now, &mut actions);
         actions
     }
 
-    /// When [`ServerGate::wake`] has something to do next.
+    /// Time at which [`ServerGate::wake`] must be called next, if any call is
+    /// queued.
     pub fn next_wake(&self) -> Option<Duration> {
         self.queue.next_expiry()
     }
 
-    fn fill(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
-        self.expire(now, actions);
+    fn start_waiting(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
+        self.refuse_expired(now, actions);
         while self.in_flight() < self.limit.allowed() {
-            let long_free = self.running_long < self.long_allowed();
-            let late_free = late_room::may_start(self.in_flight(), self.limit.allowed());
-            let Some(call) = self.queue.pop(now, self.order, long_free, late_free) else {
+            let long_job_allowed = self.running_long < self.long_jobs_max();
+            let late_call_allowed =
+                late_room::may_start(self.in_flight(), self.limit.allowed());
+            let Some(call) =
+                self.queue
+                    .pop(now, self.order, long_job_allowed, late_call_allowed)
+            else {
                 break;
             };
             actions.push(GateAction::Start(call.ticket));
@@ -477,31 +498,31 @@
             length: call.length,
             started_at: now,
             repeats: call.repeats,
-            beside: self.in_flight() + 1,
+            in_flight_at_start: self.in_flight() + 1,
             outbound: self.outbound.mark(),
         };
         self.running.insert(call.ticket, running);
     }
 
-    fn long_allowed(&self) -> u32 {
+    fn long_jobs_max(&self) -> u32 {
         let allowed = self.limit.allowed();
-        let kept = allowed.div_ceil(SHORT_PART);
-        (allowed - kept).max(1)
+        let reserved = allowed.div_ceil(SHORT_JOBS_DIVISOR);
+        (allowed - reserved).max(1)
     }
 
-    fn bound(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
+    fn evict_excess(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
         let allowed = self.limit.allowed();
-        let room = self.standing.room(now, self.bounds.calls, allowed);
-        let late = late_room::waiting_max(allowed);
-        while let Some(call) = self.queue.evict_late(late, self.order) {
+        let queue_max = self.standing.room(now, self.bounds.calls, allowed);
+        let late_max = late_room::waiting_max(allowed);
+        while let Some(call) = self.queue.evict_late(late_max, self.order) {
             actions.push(GateAction::Refuse(call.ticket, RefusalReason::QueueFull));
         }
-        while let Some(call) = self.queue.evict(room, self.order) {
+        while let Some(call) = self.queue.evict(queue_max, self.order) {
             actions.push(GateAction::Refuse(call.ticket, RefusalReason::QueueFull));
         }
     }
 
-    fn expire(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
+    fn refuse_expired(&mut self, now: Duration, actions: &mut Vec<GateAction>) {
         while let Some(ticket) = self.queue.expire(now) {
             actions.push(GateAction::Refuse(ticket, RefusalReason::QueueTimeout));
         }
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,4 +1,4 @@
-//! The figures that operators may set: fleet defaults and exceptions.
+//! Tuning parameters that operators set as fleet defaults and exceptions.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,47 +9,47 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A figure that operators may set, named with its unit.
+/// A tuning parameter that operators may set.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum TuningKey {
-    /// Deadline of a call whose caller states none, in milliseconds.
+    /// Deadline of calls whose caller states none, in milliseconds.
     DeadlineMs,
-    /// Tries of one call at most, the first included.
+    /// Most tries of a call, including the first.
     TriesMax,
-    /// Retries allowed per hundred first tries.
+    /// Retries allowed per 100 first tries.
     RetryPercent,
-    /// Retries that all nodes together may save up for a service, beyond
-    /// `RetryPercent`; 0 leaves ten to each node.
+    /// Retries to a service that all nodes together may accumulate in addition
+    /// to `RetryPercent`; 0 allows ten to each node.
     RetryBurst,
-    /// Servers that a call is offered to for a slot that is free at once,
-    /// before it waits at one of them.
+    /// Servers that are probed for a free slot before a call waits at one of
+    /// them.
     SlotProbes,
-    /// Part of an answer's worth, in thousandths, that a kilobyte between
-    /// failure domains costs.
+    /// Cost of a kilobyte sent between failure domains, in thousandths of an
+    /// answer's worth.
     #[serde(alias = "far_ms_per_kb")]
     FarCostPerKb,
-    /// Part of the slots that a backend server announces which it is given
-    /// however slow it is, in hundredths. 100 where what servers announce is
-    /// known to be what they can use.
+    /// Lower bound of a backend server's concurrency limit, in percent of the
+    /// slots that it announces, however slow it is. 100 is for servers known to
+    /// announce only slots that they can use.
     SlotsFloor,
     /// Calls that may wait at a node for a slot of its backend server.
     QueueCalls,
-    /// Longest wait in that queue, in milliseconds.
+    /// Longest wait of a call in that queue, in milliseconds.
     QueueWaitMs,
-    /// First share of a new version, in thousandths of the calls.
+    /// First traffic share of a new version, in per mille of the calls.
     MoveFirstShare,
-    /// Calls of a new version wanted before each step of its share.
+    /// Calls that a new version must receive before each step of its share.
     MoveStepCalls,
-    /// Part of a service's calls during a move that a bad version may get, in
-    /// hundredths; 0 sets no bound. With one the share stays small until much
-    /// of the time is over.
+    /// Bound on the calls that a bad version may receive during a rollout, in
+    /// percent of the service's calls; 0 sets no bound. A bound keeps the share
+    /// small until much of the rollout's time has passed.
     MoveExposure,
-    /// Calls that it may get besides.
+    /// Calls that a bad version may receive in addition to `MoveExposure`.
     MoveExposureCalls,
-    /// Least time that a move may be given, in seconds.
+    /// Shortest time that may be set for a rollout, in seconds.
     MoveLeastSeconds,
 }
 
@@ -72,7 +72,7 @@
         Self::MoveLeastSeconds,
     ];
 
-    /// The key as written in documents and on the command line.
+    /// The key's name in documents and on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DeadlineMs => "deadline_ms",
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Value used where neither the fleet nor an exception sets one.
+    /// Value used if neither the fleet document nor an exception sets one.
     pub fn built_in(self) -> u64 {
         match self {
             Self::DeadlineMs => 10_000,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Values that a document may hold.
+    /// Valid values in a document.
     pub fn range(self) -> RangeInclusive<u64> {
         match self {
             Self::DeadlineMs => 1..=600_000,
@@ -139,14 +139,14 @@
     }
 }
 
-/// A word that names no figure.
+/// Error for a name that is no tuning key.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("unknown key {0:?}; known are {known}", known = known_keys())]
 pub struct UnknownKey(String);
 
 fn known_keys() -> String {
-    let words: Vec<&str> = TuningKey::ALL.iter().map(|key| key.as_str()).collect();
-    words.join(", ")
+    let names: Vec<&str> = TuningKey::ALL.iter().map(|key| key.as_str()).collect();
+    names.join(", ")
 }
 
 impl FromStr for TuningKey {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Figures set for the whole fleet; the rest are built in.
+/// Values set for the whole fleet; other keys have their built-in values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TuningTable {
@@ -170,7 +170,7 @@
 }
 
 impl TuningTable {
-    /// The value in force for the fleet.
+    /// The fleet's value of `key`: the set one, or else the built-in one.
     pub fn get(&self, key: TuningKey) -> u64 {
         self.values
             .get(&key)
@@ -178,17 +178,17 @@
             .unwrap_or_else(|| key.built_in())
     }
 
-    /// Sets a value; the range is checked with the whole document.
+    /// Sets a value. Its range is checked when the whole document is validated.
     pub fn set(&mut self, key: TuningKey, value: u64) {
         self.values.insert(key, value);
     }
 
-    /// Goes back to the built-in value.
+    /// Resets a key to its built-in value.
     pub fn unset(&mut self, key: TuningKey) {
         self.values.remove(&key);
     }
 
-    /// What the document sets, in the order of the keys.
+    /// The values that are set, in the order of the keys.
     pub fn entries(&self) -> impl Iterator<Item = (TuningKey, u64)> + '_ {
         self.values.iter().map(|(key, value)| (*key, *value))
     }
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What may have happened to a call at a backend server.
+//! Knowledge of whether a call has run at a backend server.
 
 use std::fmt;
 
@@ -7,23 +7,23 @@
 
 /// Whether a request may have run at a backend server.
 ///
-/// Only [`CallVerdict::NotRun`] allows a non-idempotent call to be tried
-/// again. The order is one of growing knowledge of harm: a call's verdict
-/// over several tries is the greatest of them.
+/// A non-idempotent call may be retried only after [`CallVerdict::NotRun`].
+/// Variants are ordered by certainty that the request ran; the verdict of a
+/// call with several tries is the greatest of their verdicts.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum CallVerdict {
-    /// No backend server has seen the request.
+    /// No backend server has run the request.
     NotRun,
-    /// The request left for a backend server and no whole answer came.
+    /// The request was sent to a backend server, but no complete answer came.
     MayHaveRun,
     /// A backend server answered.
     Ran,
 }
 
 impl CallVerdict {
-    /// The header's value, as callers read it.
+    /// The value of the verdict header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reads the header's value; `None` for any other word.
+    /// Parses the value of the verdict header; `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "not-run" => Some(Self::NotRun),
