--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -232,8 +232,8 @@
         self.limit.allowed()
     }
 
-    /// Starts, queues or refuses a call. The returned actions may also refuse
-    /// other calls that expired in the queue or were evicted from it.
+    /// Starts, queues or refuses a call. The returned actions may also concern
+    /// queued calls that are started, expire or are evicted.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -254,9 +254,9 @@
             return vec![GateAction::Refuse(ticket, RefusalReason::NoFreeSlot)];
         }
         // Guards against work that is started too late to meet its deadline
-        // and takes a slot from calls that could still be answered. The work
-        // is expected to take the least time seen while slots are free, and
-        // the recent service time while calls are queued.
+        // and takes a slot from calls that could still be answered. While a
+        // slot is free, the least known service time must fit; otherwise the
+        // recent one must.
         let work = if full {
             self.times.lately(&call.route)
         } else {
--- a/crates/core/tests/connection_care.rs
+++ b/crates/core/tests/connection_care.rs
@@ -1,4 +1,4 @@
-//! Kept connections that went silent get no new work.
+//! Renewal of pooled connections after calls without any answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,54 +13,55 @@
     Duration::from_secs(seconds)
 }
 
-// A switch forgets every open connection to a server. The first call on one
-// of them is lost; the next must not be given to another of them.
+// Guards against losing one call per pooled connection after a switch drops the
+// state of all connections to a server.
 #[test]
-fn one_silent_call_condemns_the_whole_set() {
-    let mut care = ConnectionRenewal::default();
-    let first = care.begin(at(0), server(1));
-    let other = care.begin(at(0), server(2));
-    care.report_silent(server(1), first);
-    assert_ne!(care.begin(at(5), server(1)), first);
-    assert_eq!(care.begin(at(5), server(2)), other);
+fn one_silent_call_retires_the_whole_generation() {
+    let mut renewal = ConnectionRenewal::default();
+    let first = renewal.begin(at(0), server(1));
+    let other = renewal.begin(at(0), server(2));
+    renewal.report_silent(server(1), first);
+    assert_ne!(renewal.begin(at(5), server(1)), first);
+    assert_eq!(renewal.begin(at(5), server(2)), other);
 }
 
-// Many calls are lost on the same set; their reports come one after the
-// other. Only the first may renew, or each would throw away connections that
-// are new and sound.
+// Guards against discarding new, working connections: many calls are lost on
+// one generation and are reported one after the other, but only the first
+// report may cause a renewal.
 #[test]
-fn late_word_of_an_old_set_changes_nothing() {
-    let mut care = ConnectionRenewal::default();
-    let first = care.begin(at(0), server(1));
-    care.report_silent(server(1), first);
-    let second = care.begin(at(5), server(1));
-    care.report_silent(server(1), first);
-    assert_eq!(care.begin(at(9), server(1)), second);
+fn reports_of_an_old_generation_are_ignored() {
+    let mut renewal = ConnectionRenewal::default();
+    let first = renewal.begin(at(0), server(1));
+    renewal.report_silent(server(1), first);
+    let second = renewal.begin(at(5), server(1));
+    renewal.report_silent(server(1), first);
+    assert_eq!(renewal.begin(at(9), server(1)), second);
 }
 
-// A server that is only slow makes every call look silent. It must not be
-// loaded with new connections for each of them as well.
+// Guards against loading a slow server further with a new set of connections
+// for each call that times out without an answer.
 #[test]
-fn a_slow_server_is_not_stormed_with_connections() {
-    let mut care = ConnectionRenewal::default();
+fn slow_server_gets_few_renewals() {
+    let mut renewal = ConnectionRenewal::default();
     let mut renewals = 0;
-    let mut last = care.begin(at(0), server(1));
+    let mut last = renewal.begin(at(0), server(1));
     for millis in (0..10_000).step_by(10) {
         let now = Duration::from_millis(millis);
-        let generation = care.begin(now, server(1));
+        let generation = renewal.begin(now, server(1));
         renewals += u32::from(generation != last);
         last = generation;
-        care.report_silent(server(1), generation);
+        renewal.report_silent(server(1), generation);
     }
     assert!(renewals <= 10, "{renewals} renewals in ten seconds");
 }
 
-// Servers come and go by the thousand over the weeks that a node runs.
+// Guards against unbounded growth: thousands of servers come and go over the
+// weeks that a node runs.
 #[test]
 fn unused_servers_are_forgotten() {
-    let mut care = ConnectionRenewal::default();
-    let first = care.begin(at(0), server(1));
-    care.begin(at(50), server(2));
-    assert_eq!(care.sweep(at(61)), vec![server(1)]);
-    assert_ne!(care.begin(at(62), server(1)), first);
+    let mut renewal = ConnectionRenewal::default();
+    let first = renewal.begin(at(0), server(1));
+    renewal.begin(at(50), server(2));
+    assert_eq!(renewal.sweep(at(61)), vec![server(1)]);
+    assert_ne!(renewal.begin(at(62), server(1)), first);
 }
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -1,4 +1,4 @@
-//! The search for a free slot, and the calls that are late already.
+//! Search for a free slot, and handling of calls that cannot meet their target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,7 +47,8 @@
     }
 }
 
-/// One near server and two far ones, all long past their cold start.
+/// One server in the node's failure domain and two in another, all long past
+/// their cold start.
 fn pool() -> ServerPool {
     let mut pool = ServerPool::default();
     pool.put(Duration::ZERO, record(0, true), true);
@@ -56,8 +57,8 @@
     pool
 }
 
-/// A search for an answer that is worth most within 300 ms, and that loses
-/// `far` of it between failure domains.
+/// A search for an answer with a target latency of 300 ms that loses the
+/// fraction `far` of its worth between failure domains.
 fn search<'a>(free: bool, far: f64, full: &'a [Arc<str>]) -> ChoiceNeed<'a> {
     let costs = SearchCosts {
         full,
@@ -81,15 +82,16 @@
     }
 }
 
-/// What a server's node tells: the wait there, and what a job takes.
-fn told(wait: u64, work: u64) -> ToldLoad {
+/// The load that a server's node reports: its wait and its service time, in
+/// milliseconds.
+fn reported(wait: u64, work: u64) -> ToldLoad {
     ToldLoad {
         wait: millis(wait),
         work: Some(millis(work)),
     }
 }
 
-fn tell(pool: &mut ServerPool, now: Duration, number: u16, load: ToldLoad) {
+fn report_load(pool: &mut ServerPool, now: Duration, number: u16, load: ToldLoad) {
     pool.tell(now, &format!("records-{number}"), &"/sheets".into(), load);
 }
 
@@ -98,61 +100,62 @@
     pool.choose(now, need, &mut rng).expect("a server")
 }
 
-// The near server is full while slots stand free in another failure domain.
-// Waiting near costs callers their time; a short answer is taken from afar.
+// Guards against waiting at a full server in the same failure domain while slots
+// are free in another one and the answer is small enough to be sent from there.
 #[test]
-fn a_short_call_goes_where_a_slot_is_free() {
+fn small_answer_comes_from_a_far_free_slot() {
     let now = millis(60_000);
     let mut pool = pool();
     let near = chosen(&mut pool, now, &search(true, 0.0, &[]));
     assert_eq!(&*near.instance, "records-0");
-    tell(&mut pool, now, 0, told(80, 100));
+    report_load(&mut pool, now, 0, reported(80, 100));
     let far = chosen(&mut pool, now, &search(true, 0.0, &[]));
     assert_ne!(&*far.instance, "records-0");
     assert_eq!(far.wait_max, Some(Duration::ZERO));
 }
 
-// Large answers are paid for between failure domains. They wait for a near
-// slot, but not for ever: a wait beyond what staying is worth sends them off.
+// Guards against sending large answers between failure domains, which costs
+// money, instead of waiting for a near slot, and against waiting longer than
+// that saving is worth.
 #[test]
-fn a_large_answer_waits_near_within_reason() {
+fn large_answer_waits_for_a_near_slot_within_a_bound() {
     let now = millis(60_000);
     let mut pool = pool();
     let large = 0.3;
-    tell(&mut pool, now, 0, told(80, 100));
+    report_load(&mut pool, now, 0, reported(80, 100));
     let near = chosen(&mut pool, now, &search(true, large, &[]));
     assert_eq!(&*near.instance, "records-0");
-    let patience = near.wait_max.expect("a bound");
-    assert!(patience > millis(80) && patience < TARGET, "{patience:?}");
+    let wait_max = near.wait_max.expect("a bounded wait");
+    assert!(wait_max > millis(80) && wait_max < TARGET, "{wait_max:?}");
     let near = chosen(&mut pool, now, &search(false, large, &[]));
     assert_eq!((&*near.instance, near.wait_max), ("records-0", None));
-    tell(&mut pool, now, 0, told(900, 100));
+    report_load(&mut pool, now, 0, reported(900, 100));
     let far = chosen(&mut pool, now, &search(false, large, &[]));
     assert_ne!(&*far.instance, "records-0");
 }
 
-// One server in each failure domain, and the near one is half as quick as the
-// others. Whoever always takes the quickest sends all answers across, though
-// nearly all would be in time from near; with less time in hand they cross.
+// Guards against always choosing the fastest server, which would send all
+// answers between failure domains. A near server that is half as fast as the
+// others is chosen while it can meet the target, and a far one otherwise.
 #[test]
-fn a_call_with_time_in_hand_stays_near() {
+fn call_stays_near_while_it_can_meet_its_target() {
     let now = millis(60_000);
     let mut pool = pool();
     for (number, work) in [(0, 120), (1, 60), (2, 60)] {
-        tell(&mut pool, now, number, told(0, work));
+        report_load(&mut pool, now, number, reported(0, work));
     }
     let need = search(true, 0.12, &[]);
     assert_eq!(&*chosen(&mut pool, now, &need).instance, "records-0");
-    tell(&mut pool, now, 0, told(0, 240));
+    report_load(&mut pool, now, 0, reported(0, 240));
     assert_ne!(&*chosen(&mut pool, now, &need).instance, "records-0");
 }
 
-// A wait told a moment ago is over by now: the server is asked again.
+// Guards against avoiding a server because of a reported wait that has passed.
 #[test]
-fn a_told_wait_runs_out() {
+fn reported_wait_expires() {
     let now = millis(60_000);
     let mut pool = pool();
-    tell(&mut pool, now, 0, told(80, 100));
+    report_load(&mut pool, now, 0, reported(80, 100));
     let later = now + millis(90);
     let near = chosen(&mut pool, later, &search(true, 0.0, &[]));
     assert_eq!(&*near.instance, "records-0");
@@ -173,7 +176,8 @@
     gate
 }
 
-/// A call that stays, or one that is offered elsewhere before it waits.
+/// A call that waits for a slot if `stays` is set, and otherwise is offered to
+/// another server.
 fn offered(target: Duration, stays: bool) -> OfferedCall {
     OfferedCall {
         service: "records".into(),
@@ -189,7 +193,7 @@
     }
 }
 
-/// Lets the gate learn what the route's work takes.
+/// Lets the gate learn the service time of the route.
 fn learn(gate: &mut ServerGate, now: &mut Duration) {
     for ticket in 0..32 {
         gate.offer(*now, ticket, offered(TARGET, true));
@@ -198,10 +202,10 @@
     }
 }
 
-// A call is offered elsewhere before it waits: with no slot free its refusal
-// comes at once and takes no place in the queue.
+// Guards against queuing a call that only probes for a free slot: without one it
+// is refused at once and takes no place in the queue.
 #[test]
-fn without_a_free_slot_the_offer_is_refused_at_once() {
+fn probe_without_a_free_slot_is_refused_at_once() {
     let mut gate = gate(1);
     let started = gate.offer(millis(0), 1, offered(TARGET, false));
     assert_eq!(started, vec![GateAction::Start(1)]);
@@ -212,21 +216,21 @@
     assert!(gate.expected_wait() > Duration::ZERO);
 }
 
-// More calls than one slot can answer, each worth most within 300 ms and
-// served in the order of arrival: soon every answer is late, though a third
-// of them could have been in time for as long as the load lasts.
+// Guards against serving in order of arrival under overload. With three times as
+// many calls as one slot can answer and a target of 300 ms, soon every answer
+// would be late, although a third of the calls could be answered in time.
 #[test]
-fn under_overload_some_answers_stay_in_time() {
+fn most_answers_are_in_time_under_overload() {
     let mut gate = gate(1);
     let mut now = millis(0);
     learn(&mut gate, &mut now);
-    let began = now;
+    let started_at = now;
     let mut arrivals = Vec::new();
     let mut running: Option<(u64, Duration)> = None;
     let mut answered = Vec::new();
-    // Three calls for each that can be served, for four seconds.
+    // Three times the capacity for four seconds.
     for step in 0..4_000_u64 {
-        now = began + millis(step);
+        now = started_at + millis(step);
         let mut actions = Vec::new();
         if let Some((ticket, since)) = running.filter(|(_, since)| now >= *since + WORK) {
             running = None;
@@ -248,23 +252,23 @@
     let in_time = |(ticket, at): &(u64, Duration)| {
         *at - arrivals[(*ticket - 1_000) as usize] <= TARGET
     };
-    let late_half = answered
+    let second_half = answered
         .iter()
-        .filter(|(_, at)| *at > began + millis(2_000));
-    let late_half: Vec<_> = late_half.collect();
-    let timely = late_half.iter().filter(|one| in_time(one)).count();
-    assert!(late_half.len() >= 18, "{} answered", late_half.len());
+        .filter(|(_, at)| *at > started_at + millis(2_000));
+    let second_half: Vec<_> = second_half.collect();
+    let timely = second_half.iter().filter(|one| in_time(one)).count();
+    assert!(second_half.len() >= 18, "{} answered", second_half.len());
     assert!(
-        timely * 10 >= late_half.len() * 8,
+        timely * 10 >= second_half.len() * 8,
         "{timely} of {} in time",
-        late_half.len()
+        second_half.len()
     );
 }
 
-// A call that has waited so long that its work no longer fits into its time
-// is refused and not begun: begun, it would hold the slot for nothing.
+// Guards against wasting a slot on a queued call whose work no longer fits
+// before its deadline.
 #[test]
-fn work_that_cannot_end_in_time_is_not_begun() {
+fn queued_work_that_cannot_end_in_time_is_not_started() {
     let mut gate = gate(1);
     let mut now = millis(0);
     learn(&mut gate, &mut now);
@@ -278,18 +282,18 @@
     assert_eq!(actions, vec![GateAction::Refuse(101, reason)]);
 }
 
-// A version on trial gets a sixth of the calls. On all six of its servers
-// none of them is loaded, and a fault that shows under load stays hidden
-// until nearly all calls go there; so they all go to one.
+// Guards against missing a fault that shows only under load: a candidate version
+// with a sixth of the calls, spread over all six of its servers, loads none of
+// them until nearly all calls go there. All of its calls must go to one server.
 #[test]
-fn a_small_share_loads_few_servers_fully() {
+fn small_share_goes_to_few_servers() {
     let mut pool = ServerPool::default();
     for number in 0..6 {
         pool.put(Duration::ZERO, record(number, number == 3), number == 3);
     }
     let among = pool.for_share(160);
     assert_eq!(among.len(), 1);
-    // The few that 512 of 1,000 is above one half fill no fourth server.
+    // The small excess of 512 over 500 per mille does not add a fourth server.
     assert_eq!(pool.for_share(512).len(), 3);
     for share in 1..=1_000 {
         let used = pool.for_share(share).len();
--- a/crates/core/tests/gate_chain.rs
+++ b/crates/core/tests/gate_chain.rs
@@ -1,4 +1,4 @@
-//! Calls many services deep at one server's gate.
+//! Concurrency limit of a server gate for calls in long service chains.
 
 use std::time::Duration;
 
@@ -37,11 +37,11 @@
     }
 }
 
-/// Runs jobs one after the other, each taking `millis`.
+/// Runs 400 jobs one after the other, each taking `millis`.
 fn run_jobs(gate: &mut ServerGate, from: u64, millis: u64, outbound: bool) {
     for number in from..from + 400 {
-        let began = Duration::from_millis(number * 200);
-        gate.offer(began, number, call());
+        let started_at = Duration::from_millis(number * 200);
+        gate.offer(started_at, number, call());
         if outbound {
             gate.outbound_begin();
         }
@@ -49,13 +49,14 @@
         if outbound {
             gate.outbound_end();
         }
-        gate.end(began + taken, number, SlotOutcome::Answered(taken));
+        gate.end(started_at + taken, number, SlotOutcome::Answered(taken));
     }
 }
 
-/// Offers more than the slots take for `rounds` rounds. A job takes `millis`
-/// while at most `able` run, and as much longer as more do.
-fn saturate(gate: &mut ServerGate, from: u64, rounds: u64, millis: u32, able: u32) {
+/// Offers more calls than there are slots for `rounds` rounds. A job takes
+/// `millis` while at most `capacity` jobs run, and proportionally longer if more
+/// do.
+fn saturate(gate: &mut ServerGate, from: u64, rounds: u64, millis: u32, capacity: u32) {
     let mut now = Duration::from_secs(from);
     let mut next = from * 1_000;
     let mut running = Vec::new();
@@ -64,8 +65,8 @@
             next += 1;
             running.extend(started(&gate.offer(now, next, call())));
         }
-        let crowding = (running.len() as u32).max(able);
-        let taken = Duration::from_millis(u64::from(millis)) * crowding / able;
+        let concurrency = (running.len() as u32).max(capacity);
+        let taken = Duration::from_millis(u64::from(millis)) * concurrency / capacity;
         now += taken;
         for ticket in std::mem::take(&mut running) {
             let ended = gate.end(now, ticket, SlotOutcome::Answered(taken));
@@ -91,8 +92,9 @@
     tickets
 }
 
-/// A gate whose server turned out to run ten jobs at once, not forty.
-fn cut_gate() -> ServerGate {
+/// A gate with a reduced limit: its server announced forty slots but can run
+/// ten jobs concurrently.
+fn reduced_gate() -> ServerGate {
     let mut gate = gate();
     run_jobs(&mut gate, 0, 10, false);
     saturate(&mut gate, 100, 200, 10, 10);
@@ -100,27 +102,24 @@
     gate
 }
 
-// A certificate is put together from answers of other services, 28 deep. One
-// of those slows down tenfold. The documents servers look ten times as slow,
-// their gates cut the limit to a quarter, and every call through them waits
-// for slots that stand empty: callers get `queue-timeout` from servers that
-// have nothing to do.
+// Guards against throttling a server whose jobs wait for a slow service deeper
+// in the chain: its jobs take ten times as long, its gate reduces the limit to
+// a quarter, and callers get `queue-timeout` from an idle server.
 #[test]
-fn a_slow_service_below_does_not_throttle_the_one_above() {
+fn slow_downstream_service_does_not_reduce_the_limit() {
     let mut gate = gate();
     run_jobs(&mut gate, 0, 10, true);
     run_jobs(&mut gate, 400, 100, true);
     assert_eq!(gate.allowed(), SLOTS);
 }
 
-// A burst made the server slow and its gate cut the limit. Then a certificate
-// needs a lot lookup that the same server answers: the outer call holds the
-// last slot of the limit and its inner call waits behind it until both time
-// out, so no job ever ends well and the limit never rises again. Callers get
-// `queue-timeout` for ever from a server that has nothing to do.
+// Guards against a deadlock under a reduced limit: an outer call holds the last
+// slot while its inner call to the same server is queued behind it. Both time
+// out, no job succeeds, the limit never rises again, and callers get
+// `queue-timeout` from an idle server from then on.
 #[test]
-fn a_call_within_a_call_does_not_wait_for_itself() {
-    let mut gate = cut_gate();
+fn inner_calls_start_beyond_a_reduced_limit() {
+    let mut gate = reduced_gate();
     let allowed = u64::from(gate.allowed());
     let now = Duration::from_secs(1_000);
     for ticket in 0..allowed {
@@ -141,15 +140,19 @@
     for ticket in 102..102 + u64::from(SLOTS) {
         gate.offer(now, ticket, inner.clone());
     }
-    assert_eq!(gate.in_flight(), SLOTS, "never more than was announced");
+    assert_eq!(
+        gate.in_flight(),
+        SLOTS,
+        "more in flight than announced slots"
+    );
 }
 
-// A file of several megabytes takes three hundred times as long as a price
-// sheet. Then larger jobs come, and a trial of cuts begins from a mean that
-// the one file still fills: any mean after it looked like a gain, the limit
-// fell to a quarter, and callers got `queue-timeout` beside free slots.
+// Guards against one outlier deciding a trial of lower limits. A job 300 times
+// as long as the others still dominates the mean when larger jobs arrive and a
+// trial begins. Any later mean looks like an improvement, the limit falls to a
+// quarter, and callers get `queue-timeout` although slots are free.
 #[test]
-fn one_very_long_job_does_not_decide_a_trial() {
+fn one_very_long_job_does_not_decide_a_limit_trial() {
     let mut gate = gate();
     run_jobs(&mut gate, 0, 10, false);
     let now = Duration::from_secs(90);
@@ -160,21 +163,21 @@
     assert_eq!(gate.allowed(), SLOTS);
 }
 
-// A server announced forty slots and can run ten jobs at once: with forty all
-// of them take four times as long. Its gate must find it and stay near ten,
-// or calls time out in the server instead of going elsewhere.
+// Guards against overloading a server that announces forty slots but can run
+// ten jobs concurrently: with forty, each takes four times as long, and calls
+// time out in the server instead of going to another one. The limit must fall
+// and stay near ten.
 #[test]
-fn a_server_slow_from_crowding_is_found() {
-    let gate = cut_gate();
+fn limit_stays_near_the_actual_capacity() {
+    let gate = reduced_gate();
     assert!(gate.allowed() >= SLOTS / 4);
 }
 
-// Buyers ask for whole books of price sheets instead of single ones: each
-// job takes ten times as long, however many run. The gate took that for
-// crowding, cut its limit, and callers got `queue-timeout` from a server
-// with free slots. The limit must be whole again within a second.
+// Guards against taking larger jobs for overload. Each job takes ten times as
+// long, however many run; with a reduced limit, callers get `queue-timeout`
+// from a server with free slots. The limit must be whole again within a second.
 #[test]
-fn larger_jobs_do_not_pass_for_crowding() {
+fn larger_jobs_are_not_taken_for_overload() {
     let mut gate = gate();
     run_jobs(&mut gate, 0, 10, false);
     saturate(&mut gate, 100, 10, 100, 1_000);
@@ -183,12 +186,12 @@
     assert_eq!(gate.allowed(), SLOTS);
 }
 
-// A burst made the server slow and its gate cut the limit. Since then each of
-// its jobs waits for other services, so that no job's time says anything of
-// the server. With evidence alone the limit would stay cut for ever.
+// Guards against a limit that stays reduced for good: all jobs wait for other
+// services, so no job time is evidence of the server's speed, and evidence
+// alone would never raise the limit again.
 #[test]
-fn a_limit_that_was_cut_comes_back_without_evidence() {
-    let mut gate = cut_gate();
+fn reduced_limit_recovers_without_evidence() {
+    let mut gate = reduced_gate();
     gate.outbound_begin();
     for round in 0..20 {
         let now = Duration::from_secs(1_000 + round);
--- a/crates/core/tests/load_gate.rs
+++ b/crates/core/tests/load_gate.rs
@@ -1,5 +1,5 @@
-//! The server's gate: its promises hold under any order of events, and its
-//! turns are those of a naive fair queue.
+//! Server gate: its invariants under arbitrary event sequences, and its queue
+//! against a naive fair queue.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
 use cowslip_core::server_gate::SlotOutcome;
 
 const SLOTS: u32 = 4;
-const ROOM: usize = 8;
+const QUEUE_MAX: usize = 8;
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -39,7 +39,7 @@
     });
     gate.configure(QueueBounds {
         slots_floor: 25,
-        calls: ROOM,
+        calls: QUEUE_MAX,
         wait: millis(300),
     });
     gate
@@ -87,7 +87,7 @@
     ]
 }
 
-/// What a caller of the gate knows.
+/// The calls of the gate as its owner sees them.
 #[derive(Default)]
 struct GateView {
     waiting: BTreeMap<u64, Duration>,
@@ -95,8 +95,9 @@
 }
 
 impl GateView {
-    /// Every action is for a call that waits, and a start comes in time.
-    fn take(
+    /// Checks that every action is for a waiting call and that no call starts
+    /// after its deadline.
+    fn check_actions(
         &mut self,
         now: Duration,
         actions: Vec<GateAction>,
@@ -107,7 +108,7 @@
                 GateAction::Refuse(ticket, _) => ticket,
             };
             let deadline_at = self.waiting.remove(&ticket);
-            prop_assert!(deadline_at.is_some(), "answered twice, or never asked");
+            prop_assert!(deadline_at.is_some(), "answered twice or never offered");
             if let GateAction::Start(ticket) = action {
                 prop_assert!(deadline_at > Some(now), "started too late");
                 self.running.insert(ticket);
@@ -118,9 +119,9 @@
 }
 
 proptest! {
-    // Whatever comes, callers get one answer each, none is forgotten, the
-    // server gets no more than its slots, and no slot idles while a call
-    // that may have it waits.
+    // Under any sequence of events, each caller gets exactly one answer, the
+    // server gets at most as many calls as it has slots, and no slot is idle
+    // while a call that may use it waits.
     #[test]
     fn each_call_gets_one_answer(events in prop::collection::vec(gate_event(), 1..200)) {
         let mut gate = gate();
@@ -152,24 +153,24 @@
                 }
                 _ => Vec::new(),
             };
-            view.take(now, actions)?;
+            view.check_actions(now, actions)?;
             prop_assert_eq!(gate.in_flight() as usize, view.running.len());
             prop_assert_eq!(gate.waiting(), view.waiting.len());
             prop_assert!(gate.in_flight() <= SLOTS);
-            prop_assert!(gate.waiting() <= ROOM);
-            // One slot is kept from long jobs.
+            prop_assert!(gate.waiting() <= QUEUE_MAX);
+            // One slot is reserved for short jobs.
             let busy = gate.in_flight() + 1 >= gate.allowed();
-            prop_assert!(gate.waiting() == 0 || busy, "a slot idles");
+            prop_assert!(gate.waiting() == 0 || busy, "a slot is idle");
         }
         let last = gate.wake(now + millis(1_000));
-        view.take(now + millis(1_000), last)?;
-        prop_assert!(view.waiting.is_empty(), "every waiter was answered in the end");
+        view.check_actions(now + millis(1_000), last)?;
+        prop_assert!(view.waiting.is_empty(), "every waiting call must be answered");
     }
 
-    // Customers with calls waiting get as many turns as each other, however
-    // many calls they have there.
+    // Customers with waiting calls get equally many turns, however many calls
+    // each of them has in the queue.
     #[test]
-    fn turns_are_even(counts in prop::collection::vec(1..30_usize, 2..8)) {
+    fn customers_get_equal_turns(counts in prop::collection::vec(1..30_usize, 2..8)) {
         let mut lane = CustomerLane::default();
         let mut ticket = 0;
         for (customer, count) in counts.iter().enumerate() {
@@ -187,18 +188,18 @@
         prop_assert!(served.values().all(|turns| *turns == fewest));
     }
 
-    // With one customer and one priority the queue is a plain one: first
-    // come, first served, and the last to come is the first to be evicted.
+    // With one customer and one priority the queue is first in, first out, and
+    // the latest call is evicted first.
     #[test]
-    fn alone_it_is_a_plain_queue(steps in prop::collection::vec(any::<bool>(), 1..100)) {
+    fn one_customer_gets_a_plain_queue(steps in prop::collection::vec(any::<bool>(), 1..100)) {
         let mut queue = CallQueue::default();
         let mut naive = std::collections::VecDeque::new();
         for (ticket, push) in steps.into_iter().enumerate() {
             if push {
                 queue.push(waiting(ticket as u64, 0, CallPriority::Normal));
                 naive.push_back(ticket as u64);
-                let evicted = queue.evict(ROOM, QueueOrder::OldestFirst);
-                let plain = (naive.len() > ROOM).then(|| naive.pop_back()).flatten();
+                let evicted = queue.evict(QUEUE_MAX, QueueOrder::OldestFirst);
+                let plain = (naive.len() > QUEUE_MAX).then(|| naive.pop_back()).flatten();
                 prop_assert_eq!(evicted.map(|call| call.ticket), plain);
                 continue;
             }
@@ -223,8 +224,8 @@
     }
 }
 
-// Buyers and growers both queue without end. Sixteen of 21 turns go to the
-// most urgent, but a grower's check gets its turn within any 21.
+// Guards against starvation while calls of all priorities are always queued: of
+// 21 turns, 16 go to the highest priority, but at least one to the lowest.
 #[test]
 fn no_priority_starves() {
     let mut queue = CallQueue::default();
@@ -240,12 +241,16 @@
         *turns.entry(call.priority).or_insert(0) += 1;
     }
     let high = turns[&CallPriority::High];
-    assert!((62..=66).contains(&high), "{high} of 84 turns are urgent");
+    assert!(
+        (62..=66).contains(&high),
+        "{high} of 84 turns had high priority"
+    );
     assert!(turns[&CallPriority::Low] >= 3);
 }
 
-// A caller gives 20 ms for work that never took less than 50 ms. It would
-// hold a slot for nothing; it is refused before, as not run.
+// Guards against wasting a slot on a call that cannot meet its deadline: one
+// with 20 ms left for work that never took less than 50 ms is refused as not
+// run.
 #[test]
 fn work_that_cannot_end_in_time_takes_no_slot() {
     let mut gate = gate();
@@ -262,10 +267,10 @@
     assert_eq!(gate.offer(millis(20), 99, call), [refused]);
 }
 
-// Calls wait at a server that is told to stop. They would wait for nothing;
-// they are told at once, so that their entry nodes go elsewhere.
+// Guards against calls that wait in vain at a draining server: they are refused
+// at once, so that their entry nodes can try another server.
 #[test]
-fn a_leaving_server_sends_its_waiters_away() {
+fn draining_server_refuses_its_queued_calls() {
     let mut gate = gate();
     for ticket in 0..6 {
         gate.offer(
@@ -274,21 +279,21 @@
             offered(0, CallPriority::Normal, 400),
         );
     }
-    let mut sent = gate.drain();
-    sent.sort_by_key(|action| format!("{action:?}"));
+    let mut refused = gate.drain();
+    refused.sort_by_key(|action| format!("{action:?}"));
     let draining = RefusalReason::Draining;
     let expected = [
         GateAction::Refuse(4, draining),
         GateAction::Refuse(5, draining),
     ];
-    assert_eq!(sent, expected);
-    assert_eq!(gate.in_flight(), SLOTS, "what runs goes on");
+    assert_eq!(refused, expected);
+    assert_eq!(gate.in_flight(), SLOTS, "running calls must continue");
 }
 
-// One job in fifty takes a hundred times as long as the others, as it always
-// did. That is no overload: taking it for one would idle half the slots.
+// Guards against taking a usual mix of jobs for overload, which would leave half
+// of the slots idle: one job in 50 always takes 100 times as long as the others.
 #[test]
-fn a_few_very_long_jobs_are_no_slow_down() {
+fn few_very_long_jobs_do_not_reduce_the_limit() {
     let mut gate = gate();
     let mut now = Duration::ZERO;
     for ticket in 0..2_000 {
@@ -300,10 +305,10 @@
     }
 }
 
-// A backend server announces ten slots and can run four: it sheds the rest
-// and slows down. The gate learns to send fewer, and all again afterwards.
+// Guards against overloading a backend server that announces more slots than it
+// can use and sheds calls: the limit must fall, and rise again afterwards.
 #[test]
-fn a_server_that_sheds_gets_fewer_at_once() {
+fn server_that_sheds_gets_fewer_concurrent_calls() {
     let mut gate = gate();
     let mut now = Duration::ZERO;
     for ticket in 0..20 {
@@ -329,11 +334,12 @@
     assert_eq!(gate.allowed(), SLOTS);
 }
 
-// A server has lookups of 220 ms, and now and then a page that answers at once.
-// Beside that page every lookup is a long job; were a third of the slots kept
-// for it, lookups would wait and be refused while those slots stand idle.
+// Guards against reserving slots for rare short jobs. Compared with an
+// occasional page that answers at once, every lookup of 220 ms is a long job;
+// with a third of the slots reserved for the page, lookups would wait and be
+// refused while those slots are idle.
 #[test]
-fn rare_short_jobs_keep_no_slots_free() {
+fn rare_short_jobs_reserve_no_slots() {
     let mut gate = ServerGate::default();
     gate.announce(AnnouncedServer {
         service: "contract".into(),
--- a/crates/core/tests/load_router.rs
+++ b/crates/core/tests/load_router.rs
@@ -1,4 +1,4 @@
-//! The entry router's rules for further tries.
+//! Retry rules of the entry router.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Tries one call until it is given up; each try ends as `run` says.
+/// Tries one call until it is refused; `run` gives the failure of each try.
 fn run_call(
     router: &mut EntryRouter,
     head: &CallHead<'_>,
@@ -104,7 +104,8 @@
     }
 }
 
-/// Runs at the innermost server of a chain whose servers all break off.
+/// Counts the runs at the innermost server of a chain in which the connection to
+/// every server breaks.
 fn innermost_runs(depth: u32, origin: CallOrigin) -> u32 {
     if depth == 0 {
         return 1;
@@ -117,18 +118,18 @@
     runs
 }
 
-// A lookup goes 28 services deep and the innermost server breaks off, and so
-// do all above it. If each layer tried three times, the innermost would get
-// 3 to the 28th calls; only the outermost repeats.
+// Guards against retries that multiply along a chain of 28 services: if every
+// layer tried a broken call three times, the innermost server would get 3^28
+// calls. Only the outermost layer may repeat it.
 #[test]
 fn tries_do_not_multiply_over_a_chain() {
     assert_eq!(innermost_runs(28, CallOrigin::Outside), 3);
 }
 
-// A batch sale's connection breaks after it was sent. It may have run, and a
-// second run would invoice the honey twice.
+// Guards against running a non-idempotent call twice: the connection breaks
+// after the request was sent, so a sale may already have been invoiced.
 #[test]
-fn a_call_that_may_have_run_is_not_repeated() {
+fn call_that_may_have_run_is_not_repeated() {
     let mut runs = 0;
     let sale = head(CallOrigin::Outside, false);
     let reason = run_call(&mut router(6), &sale, || {
@@ -138,9 +139,10 @@
     assert_eq!((runs, reason), (1, RefusalReason::ConnectionBroken));
 }
 
-// A refusal by a full queue ran nowhere: also a sale goes to another server.
+// Guards against giving up a non-idempotent call that has not run: after a
+// refusal by a full queue it is retried at another server.
 #[test]
-fn a_call_that_did_not_run_goes_elsewhere() {
+fn call_that_did_not_run_is_retried_at_another_server() {
     let mut router = router(2);
     let sale = head(CallOrigin::Outside, false);
     let mut plan = router.plan(NOW, &sale).expect("there is a route");
@@ -151,15 +153,16 @@
     assert_ne!(first.instance, second.instance);
     let next = router.failed(NOW, &mut plan, &second, FULL);
     assert_eq!(next, NextStep::Retry(RetryReason::QueueFull));
-    // The reason is what the servers said, not that none is left.
+    // The reason is the servers' refusal, not that no server is left.
     let left = router.begin(NOW, &mut plan);
     assert_eq!(left.err(), Some(RefusalReason::QueueFull));
 }
 
-// The budget is spent, and a lookup breaks off, is tried again, and meets a
-// full queue. "retry-budget" would read as if it had run nowhere.
+// Guards against a refusal with "retry-budget", which implies that nothing has
+// run: the connection of the first try broke, the second try met a full queue,
+// and the budget is exhausted.
 #[test]
-fn a_spent_budget_does_not_hide_that_it_may_have_run() {
+fn exhausted_budget_does_not_hide_that_a_call_may_have_run() {
     let mut router = router(6);
     let lookup = head(CallOrigin::Outside, true);
     for _ in 0..30 {
@@ -179,13 +182,13 @@
             }
         }
     }
-    panic!("the budget never ran out between two tries");
+    panic!("the retry budget was never exhausted between two tries");
 }
 
-// The whole service is full. Three tries for each call would triple the load
-// on it just then; after the first few the budget of a fifth holds.
+// Guards against retries that triple the load on a service that is already full:
+// after the first few, retries are limited to a fifth of the calls.
 #[test]
-fn retries_of_a_full_service_keep_to_the_budget() {
+fn retries_to_a_full_service_stay_within_the_budget() {
     let mut router = router(6);
     let mut tries = 0;
     let mut out_of_budget = 0;
@@ -209,12 +212,11 @@
     assert!(out_of_budget > 0);
 }
 
-// A service is overloaded, and the servers of another one call it while they
-// run requests. Refused at the entry with the callers' own, such a call takes
-// the work of a whole request with it, which its caller then asks for again:
-// the more is refused, the more there is to do.
+// Guards against self-sustaining overload: if the customer limit refused a call
+// that a server makes for a running request, the work already done for that
+// request would be lost and its caller would retry all of it.
 #[test]
-fn calls_for_requests_under_way_are_not_refused_for_their_customer() {
+fn calls_for_running_requests_are_exempt_from_the_customer_limit() {
     let mut router = router(1);
     let mut refused = [0, 0];
     for _ in 0..400 {
--- a/crates/core/tests/timely_overload.rs
+++ b/crates/core/tests/timely_overload.rs
@@ -1,5 +1,5 @@
-//! A backend server that cannot answer all calls within their target: how many
-//! answers are in time, judged by what callers receive.
+//! Share of answers within the target latency, as callers receive them, from a
+//! backend server that cannot answer all calls in time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -24,26 +24,25 @@
 const TARGET: Duration = Duration::from_millis(600);
 const LEFT: Duration = Duration::from_millis(2_000);
 
-/// Part of the jobs that call another service while they run.
-const CALLING_PART: f64 = 0.7;
+/// Fraction of the jobs that call another service while they run.
+const CALLING_FRACTION: f64 = 0.7;
 
-/// Runs of each plan; the mean of them is judged.
+/// Runs of each plan; the mean of their results is checked.
 const SEEDS: u64 = 8;
 
-/// How a server's speed changes, in multiples of its usual time for a job.
+/// Service time over time, in multiples of the usual service time.
 type Slowness = fn(Duration) -> f64;
 
-/// What is to happen to a server.
+/// Load and server speed of one simulation.
 struct LoadPlan {
     seed: u64,
-    /// Calls a second, in multiples of what the server can answer at its
-    /// usual speed.
+    /// Call rate, in multiples of the server's capacity at its usual speed.
     load: f64,
     slowness: Slowness,
     seconds: u64,
 }
 
-/// A server with its gate, under a virtual clock of milliseconds.
+/// A simulated server with its gate, on a virtual clock of milliseconds.
 struct GatedServer {
     gate: ServerGate,
     rng: SmallRng,
@@ -52,7 +51,7 @@
     calling: HashMap<u64, bool>,
     arrived: HashMap<u64, Duration>,
     answered: Vec<(u64, Duration)>,
-    /// How long calls waited that were refused in the end.
+    /// Waiting times of the refused calls.
     refused_after: Vec<Duration>,
 }
 
@@ -98,7 +97,7 @@
         self.gate.offer(now, ticket, call)
     }
 
-    fn carry_out(&mut self, now: Duration, slowness: f64, actions: Vec<GateAction>) {
+    fn apply(&mut self, now: Duration, slowness: f64, actions: Vec<GateAction>) {
         for action in actions {
             let ticket = match action {
                 GateAction::Start(ticket) => ticket,
@@ -109,7 +108,7 @@
             };
             let spread = self.rng.random_range(0.6..1.4);
             let ends = now + WORK.mul_f64(slowness * spread);
-            let calls = self.rng.random_bool(CALLING_PART);
+            let calls = self.rng.random_bool(CALLING_FRACTION);
             if calls {
                 self.gate.outbound_begin();
             }
@@ -134,11 +133,11 @@
     }
 }
 
-/// Plays a plan; the server after it, and the answers that one of that speed
-/// could give at most and that were asked for in the last half.
-fn play(plan: &LoadPlan) -> (GatedServer, f64) {
+/// Runs a plan. Returns the server, and the largest number of answers that it
+/// could give in the second half, bounded by its speed and by the offered calls.
+fn simulate(plan: &LoadPlan) -> (GatedServer, f64) {
     let mut server = GatedServer::new(plan.seed);
-    let a_millisecond = plan.load * f64::from(SLOTS) / WORK.as_millis() as f64;
+    let calls_per_ms = plan.load * f64::from(SLOTS) / WORK.as_millis() as f64;
     let mut tickets = 0;
     let mut possible = 0.0;
     let half = Duration::from_secs(plan.seconds) / 2;
@@ -146,25 +145,25 @@
         let now = Duration::from_millis(step);
         let slowness = (plan.slowness)(now);
         if now >= half {
-            possible += a_millisecond.min(a_millisecond / plan.load / slowness);
+            possible += calls_per_ms.min(calls_per_ms / plan.load / slowness);
         }
         while let Some(actions) = server.end_one(now) {
-            server.carry_out(now, slowness, actions);
+            server.apply(now, slowness, actions);
         }
-        if server.rng.random_bool(a_millisecond) {
+        if server.rng.random_bool(calls_per_ms) {
             tickets += 1;
             let actions = server.offer(now, tickets);
-            server.carry_out(now, slowness, actions);
+            server.apply(now, slowness, actions);
         }
         let actions = server.gate.wake(now);
-        server.carry_out(now, slowness, actions);
+        server.apply(now, slowness, actions);
     }
     (server, possible)
 }
 
-/// Answers in time, of those that were possible in the last half of the plan.
-fn timely_part(plan: &LoadPlan) -> f64 {
-    let (server, possible) = play(plan);
+/// Answers in time, as a fraction of those possible in the plan's second half.
+fn timely_fraction(plan: &LoadPlan) -> f64 {
+    let (server, possible) = simulate(plan);
     let half = Duration::from_secs(plan.seconds) / 2;
     let mut timely = 0;
     for (ticket, at) in &server.answered {
@@ -177,59 +176,59 @@
 }
 
 fn mean_of_seeds(load: f64, slowness: Slowness, seconds: u64) -> f64 {
-    let parts = (0..SEEDS).map(|seed| {
-        timely_part(&LoadPlan {
+    let fractions = (0..SEEDS).map(|seed| {
+        timely_fraction(&LoadPlan {
             seed,
             load,
             slowness,
             seconds,
         })
     });
-    parts.sum::<f64>() / SEEDS as f64
+    fractions.sum::<f64>() / SEEDS as f64
 }
 
-// All servers start again together and are slow for three seconds, under a
-// little more calls than they can answer. Growers wait for every quota, also
-// seconds after the servers are quick again: each call is started only when
-// it is late already, by what the first jobs taught.
+// Guards against late answers long after a cold start. All servers restart
+// together and are slow for three seconds under slightly more calls than they
+// can answer. If the service time learned from the first jobs were kept, each
+// call would be started only when it is already late.
 #[test]
-fn a_cold_start_does_not_make_later_calls_late() {
+fn cold_start_does_not_make_later_calls_late() {
     let cold = |now: Duration| if now.as_secs() < 3 { 2.0 } else { 1.0 };
     for load in [0.9, 1.1, 2.0] {
-        let part = mean_of_seeds(load, cold, 8);
-        assert!(part > 0.8, "{part:.2} at {load}");
+        let fraction = mean_of_seeds(load, cold, 8);
+        assert!(fraction > 0.8, "{fraction:.2} at {load}");
     }
 }
 
-// A server turns half as slow again under load. Its usual time says that calls
-// may wait long; those that did are answered late, and all the others behind
-// them. By what its jobs take lately most answers are in time.
+// Guards against using the long-term service time of a server that becomes 1.5
+// times as slow under load: calls would wait too long and be answered late, and
+// so would all calls queued behind them.
 #[test]
-fn a_slower_server_answers_in_time_what_it_can() {
+fn slower_server_answers_most_calls_in_time() {
     let slower = |now: Duration| if now.as_secs() < 2 { 1.0 } else { 1.5 };
     for load in [0.9, 1.1, 2.0] {
-        let part = mean_of_seeds(load, slower, 12);
-        assert!(part > 0.7, "{part:.2} at {load}");
+        let fraction = mean_of_seeds(load, slower, 12);
+        assert!(fraction > 0.7, "{fraction:.2} at {load}");
     }
 }
 
-// Jobs take nearly as long as their target, as after a loss of power, when all
-// servers are cold. Those that are started at once are mostly quick enough; but
-// each slot that came free was given to a call that was late already, and the
-// next one to come waited behind it until it was late too.
+// Guards against giving each free slot to a call that is already late, so that
+// the next call waits behind it until it is late too. Jobs take nearly as long
+// as their target, as after a power loss when all servers are cold; calls that
+// are started at once are mostly in time.
 #[test]
-fn a_target_that_is_hardly_met_is_met_by_some() {
+fn target_close_to_the_service_time_is_often_met() {
     for load in [0.9, 1.1, 2.0] {
-        let part = mean_of_seeds(load, |_| 2.0, 6);
-        assert!(part > 0.6, "{part:.2} at {load}");
+        let fraction = mean_of_seeds(load, |_| 2.0, 6);
+        assert!(fraction > 0.6, "{fraction:.2} at {load}");
     }
 }
 
-// A server that nobody knows yet is asked by all at once. Its node, which has
-// just started, has seen no job end and told waits of some milliseconds, so that
-// everybody went on sending there. By the target it can tell better.
+// Guards against a new node that reports waits of a few milliseconds because it
+// has seen no job end, so that all entry nodes keep sending calls to its full
+// queue. The target latency gives a better estimate.
 #[test]
-fn a_node_that_has_just_started_tells_a_full_queue() {
+fn new_node_reports_a_long_wait_for_a_full_queue() {
     let mut server = GatedServer::new(1);
     let now = Duration::from_millis(1);
     for ticket in 0..u64::from(SLOTS) * 3 {
@@ -239,11 +238,11 @@
     assert!(wait > TARGET / 8, "{wait:?}");
 }
 
-// A burst fills a server, and no call that comes can be in time any more. Those
-// that would wait for a gap behind others are told at once to come back; before,
-// all of them waited and most were refused when their time was over.
+// Guards against queuing calls that cannot be in time after a burst has filled
+// the server: most of them would be refused only after their wait. Those that
+// will find no free slot are refused at once, so that their callers can retry.
 #[test]
-fn late_calls_that_will_find_no_gap_are_refused_at_once() {
+fn late_calls_without_a_free_slot_are_refused_at_once() {
     let mut server = GatedServer::new(1);
     let mut now = Duration::ZERO;
     let mut refused = 0;
@@ -257,13 +256,13 @@
     assert!(refused > 50, "{refused} refused, {waiting} wait");
 }
 
-// Half of the servers are lost for good. Callers wait a second and more in the
-// queues of the others and are refused then, though their answer has long been
-// late: they could have come back while it was of use.
+// Guards against refusing calls only after their target has passed. Half of the
+// servers are lost permanently, and calls would wait a second or more in the
+// other servers' queues; refused earlier, they could be retried in time.
 #[test]
-fn no_call_waits_beyond_its_use_to_be_refused() {
+fn no_call_is_refused_after_its_target() {
     for seed in 0..SEEDS {
-        let (server, _) = play(&LoadPlan {
+        let (server, _) = simulate(&LoadPlan {
             seed,
             load: 2.0,
             slowness: |_| 1.0,
