--- a/crates/core/src/connection_renewal.rs
+++ b/crates/core/src/connection_renewal.rs
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Forgets the servers that were not used lately and returns them.
+    /// Forgets the servers that had no call for a minute and returns them. Does
+    /// nothing within ten seconds of the last search.
     pub fn sweep(&mut self, now: Duration) -> Vec<SocketAddr> {
         let mut forgotten = Vec::new();
         if now < self.swept_at + SWEEP_INTERVAL {
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -91,7 +91,7 @@
 const STATUS_SHED: u16 = 503;
 
 /// Statuses that count as failures of the backend server. Other 5xx statuses,
-/// except [`STATUS_SHED`], say that it does not support the request.
+/// except `STATUS_SHED`, say that it does not support the request.
 const STATUS_FAILED: [u16; 3] = [500, 502, 504];
 
 /// Routing state of one entry node.
@@ -283,7 +283,7 @@
             probes_left: probes,
             far_cost_per_kb: document.tuning(TuningKey::FarCostPerKb, &place),
             version: None,
-            full_servers: Vec::new(),
+            probed_servers: Vec::new(),
             tried_servers: Vec::new(),
             last_failure: None,
         };
@@ -354,7 +354,7 @@
         let pressure = pressure.or_default();
         let kilobytes = pressure.kilobytes(&plan.route);
         let costs = SearchCosts {
-            full: &plan.full_servers,
+            full: &plan.probed_servers,
             usual: pressure.lately(&plan.route),
             route: &plan.route,
             worth: AnswerWorth {
@@ -412,13 +412,14 @@
             plan.tried_servers.push(Arc::clone(&chosen.instance));
         } else {
             plan.probes_left -= 1;
-            plan.full_servers.push(Arc::clone(&chosen.instance));
+            plan.probed_servers.push(Arc::clone(&chosen.instance));
         }
         Ok(chosen)
     }
 
-    /// Records a failed try and decides what follows. A call that may have run
-    /// is retried only if it is idempotent and came from outside.
+    /// Records a failed try and decides what follows. A retry needs remaining
+    /// tries, time and retry budget; a call that may have run is retried only if
+    /// it is idempotent and came from outside.
     pub fn failed(
         &mut self,
         now: Duration,
--- a/crates/core/src/entry_router/call_plan.rs
+++ b/crates/core/src/entry_router/call_plan.rs
@@ -48,7 +48,7 @@
     /// Backend server version that was drawn for the call.
     pub(super) version: Option<Arc<str>>,
     /// Instances that were probed for a free slot.
-    pub(super) full_servers: Vec<Arc<str>>,
+    pub(super) probed_servers: Vec<Arc<str>>,
     /// Instances that are not tried again.
     pub(super) tried_servers: Vec<Arc<str>>,
     pub(super) last_failure: Option<RefusalReason>,
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -315,14 +315,14 @@
     }
 
     /// Latest start at which the call is still expected to meet its target,
-    /// with [`SERVICE_TIME_MARGIN`] on the recent service time.
+    /// with `SERVICE_TIME_MARGIN` on the recent service time.
     ///
     /// Load pattern: a server that is cold or loaded is slow for seconds and
     /// gets more calls than it can answer. By its long-term service time, each
     /// call would be started when it is already late. If the service time says
     /// that no call can be in time, all calls are late on arrival and wait for
     /// each other. Using the recent service time guards against the first,
-    /// [`MIN_SLACK_DIVISOR`] against the second. With both, 0.90 of the answers
+    /// `MIN_SLACK_DIVISOR` against the second. With both, 0.90 of the answers
     /// that a server could give at 1.1 times its capacity are in time after a
     /// cold start; without them, 0.00 (`tests/timely_overload.rs`).
     fn late_at(&self, now: Duration, call: &OfferedCall) -> Option<Duration> {
