--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -6,7 +6,9 @@
 //! Neither touches a disk, a socket or a clock: the holder passes in the
 //! time and what arrived, and carries out the actions that come back.
 
-pub use self::contact_book::ContactPlace;
+pub use self::contact_book::PeerContact;
+pub use self::folder_watermarks::FolderWatermark;
+pub use self::folder_watermarks::ProcessStart;
 pub use self::log_entry::EntryBody;
 pub use self::log_entry::LogEntry;
 pub use self::member::AgreementMember;
@@ -20,8 +22,6 @@
 pub use self::membership::MemberChange;
 pub use self::membership::MemberLine;
 pub use self::membership::MemberRefusal;
-pub use self::peer_memory::PeerMark;
-pub use self::peer_memory::ProcessStart;
 pub use self::saved_state::HardState;
 pub use self::saved_state::MemberIdentity;
 pub use self::saved_state::ReopenedFolder;
@@ -38,10 +38,11 @@
 
 pub mod timing;
 
+mod bootstrap;
 mod contact_book;
 mod election;
+mod folder_watermarks;
 mod follower;
-mod founding;
 mod leadership;
 mod log_entry;
 mod member;
@@ -51,7 +52,6 @@
 mod member_writes;
 mod membership;
 mod output_queue;
-mod peer_memory;
 mod replica_log;
 mod saved_state;
 mod state_replica;
--- a/crates/core/src/agreement/founding.rs
+++ b/crates/core/src/agreement/bootstrap.rs
@@ -11,39 +11,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::agreement::contact_book::ContactPlace;
+use crate::agreement::contact_book::PeerContact;
 use crate::agreement::leadership::PeerProgress;
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_list::MemberRecord;
 use crate::agreement::member_list::MemberRole;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
 use crate::agreement::saved_state::HardState;
-use crate::agreement::timing::GREETING_FRESH;
-use crate::agreement::timing::HELLO_PAUSE;
-use crate::agreement::timing::STEP_DOWN;
+use crate::agreement::timing::HELLO_INTERVAL;
+use crate::agreement::timing::HELLO_MAX_AGE;
+use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::version::ConfigVersion;
 
 /// Instances remembered by their greetings; the fleet has 18 at most.
-const GREETINGS_MAX: usize = 64;
+const HELLOS_MAX: usize = 64;
 
 /// Term of the founder's leadership.
 const FIRST_TERM: u64 = 1;
 
 /// An instance's last greeting.
 #[derive(Clone, Debug)]
-pub(super) struct Greeting {
+pub(super) struct ReceivedHello {
     pub(super) address: SocketAddr,
     pub(super) folder: u64,
     pub(super) fresh: bool,
     pub(super) at: Duration,
 }
 
-impl Greeting {
-    fn of(at: Duration, message: &MemberMessage, fresh: bool) -> Self {
+impl ReceivedHello {
+    fn from_message(at: Duration, message: &MemberMessage, fresh: bool) -> Self {
         Self {
             address: message.address,
             folder: message.folder,
@@ -56,42 +56,46 @@
 impl AgreementMember {
     /// Greets where there is nobody to follow, and founds where all are
     /// there.
-    pub(super) fn greet(&mut self, now: Duration) {
-        if now < self.hello_at || self.is_served(now) {
+    pub(super) fn send_hellos(&mut self, now: Duration) {
+        if now < self.next_hello_at || self.has_leader(now) {
             return;
         }
-        self.hello_at = now + HELLO_PAUSE;
-        let fresh = self.is_unfounded();
-        for (name, address) in self.greeted() {
+        self.next_hello_at = now + HELLO_INTERVAL;
+        let fresh = self.has_no_history();
+        for (name, address) in self.hello_targets() {
             let body = MessageBody::Hello { fresh };
             let message = self.message(&name, None, body);
             self.output.send((address, message));
         }
-        self.try_found(now);
+        self.try_bootstrap(now);
     }
 
     /// True for a leader, and for a member that hears from one.
-    fn is_served(&self, now: Duration) -> bool {
+    fn has_leader(&self, now: Duration) -> bool {
         if self.is_leader() {
             return true;
         }
-        let heard = self.leader_heard.is_some_and(|at| now < at + STEP_DOWN);
+        let heard = self
+            .leader_heard_at
+            .is_some_and(|at| now < at + STEP_DOWN_TIMEOUT);
         let own = &self.identity;
-        heard && self.takes_part() && self.log.members().holds(&own.instance, own.folder)
+        heard
+            && self.can_participate()
+            && self.log.members().contains(&own.instance, own.folder)
     }
 
-    fn is_unfounded(&self) -> bool {
+    fn has_no_history(&self) -> bool {
         self.log.last() == ConfigVersion::ZERO && self.hard == HardState::default()
     }
 
-    fn greeted(&self) -> BTreeMap<Arc<str>, SocketAddr> {
-        let mut greeted: BTreeMap<_, _> = self.founders.iter().cloned().collect();
+    fn hello_targets(&self) -> BTreeMap<Arc<str>, SocketAddr> {
+        let mut greeted: BTreeMap<_, _> = self.seeds.iter().cloned().collect();
         for (name, record) in self.log.members().iter() {
             greeted.insert(Arc::clone(name), record.address);
         }
         // Without this an instance whose seeds are no members any more, though
         // they run and know the leader, would never be heard of by the leader.
-        if let Some((leader, _)) = &self.hint {
+        if let Some((leader, _)) = &self.leader_hint {
             greeted.insert(Arc::clone(&leader.instance), leader.address);
         }
         for (name, address) in self.contacts.iter() {
@@ -101,55 +105,56 @@
         greeted
     }
 
-    pub(super) fn take_hello(
+    pub(super) fn handle_hello(
         &mut self,
         now: Duration,
         message: &MemberMessage,
         fresh: bool,
     ) {
-        self.note_greeting(now, message, fresh);
-        let fresh = self.is_unfounded();
-        if fresh && self.greetings.contains_key(&message.from) {
+        self.record_hello(now, message, fresh);
+        let fresh = self.has_no_history();
+        if fresh && self.received_hellos.contains_key(&message.from) {
             let founder = Arc::clone(&message.from);
-            self.answered.insert(founder, message.folder);
+            self.answered_folders.insert(founder, message.folder);
         }
         let body = MessageBody::HelloAnswer {
-            leader: self.standing(now).leader,
+            leader: self.leader_status(now).leader,
             fresh,
             greeted: message.start,
-            contacts: self.known_places(),
+            contacts: self.known_contacts(),
         };
         self.answer(message, body);
     }
 
     /// The members, and where none is known yet the contacts.
-    fn known_places(&self) -> Vec<ContactPlace> {
-        let mut places = Vec::new();
+    fn known_contacts(&self) -> Vec<PeerContact> {
+        let mut contacts = Vec::new();
         for (name, record) in self.log.members().iter() {
             let (instance, address) = (Arc::clone(name), record.address);
-            places.push(ContactPlace { instance, address });
+            contacts.push(PeerContact { instance, address });
         }
-        if !places.is_empty() {
-            return places;
+        if !contacts.is_empty() {
+            return contacts;
         }
         for (name, address) in self.contacts.iter() {
             let instance = Arc::clone(name);
-            places.push(ContactPlace { instance, address });
+            contacts.push(PeerContact { instance, address });
         }
-        places
+        contacts
     }
 
-    fn note_greeting(&mut self, now: Duration, message: &MemberMessage, fresh: bool) {
-        self.greetings
-            .retain(|_, greeting| now < greeting.at + GREETING_FRESH);
-        let known = self.greetings.contains_key(&message.from);
-        if known || self.greetings.len() < GREETINGS_MAX {
-            let greeting = Greeting::of(now, message, fresh);
-            self.greetings.insert(Arc::clone(&message.from), greeting);
+    fn record_hello(&mut self, now: Duration, message: &MemberMessage, fresh: bool) {
+        self.received_hellos
+            .retain(|_, hello| now < hello.at + HELLO_MAX_AGE);
+        let known = self.received_hellos.contains_key(&message.from);
+        if known || self.received_hellos.len() < HELLOS_MAX {
+            let hello = ReceivedHello::from_message(now, message, fresh);
+            self.received_hellos
+                .insert(Arc::clone(&message.from), hello);
         }
     }
 
-    pub(super) fn take_hello_answer(&mut self, now: Duration, message: MemberMessage) {
+    pub(super) fn handle_hello_answer(&mut self, now: Duration, message: MemberMessage) {
         let MessageBody::HelloAnswer {
             leader,
             fresh,
@@ -160,22 +165,22 @@
             return;
         };
         if let Some(leader) = leader {
-            self.hint = Some((leader.clone(), now));
+            self.leader_hint = Some((leader.clone(), now));
         }
-        self.contacts.learn(now, contacts);
+        self.contacts.merge(now, contacts);
         if *greeted != self.identity.start {
             return;
         }
         // An instance that lost its folder tells it here as well: its own
         // greeting may have been sent before this one listened.
-        self.note_greeting(now, &message, *fresh);
-        if !self.founders.iter().any(|(name, _)| *name == message.from) {
+        self.record_hello(now, &message, *fresh);
+        if !self.seeds.iter().any(|(name, _)| *name == message.from) {
             return;
         }
         let fresh = *fresh;
-        let greeting = Greeting::of(now, &message, fresh);
-        self.founding_answers.insert(message.from, greeting);
-        self.try_found(now);
+        let hello = ReceivedHello::from_message(now, &message, fresh);
+        self.hello_answers.insert(message.from, hello);
+        self.try_bootstrap(now);
     }
 
     /// True for entries of a founder that has lost its folder since.
@@ -186,21 +191,21 @@
     /// answers to its own start's greetings, and whoever answered takes no
     /// entry of an earlier folder.
     pub(super) fn is_from_lost_folder(&self, message: &MemberMessage) -> bool {
-        let answered = self.answered.get(&message.from);
+        let answered = self.answered_folders.get(&message.from);
         let other = answered.is_some_and(|folder| *folder != message.folder);
-        other && self.is_unfounded()
+        other && self.has_no_history()
     }
 
-    fn try_found(&mut self, now: Duration) {
-        let first = self.founders.first().map(|(name, _)| name);
-        let allowed = self.may_found && self.takes_part();
+    fn try_bootstrap(&mut self, now: Duration) {
+        let first = self.seeds.first().map(|(name, _)| name);
+        let allowed = self.may_bootstrap && self.can_participate();
         if first != Some(&self.identity.instance) || !allowed {
             return;
         }
-        if !self.is_unfounded() {
+        if !self.has_no_history() {
             return;
         }
-        let Some(members) = self.founding_members(now) else {
+        let Some(members) = self.bootstrap_members(now) else {
             return;
         };
         self.set_hard(HardState {
@@ -209,24 +214,24 @@
             barred: false,
         });
         self.begin_leadership(now);
-        self.append_own(EntryBody::Members(members));
+        self.append_as_leader(EntryBody::Members(members));
         // They are about to hold entries: no greeting holds any longer.
-        self.greetings.clear();
+        self.received_hellos.clear();
     }
 
     /// All voters of the settings, once each answered with an empty folder.
-    fn founding_members(&self, now: Duration) -> Option<MemberList> {
+    fn bootstrap_members(&self, now: Duration) -> Option<MemberList> {
         let mut members = MemberList::default();
-        for (name, address) in &self.founders {
+        for (name, address) in &self.seeds {
             let own = *name == self.identity.instance;
             let folder = if own {
                 self.identity.folder
             } else {
-                let greeting = self.founding_answers.get(name)?;
-                if !greeting.fresh || now >= greeting.at + GREETING_FRESH {
+                let hello = self.hello_answers.get(name)?;
+                if !hello.fresh || now >= hello.at + HELLO_MAX_AGE {
                     return None;
                 }
-                greeting.folder
+                hello.folder
             };
             let record = MemberRecord {
                 address: *address,
@@ -239,7 +244,7 @@
     }
 
     pub(super) fn progress(&self, instance: &str) -> Option<&PeerProgress> {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return None;
         };
         leadership.peers.get(instance)
--- a/crates/core/src/agreement/contact_book.rs
+++ b/crates/core/src/agreement/contact_book.rs
@@ -13,7 +13,7 @@
 
 /// An instance and where it listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ContactPlace {
+pub struct PeerContact {
     /// Its name.
     pub instance: Arc<str>,
     /// Where it listens.
@@ -33,10 +33,10 @@
 impl ContactBook {
     /// Notes contacts that another instance named; the one that was named
     /// longest ago makes room.
-    pub(super) fn learn(&mut self, now: Duration, told: &[ContactPlace]) {
-        for place in told {
-            let instance = Arc::clone(&place.instance);
-            self.contacts.insert(instance, (place.address, now));
+    pub(super) fn merge(&mut self, now: Duration, received: &[PeerContact]) {
+        for contact in received {
+            let instance = Arc::clone(&contact.instance);
+            self.contacts.insert(instance, (contact.address, now));
         }
         while self.contacts.len() > CONTACTS_MAX {
             let oldest = self.contacts.iter().min_by_key(|(_, (_, at))| *at);
--- a/crates/core/src/agreement/election.rs
+++ b/crates/core/src/agreement/election.rs
@@ -7,15 +7,15 @@
 use rand::Rng;
 
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
 use crate::agreement::saved_state::HardState;
-use crate::agreement::timing::ELECTION_MIN;
-use crate::agreement::timing::ELECTION_SPREAD;
-use crate::agreement::timing::START_JITTER_PART;
-use crate::agreement::timing::START_PATIENCE;
-use crate::agreement::timing::START_SPREAD;
+use crate::agreement::timing::ELECTION_TIMEOUT_JITTER;
+use crate::agreement::timing::ELECTION_TIMEOUT_MIN;
+use crate::agreement::timing::RESTART_ELECTION_TIMEOUT;
+use crate::agreement::timing::RESTART_POLL_JITTER_DIVISOR;
+use crate::agreement::timing::RESTART_POLL_SPREAD;
 use crate::version::ConfigVersion;
 
 /// What voters answered to the question whether an election would be won.
@@ -29,7 +29,7 @@
 
 /// One voter's answer to that question.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct VoterWord {
+pub(super) struct PreVoteReply {
     /// It would vote for the asker.
     pub(super) granted: bool,
     /// It is at the asker's term and can lead no term up to that any more.
@@ -38,7 +38,7 @@
 
 /// Why a candidate's voters need not wait for leases to end.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct VoteGround {
+pub(super) struct LeaseWaiver {
     /// The leader of the term before gave up its lease for the candidate.
     pub(super) handed_over: bool,
     /// Every voter was idle in the term before.
@@ -48,16 +48,16 @@
 impl AgreementMember {
     /// True where it is time to ask whether all voters have started again:
     /// until the wait after the own start is over, or a leader is heard.
-    pub(super) fn is_start_ask_due(&self, now: Duration) -> bool {
-        let starting = now < self.quiet_until && self.leader_heard.is_none();
-        starting && now >= self.start_ask_at && self.is_voter()
+    pub(super) fn is_restart_poll_due(&self, now: Duration) -> bool {
+        let starting = now < self.no_vote_until && self.leader_heard_at.is_none();
+        starting && now >= self.restart_poll_at && self.is_voter()
     }
 
-    pub(super) fn delay_election(&mut self, now: Duration) {
+    pub(super) fn reset_election_timer(&mut self, now: Duration) {
         let spread = self
             .random
-            .random_range(0..ELECTION_SPREAD.as_millis() as u64);
-        self.election_at = now + ELECTION_MIN + Duration::from_millis(spread);
+            .random_range(0..ELECTION_TIMEOUT_JITTER.as_millis() as u64);
+        self.election_at = now + ELECTION_TIMEOUT_MIN + Duration::from_millis(spread);
     }
 
     /// Puts off the question whether all voters have started again.
@@ -67,16 +67,16 @@
     /// both stand for election. Where one of three voters lost its disk
     /// neither wins. In the order of their names each has its own part of the
     /// spread.
-    pub(super) fn delay_start_ask(&mut self, now: Duration, patience: Duration) {
+    pub(super) fn delay_restart_poll(&mut self, now: Duration, patience: Duration) {
         let voters: Vec<_> = self.log.members().voters().collect();
         let place = voters
             .iter()
             .position(|voter| **voter == self.identity.instance);
-        let part = START_SPREAD / voters.len().max(1) as u32;
-        let jitter = part.as_millis() as u64 / START_JITTER_PART;
+        let part = RESTART_POLL_SPREAD / voters.len().max(1) as u32;
+        let jitter = part.as_millis() as u64 / RESTART_POLL_JITTER_DIVISOR;
         let jitter = self.random.random_range(0..jitter.max(1));
         let turn = part * place.unwrap_or_default() as u32;
-        self.start_ask_at = now + patience + turn + Duration::from_millis(jitter);
+        self.restart_poll_at = now + patience + turn + Duration::from_millis(jitter);
     }
 
     /// Asks whether an election would be won, without raising the term.
@@ -91,7 +91,8 @@
         } else {
             BTreeSet::new()
         };
-        self.stage = MemberStage::PreCandidate(PreVotes { granted, idle: own });
+        self.election_state =
+            ElectionState::PreCandidate(PreVotes { granted, idle: own });
         let last = self.log.last();
         for voter in self.other_voters() {
             self.send(&voter, MessageBody::PreVote { last });
@@ -122,33 +123,33 @@
     /// that asks anew has given up its term.
     fn is_idle_in(&self, term: u64) -> bool {
         let idle = matches!(
-            self.stage,
-            MemberStage::Follower | MemberStage::PreCandidate(_)
+            self.election_state,
+            ElectionState::Follower | ElectionState::PreCandidate(_)
         );
         idle && self.hard.term == term
     }
 
-    pub(super) fn take_pre_vote(
+    pub(super) fn handle_pre_vote_answer(
         &mut self,
         now: Duration,
         message: &MemberMessage,
         next_term: u64,
-        said: VoterWord,
+        reply: PreVoteReply,
     ) {
         if message.term > self.hard.term {
-            self.follow(now, message.term);
+            self.become_follower(now, message.term);
             return;
         }
         if next_term != self.hard.term + 1 || !self.is_listed(message) {
             return;
         }
-        let MemberStage::PreCandidate(votes) = &mut self.stage else {
+        let ElectionState::PreCandidate(votes) = &mut self.election_state else {
             return;
         };
-        if said.granted {
+        if reply.granted {
             votes.granted.insert(Arc::clone(&message.from));
         }
-        if said.idle && message.term == self.hard.term {
+        if reply.idle && message.term == self.hard.term {
             votes.idle.insert(Arc::clone(&message.from));
         }
         self.count_pre_votes(now);
@@ -164,22 +165,22 @@
     /// a later term than the one asked for raises the terms of a majority,
     /// whose voters then refuse this candidate.
     fn count_pre_votes(&mut self, now: Duration) {
-        let MemberStage::PreCandidate(votes) = &self.stage else {
+        let ElectionState::PreCandidate(votes) = &self.election_state else {
             return;
         };
         if self.is_majority(&votes.granted) {
-            self.campaign(now, VoteGround::default());
+            self.campaign(now, LeaseWaiver::default());
             return;
         }
         let is_idle =
             |voter: &Arc<str>| votes.idle.contains(voter) || self.has_lost_folder(voter);
         let all_idle = self.log.members().voters().all(is_idle);
-        if all_idle && now < self.quiet_until {
-            let ground = VoteGround {
+        if all_idle && now < self.no_vote_until {
+            let waiver = LeaseWaiver {
                 all_idle,
-                ..VoteGround::default()
+                ..LeaseWaiver::default()
             };
-            self.campaign(now, ground);
+            self.campaign(now, waiver);
         }
     }
 
@@ -193,29 +194,29 @@
     /// name a folder that is newer than the greeting.
     fn has_lost_folder(&self, voter: &str) -> bool {
         let record = self.log.members().get(voter);
-        let greeting = self.greetings.get(voter);
-        let (Some(record), Some(greeting)) = (record, greeting) else {
+        let hello = self.received_hellos.get(voter);
+        let (Some(record), Some(hello)) = (record, hello) else {
             return false;
         };
-        self.leader_heard.is_none() && record.folder != greeting.folder
+        self.leader_heard_at.is_none() && record.folder != hello.folder
     }
 
     /// Raises the term and asks for votes in it.
-    fn campaign(&mut self, now: Duration, ground: VoteGround) {
+    fn campaign(&mut self, now: Duration, waiver: LeaseWaiver) {
         let own = Arc::clone(&self.identity.instance);
-        self.follow(now, self.hard.term + 1);
+        self.become_follower(now, self.hard.term + 1);
         self.set_hard(HardState {
             voted_for: Some(Arc::clone(&own)),
             ..self.hard.clone()
         });
-        self.stage = MemberStage::Candidate(BTreeSet::from([own]));
-        self.delay_start_ask(now, START_PATIENCE);
+        self.election_state = ElectionState::Candidate(BTreeSet::from([own]));
+        self.delay_restart_poll(now, RESTART_ELECTION_TIMEOUT);
         let last = self.log.last();
         for voter in self.other_voters() {
             let vote = MessageBody::Vote {
                 last,
-                handed_over: ground.handed_over,
-                all_idle: ground.all_idle,
+                handed_over: waiver.handed_over,
+                all_idle: waiver.all_idle,
             };
             self.send(&voter, vote);
         }
@@ -226,7 +227,7 @@
         now: Duration,
         message: &MemberMessage,
         last: ConfigVersion,
-        ground: VoteGround,
+        waiver: LeaseWaiver,
     ) {
         if message.term < self.hard.term {
             self.answer(message, MessageBody::VoteAnswer { granted: false });
@@ -235,13 +236,13 @@
         // A hand-over needs no wait: the leader of the term before gave up
         // its lease before it named its successor, and leases of older
         // terms had ended before that leader was elected.
-        let forgotten = now < self.quiet_until && !ground.all_idle;
+        let forgotten = now < self.no_vote_until && !waiver.all_idle;
         let free = !forgotten && self.is_free_of_leases(now);
-        if !ground.handed_over && !free {
+        if !waiver.handed_over && !free {
             return;
         }
         if message.term > self.hard.term {
-            self.follow(now, message.term);
+            self.become_follower(now, message.term);
         }
         let voted = self.hard.voted_for.clone();
         let free = voted.as_ref().is_none_or(|voted| *voted == message.from);
@@ -251,27 +252,27 @@
                 voted_for: Some(Arc::clone(&message.from)),
                 ..self.hard.clone()
             });
-            self.delay_election(now);
-            self.delay_start_ask(now, START_PATIENCE);
+            self.reset_election_timer(now);
+            self.delay_restart_poll(now, RESTART_ELECTION_TIMEOUT);
         }
         self.answer(message, MessageBody::VoteAnswer { granted });
     }
 
-    pub(super) fn take_vote(
+    pub(super) fn handle_vote_answer(
         &mut self,
         now: Duration,
         message: &MemberMessage,
         granted: bool,
     ) {
         if message.term > self.hard.term {
-            self.follow(now, message.term);
+            self.become_follower(now, message.term);
             return;
         }
         let counts = granted && message.term == self.hard.term;
         if !counts || !self.is_listed(message) {
             return;
         }
-        if let MemberStage::Candidate(votes) = &mut self.stage {
+        if let ElectionState::Candidate(votes) = &mut self.election_state {
             votes.insert(Arc::clone(&message.from));
             self.count_votes(now);
         }
@@ -280,43 +281,43 @@
     /// Takes up leadership where a majority voted; the own vote counts
     /// once it is synced.
     pub(super) fn count_votes(&mut self, now: Duration) {
-        let MemberStage::Candidate(votes) = &self.stage else {
+        let ElectionState::Candidate(votes) = &self.election_state else {
             return;
         };
         if self.output.hard_synced() && self.is_majority(votes) {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
     /// The leader of this term has stepped down in favour of this member.
-    pub(super) fn take_over(&mut self, now: Duration, message: &MemberMessage) {
+    pub(super) fn handle_take_over(&mut self, now: Duration, message: &MemberMessage) {
         if message.term == self.hard.term && self.is_voter() && !self.is_leader() {
-            let ground = VoteGround {
+            let waiver = LeaseWaiver {
                 handed_over: true,
-                ..VoteGround::default()
+                ..LeaseWaiver::default()
             };
-            self.campaign(now, ground);
+            self.campaign(now, waiver);
         }
     }
 
     /// True where no leader can still hold a lease that this member
     /// granted, before or after its last start.
     fn is_free_to_vote(&self, now: Duration) -> bool {
-        now >= self.quiet_until && self.is_free_of_leases(now)
+        now >= self.no_vote_until && self.is_free_of_leases(now)
     }
 
     /// The same for leases granted since its last start.
     fn is_free_of_leases(&self, now: Duration) -> bool {
-        if let MemberStage::Leader(leadership) = &self.stage {
+        if let ElectionState::Leader(leadership) = &self.election_state {
             return !leadership.is_confirmed(self, now);
         }
-        let heard = self.leader_heard;
-        heard.is_none_or(|at| now >= at + ELECTION_MIN)
+        let heard = self.leader_heard_at;
+        heard.is_none_or(|at| now >= at + ELECTION_TIMEOUT_MIN)
     }
 
     /// True where the sender is a member with the folder it was listed by.
     pub(super) fn is_listed(&self, message: &MemberMessage) -> bool {
-        self.log.members().holds(&message.from, message.folder)
+        self.log.members().contains(&message.from, message.folder)
     }
 
     fn is_majority(&self, votes: &BTreeSet<Arc<str>>) -> bool {
--- a/crates/core/src/agreement/peer_memory.rs
+++ b/crates/core/src/agreement/folder_watermarks.rs
@@ -17,7 +17,7 @@
 
 /// The least that a folder must still hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerMark {
+pub struct FolderWatermark {
     /// Start that showed it.
     pub start: ProcessStart,
     /// Index that it acknowledged as synced and that is committed, so that
@@ -36,16 +36,21 @@
 /// earlier one had synced, so a lower figure proves the loss. The leader
 /// tells all members its marks, so that a new leader knows them too.
 #[derive(Clone, Debug, Default)]
-pub struct PeerMemory {
-    marks: BTreeMap<u64, PeerMark>,
+pub struct FolderWatermarks {
+    marks: BTreeMap<u64, FolderWatermark>,
 }
 
-impl PeerMemory {
+impl FolderWatermarks {
     /// Takes what a folder shows now; gives the mark that it falls short of.
-    pub fn meet(&mut self, folder: u64, shown: PeerMark) -> Option<PeerMark> {
+    pub fn observe(
+        &mut self,
+        folder: u64,
+        shown: FolderWatermark,
+    ) -> Option<FolderWatermark> {
         let Some(mark) = self.marks.get_mut(&folder) else {
             let synced = 0;
-            self.marks.insert(folder, PeerMark { synced, ..shown });
+            self.marks
+                .insert(folder, FolderWatermark { synced, ..shown });
             return None;
         };
         if shown.start == mark.start {
@@ -62,34 +67,34 @@
     }
 
     /// Notes that a folder acknowledged a committed index.
-    pub fn acknowledged(&mut self, folder: u64, index: u64) {
+    pub fn record_acknowledged(&mut self, folder: u64, index: u64) {
         if let Some(mark) = self.marks.get_mut(&folder) {
             mark.synced = mark.synced.max(index);
         }
     }
 
     /// Marks to tell others.
-    pub fn marks(&self) -> &BTreeMap<u64, PeerMark> {
+    pub fn marks(&self) -> &BTreeMap<u64, FolderWatermark> {
         &self.marks
     }
 
     /// Takes the marks that another member told.
-    pub fn learn(&mut self, marks: &BTreeMap<u64, PeerMark>) {
-        for (folder, told) in marks {
-            let mark = self.marks.entry(*folder).or_insert(*told);
-            if told.start.count > mark.start.count {
-                mark.start = told.start;
+    pub fn merge(&mut self, marks: &BTreeMap<u64, FolderWatermark>) {
+        for (folder, received) in marks {
+            let mark = self.marks.entry(*folder).or_insert(*received);
+            if received.start.count > mark.start.count {
+                mark.start = received.start;
             }
-            mark.synced = mark.synced.max(told.synced);
-            mark.term = mark.term.max(told.term);
+            mark.synced = mark.synced.max(received.synced);
+            mark.term = mark.term.max(received.term);
         }
     }
 }
 
-impl PeerMark {
+impl FolderWatermark {
     /// True where this mark of the own folder proves that the folder, at
     /// `start`, has lost what it once held.
-    pub fn accuses(&self, start: ProcessStart, synced: u64, term: u64) -> bool {
+    pub fn proves_loss(&self, start: ProcessStart, synced: u64, term: u64) -> bool {
         if self.start == start {
             return false;
         }
--- a/crates/core/src/agreement/follower.rs
+++ b/crates/core/src/agreement/follower.rs
@@ -5,14 +5,18 @@
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member_message::LeaderPlace;
+use crate::agreement::member_message::LeaderContact;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
 impl AgreementMember {
-    pub(super) fn take_from_leader(&mut self, now: Duration, message: MemberMessage) {
+    pub(super) fn handle_leader_message(
+        &mut self,
+        now: Duration,
+        message: MemberMessage,
+    ) {
         if message.term < self.hard.term {
             // The answer's term tells the old leader to step down.
             let matched = Err(0);
@@ -23,8 +27,8 @@
         if self.is_from_lost_folder(&message) {
             return;
         }
-        self.follow(now, message.term);
-        self.note_leader(now, &message);
+        self.become_follower(now, message.term);
+        self.record_leader(now, &message);
         match message.body {
             MessageBody::Append {
                 previous,
@@ -33,19 +37,19 @@
                 sent_at,
                 marks,
             } => {
-                self.memory.learn(&marks);
+                self.watermarks.merge(&marks);
                 self.leader_sent_at = self.leader_sent_at.max(sent_at);
-                self.take_entries(previous, entries, commit);
+                self.handle_entries(previous, entries, commit);
             }
             MessageBody::Install { snapshot, sent_at } => {
                 self.leader_sent_at = self.leader_sent_at.max(sent_at);
-                self.take_snapshot(snapshot);
+                self.handle_snapshot(snapshot);
             }
             _ => {}
         }
     }
 
-    fn note_leader(&mut self, now: Duration, message: &MemberMessage) {
+    fn record_leader(&mut self, now: Duration, message: &MemberMessage) {
         let changed = self
             .leader
             .as_ref()
@@ -54,15 +58,15 @@
             // Another leader's clock has another start.
             self.leader_sent_at = Duration::ZERO;
         }
-        self.leader_heard = Some(now);
+        self.leader_heard_at = Some(now);
         self.leader_folder = message.folder;
-        self.leader = Some(LeaderPlace {
+        self.leader = Some(LeaderContact {
             instance: Arc::clone(&message.from),
             address: message.address,
         });
     }
 
-    fn take_entries(
+    fn handle_entries(
         &mut self,
         previous: ConfigVersion,
         entries: Vec<LogEntry>,
@@ -78,17 +82,17 @@
         let end = previous.index + entries.len() as u64;
         let mut appended = false;
         for entry in entries {
-            appended |= self.take_entry(entry);
+            appended |= self.append_if_new(entry);
         }
-        self.verified = self.verified.max(end);
-        self.commit = self.commit.max(commit.min(self.verified));
+        self.matched_index = self.matched_index.max(end);
+        self.commit = self.commit.max(commit.min(self.matched_index));
         // The answer to new entries follows once they are synced.
         if !appended {
             self.acknowledge();
         }
     }
 
-    fn take_entry(&mut self, entry: LogEntry) -> bool {
+    fn append_if_new(&mut self, entry: LogEntry) -> bool {
         let index = entry.version.index;
         if index <= self.commit || self.log.version_at(index) == Some(entry.version) {
             return false;
@@ -100,18 +104,18 @@
         true
     }
 
-    fn take_snapshot(&mut self, snapshot: ReplicaSnapshot) {
+    fn handle_snapshot(&mut self, snapshot: ReplicaSnapshot) {
         let index = snapshot.version.index;
         if index > self.commit {
             self.restore(snapshot);
         }
-        self.verified = self.verified.max(index);
+        self.matched_index = self.matched_index.max(index);
         self.acknowledge();
     }
 
     /// Tells the leader what matches and is synced.
     pub(super) fn acknowledge(&mut self) {
-        let matched = self.verified.min(self.output.synced_index());
+        let matched = self.matched_index.min(self.output.synced_index());
         self.reply(Ok(matched));
     }
 
--- a/crates/core/src/agreement/leadership.rs
+++ b/crates/core/src/agreement/leadership.rs
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::agreement::folder_watermarks::FolderWatermark;
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
-use crate::agreement::peer_memory::PeerMark;
-use crate::agreement::timing::ELECTION_MIN;
-use crate::agreement::timing::HAND_OVER_PATIENCE;
-use crate::agreement::timing::HEARTBEAT;
-use crate::agreement::timing::INSTALL_PATIENCE;
-use crate::agreement::timing::LEASE;
-use crate::agreement::timing::PEER_LIVE;
-use crate::agreement::timing::STEP_DOWN;
+use crate::agreement::timing::ELECTION_TIMEOUT_MIN;
+use crate::agreement::timing::HAND_OVER_TIMEOUT;
+use crate::agreement::timing::HEARTBEAT_INTERVAL;
+use crate::agreement::timing::INSTALL_TIMEOUT;
+use crate::agreement::timing::LEASE_DURATION;
+use crate::agreement::timing::PEER_LIVE_TIMEOUT;
+use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::version::ConfigVersion;
 
 /// Entries sent to a member ahead of its acknowledgements. A round trip
@@ -51,39 +51,40 @@
     /// Last entry known to be synced there.
     pub(super) matched: u64,
     /// Latest own clock that came back.
-    echoed: Option<Duration>,
+    acked_sent_at: Option<Duration>,
     /// Last time anything came.
-    heard: Option<Duration>,
+    last_heard: Option<Duration>,
     /// Index of a snapshot on its way, and until when it is waited for.
     installing: Option<(u64, Duration)>,
     /// Entries were missing there; one message at a time until it agrees.
     probing: bool,
-    probe_out: bool,
+    probe_in_flight: bool,
     sent_commit: u64,
 }
 
 impl PeerProgress {
     /// True where the member was heard of a short while ago.
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        self.heard.is_some_and(|at| now < at + PEER_LIVE)
+        self.last_heard
+            .is_some_and(|at| now < at + PEER_LIVE_TIMEOUT)
     }
 
     /// Last time anything came from it.
-    pub(super) fn heard_at(&self) -> Option<Duration> {
-        self.heard
+    pub(super) fn last_heard(&self) -> Option<Duration> {
+        self.last_heard
     }
 
     /// True where a snapshot may go out: the member answers heartbeats, and
     /// none is on its way. One sent to a member that is away would be lost
     /// and waited for.
-    fn wants_snapshot(&self, now: Duration) -> bool {
+    fn may_send_snapshot(&self, now: Duration) -> bool {
         let waiting = self.installing.is_some_and(|(_, until)| now < until);
         self.is_live(now) && !waiting
     }
 
-    fn may_send(&self, last: u64) -> bool {
+    fn may_send_entries(&self, last: u64) -> bool {
         let window = self.next - self.matched.min(self.next) <= WINDOW_ENTRIES;
-        let open = !self.probing || !self.probe_out;
+        let open = !self.probing || !self.probe_in_flight;
         self.next <= last && window && open
     }
 }
@@ -111,11 +112,11 @@
     /// that had left by then.
     fn confirmed_at(&self, member: &AgreementMember, now: Duration) -> Option<Duration> {
         let own = &member.identity.instance;
-        let reached = member.log.members().reached(|voter| {
+        let reached = member.log.members().quorum_value(|voter| {
             if voter == own {
                 return Some(now);
             }
-            self.peers.get(voter).and_then(|peer| peer.echoed)
+            self.peers.get(voter).and_then(|peer| peer.acked_sent_at)
         });
         reached.flatten()
     }
@@ -123,7 +124,7 @@
     /// True where no other leader can have been elected yet.
     pub(super) fn is_confirmed(&self, member: &AgreementMember, now: Duration) -> bool {
         let at = self.confirmed_at(member, now);
-        at.is_some_and(|at| now < at + ELECTION_MIN)
+        at.is_some_and(|at| now < at + ELECTION_TIMEOUT_MIN)
     }
 
     /// True where the leader may accept changes and answer as fresh.
@@ -144,39 +145,39 @@
         if member.commit < self.first_index || self.handing_over.is_some() {
             return None;
         }
-        let until = self.confirmed_at(member, now)? + LEASE;
+        let until = self.confirmed_at(member, now)? + LEASE_DURATION;
         (now < until).then_some(until)
     }
 }
 
 impl AgreementMember {
     /// Takes up leadership of the current term.
-    pub(super) fn lead(&mut self, now: Duration) {
+    pub(super) fn become_leader(&mut self, now: Duration) {
         self.begin_leadership(now);
-        self.append_own(EntryBody::Blank);
+        self.append_as_leader(EntryBody::Blank);
     }
 
     pub(super) fn begin_leadership(&mut self, now: Duration) {
         self.leader = None;
-        self.stage = MemberStage::Leader(Leadership {
+        self.election_state = ElectionState::Leader(Leadership {
             since: now,
             first_index: self.log.last().index + 1,
-            heartbeat_at: now + HEARTBEAT,
+            heartbeat_at: now + HEARTBEAT_INTERVAL,
             heartbeat_due: true,
             peers: BTreeMap::new(),
             handing_over: None,
         });
-        let shown = PeerMark {
+        let shown = FolderWatermark {
             start: self.identity.start,
             synced: self.output.synced_index(),
             term: self.hard.term,
         };
-        self.memory.meet(self.identity.folder, shown);
+        self.watermarks.observe(self.identity.folder, shown);
     }
 
-    pub(super) fn append_own(&mut self, body: EntryBody) -> ConfigVersion {
+    pub(super) fn append_as_leader(&mut self, body: EntryBody) -> ConfigVersion {
         if let EntryBody::Members(members) = &body {
-            self.forget_replaced(members);
+            self.drop_replaced_peers(members);
         }
         let index = self.log.last().index + 1;
         let version = ConfigVersion::new(self.hard.term, index);
@@ -188,43 +189,43 @@
     ///
     /// Guards against a repaired member that is counted by what its lost
     /// folder had acknowledged, and sent entries from where that one stood.
-    fn forget_replaced(&mut self, members: &MemberList) {
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+    fn drop_replaced_peers(&mut self, members: &MemberList) {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let peers = &mut leadership.peers;
-        peers.retain(|name, peer| members.holds(name, peer.folder));
+        peers.retain(|name, peer| members.contains(name, peer.folder));
     }
 
     /// Adds an entry where this member leads and may accept.
     pub fn propose(&mut self, now: Duration, body: EntryBody) -> Option<ConfigVersion> {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return None;
         };
         let waiting = self.log.last().index - self.commit;
         if !leadership.is_fresh(self, now) || waiting >= UNCOMMITTED_MAX {
             return None;
         }
-        Some(self.append_own(body))
+        Some(self.append_as_leader(body))
     }
 
     /// The leader's part of the passing of time.
-    pub(super) fn lead_on(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+    pub(super) fn tick_leader(&mut self, now: Duration) {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         if now >= leadership.heartbeat_at {
-            leadership.heartbeat_at = now + HEARTBEAT;
+            leadership.heartbeat_at = now + HEARTBEAT_INTERVAL;
             leadership.heartbeat_due = true;
         }
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let confirmed = leadership.confirmed_at(self, now);
         let since = confirmed.unwrap_or_default().max(leadership.since);
         let until = leadership.handing_over;
-        if now >= since + STEP_DOWN || until.is_some_and(|until| now >= until) {
-            self.follow(now, self.hard.term);
+        if now >= since + STEP_DOWN_TIMEOUT || until.is_some_and(|until| now >= until) {
+            self.become_follower(now, self.hard.term);
             return;
         }
         if until.is_some() {
@@ -232,25 +233,25 @@
             return;
         }
         self.promote_learner(now);
-        self.adopt_greeting(now);
+        self.maintain_voters(now);
     }
 
     /// Gives leadership to a member that holds everything, for a planned
     /// stop: the next leader then serves after one round trip.
     pub fn hand_over(&mut self, now: Duration) {
         let alone = self.log.members().voters().count() < 2;
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         if alone {
             return;
         }
-        leadership.handing_over = Some(now + HAND_OVER_PATIENCE);
+        leadership.handing_over = Some(now + HAND_OVER_TIMEOUT);
         self.finish_hand_over(now);
     }
 
     fn finish_hand_over(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let last = self.log.last().index;
@@ -268,11 +269,11 @@
         };
         // Stepping down first ends the lease for good: the successor's
         // voters do not wait for it.
-        self.follow(now, self.hard.term);
+        self.become_follower(now, self.hard.term);
         self.send(&successor, MessageBody::TakeOver);
     }
 
-    pub(super) fn take_answer(
+    pub(super) fn handle_append_answer(
         &mut self,
         now: Duration,
         message: &MemberMessage,
@@ -280,25 +281,25 @@
         sent_at: Duration,
     ) {
         if message.term > self.hard.term {
-            self.follow(now, message.term);
+            self.become_follower(now, message.term);
             return;
         }
         if message.term < self.hard.term || !self.is_listed(message) {
             return;
         }
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let Some(peer) = leadership.peers.get_mut(&message.from) else {
             return;
         };
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         if sent_at > Duration::ZERO {
-            peer.echoed = peer.echoed.max(Some(sent_at));
+            peer.acked_sent_at = peer.acked_sent_at.max(Some(sent_at));
         }
         match matched {
-            Ok(matched) => peer.take_match(matched),
-            Err(held) => peer.take_gap(held),
+            Ok(matched) => peer.record_match(matched),
+            Err(held) => peer.record_mismatch(held),
         }
         self.advance_commit();
     }
@@ -308,12 +309,12 @@
     /// Guards against counting copies of an earlier term's entry: a later
     /// leader without it could still be elected and undo the change.
     pub(super) fn advance_commit(&mut self) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let own = &self.identity.instance;
         let synced = self.output.synced_index();
-        let reached = self.log.members().reached(|voter| {
+        let reached = self.log.members().quorum_value(|voter| {
             if voter == own {
                 return synced;
             }
@@ -325,15 +326,15 @@
         if reached > self.commit && own_term {
             self.commit = reached;
         }
-        self.remember_acknowledged(synced);
+        self.record_acknowledged(synced);
         if self.commit >= self.log.members_index() && !self.is_voter() {
             // The last change that this leader committed removed it.
-            self.stage = MemberStage::Follower;
+            self.election_state = ElectionState::Follower;
         }
     }
 
-    fn remember_acknowledged(&mut self, synced: u64) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+    fn record_acknowledged(&mut self, synced: u64) {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         for (name, record) in self.log.members().iter() {
@@ -343,20 +344,20 @@
                 leadership.peers.get(name).map_or(0, |peer| peer.matched)
             };
             let index = matched.min(self.commit);
-            self.memory.acknowledged(record.folder, index);
+            self.watermarks.record_acknowledged(record.folder, index);
         }
     }
 
     /// Sends what each member needs now.
     pub(super) fn replicate(&mut self, now: Duration) {
         let next = self.log.last().index;
-        let receivers = self.receivers();
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let replication_targets = self.replication_targets();
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let heartbeat = std::mem::take(&mut leadership.heartbeat_due);
-        for (peer, folder) in receivers {
-            let MemberStage::Leader(leadership) = &mut self.stage else {
+        for (peer, folder) in replication_targets {
+            let ElectionState::Leader(leadership) = &mut self.election_state else {
                 return;
             };
             let known = leadership.peers.remove(&peer);
@@ -366,10 +367,10 @@
                 ..PeerProgress::default()
             });
             if heartbeat {
-                progress.probe_out = false;
+                progress.probe_in_flight = false;
             }
             let progress = self.replicate_to(now, &peer, progress, heartbeat);
-            if let MemberStage::Leader(leadership) = &mut self.stage {
+            if let ElectionState::Leader(leadership) = &mut self.election_state {
                 leadership.peers.insert(peer, progress);
             }
         }
@@ -382,7 +383,7 @@
         mut progress: PeerProgress,
         heartbeat: bool,
     ) -> PeerProgress {
-        if !self.holds_before(&progress) && !progress.wants_snapshot(now) {
+        if !self.can_append_to(&progress) && !progress.may_send_snapshot(now) {
             if heartbeat {
                 self.send_append(now, peer, ConfigVersion::ZERO, Vec::new(), heartbeat);
             }
@@ -391,7 +392,7 @@
         let last = self.log.last().index;
         let news = progress.sent_commit < self.commit;
         let mut due = heartbeat || news;
-        while due || progress.may_send(last) {
+        while due || progress.may_send_entries(last) {
             due = false;
             let previous = self.log.version_at(progress.next - 1);
             let Some(previous) = previous.filter(|_| progress.installing.is_none())
@@ -401,7 +402,7 @@
             };
             let entries = self.next_entries(&progress);
             progress.next += entries.len() as u64;
-            progress.probe_out = true;
+            progress.probe_in_flight = true;
             progress.sent_commit = self.commit;
             self.send_append(now, peer, previous, entries, heartbeat);
         }
@@ -409,19 +410,19 @@
     }
 
     /// True where the log still holds what comes before the next entry.
-    fn holds_before(&self, progress: &PeerProgress) -> bool {
+    fn can_append_to(&self, progress: &PeerProgress) -> bool {
         let held = self.log.version_at(progress.next - 1).is_some();
         held && progress.installing.is_none()
     }
 
     fn next_entries(&self, progress: &PeerProgress) -> Vec<LogEntry> {
         let mut entries = Vec::new();
-        if !progress.may_send(self.log.last().index) {
+        if !progress.may_send_entries(self.log.last().index) {
             return entries;
         }
         let mut weight = 0;
         for entry in self.log.from(progress.next) {
-            weight += entry.weight();
+            weight += entry.estimated_bytes();
             let full = entries.len() as u64 >= WINDOW_ENTRIES;
             if full || (!entries.is_empty() && weight > APPEND_BYTES) {
                 break;
@@ -440,7 +441,7 @@
         heartbeat: bool,
     ) {
         let marks = if heartbeat {
-            self.memory.marks().clone()
+            self.watermarks.marks().clone()
         } else {
             BTreeMap::new()
         };
@@ -462,7 +463,7 @@
     ) {
         let snapshot = self.log.snapshot().clone();
         let index = snapshot.version.index;
-        progress.installing = Some((index, now + INSTALL_PATIENCE));
+        progress.installing = Some((index, now + INSTALL_TIMEOUT));
         progress.next = index + 1;
         let sent_at = now;
         self.send(peer, MessageBody::Install { snapshot, sent_at });
@@ -470,7 +471,7 @@
 }
 
 impl PeerProgress {
-    fn take_match(&mut self, matched: u64) {
+    fn record_match(&mut self, matched: u64) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(matched + 1);
         if matched > 0 {
@@ -481,14 +482,14 @@
         }
     }
 
-    fn take_gap(&mut self, held: u64) {
+    fn record_mismatch(&mut self, held: u64) {
         if held + 1 >= self.next {
             return;
         }
         self.next = held + 1;
         if !self.probing {
             self.probing = true;
-            self.probe_out = false;
+            self.probe_in_flight = false;
         }
     }
 }
--- a/crates/core/src/agreement/log_entry.rs
+++ b/crates/core/src/agreement/log_entry.rs
@@ -35,7 +35,7 @@
 
 impl LogEntry {
     /// Rough size on the wire, for bounding messages.
-    pub fn weight(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         let EntryBody::Change(entry) = &self.body else {
             return PART_BYTES;
         };
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -13,20 +13,20 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
+use crate::agreement::bootstrap::ReceivedHello;
 use crate::agreement::contact_book::ContactBook;
+use crate::agreement::election::LeaseWaiver;
+use crate::agreement::election::PreVoteReply;
 use crate::agreement::election::PreVotes;
-use crate::agreement::election::VoteGround;
-use crate::agreement::election::VoterWord;
-use crate::agreement::founding::Greeting;
+use crate::agreement::folder_watermarks::FolderWatermarks;
 use crate::agreement::leadership::Leadership;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member_list::MemberList;
-use crate::agreement::member_message::LeaderPlace;
+use crate::agreement::member_message::LeaderContact;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
 use crate::agreement::output_queue::AddressedMessage;
 use crate::agreement::output_queue::OutputQueue;
-use crate::agreement::peer_memory::PeerMemory;
 use crate::agreement::replica_log::ReplicaLog;
 use crate::agreement::saved_state::HardState;
 use crate::agreement::saved_state::MemberIdentity;
@@ -34,16 +34,16 @@
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::agreement::saved_state::SavedState;
 use crate::agreement::saved_state::WriteBatch;
-use crate::agreement::timing::ELECTION_MIN;
-use crate::agreement::timing::START_SPREAD;
-use crate::agreement::timing::STEP_DOWN;
+use crate::agreement::timing::ELECTION_TIMEOUT_MIN;
+use crate::agreement::timing::RESTART_POLL_SPREAD;
+use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::agreement::voter_plan::PlanNote;
 use crate::agreement::voter_plan::PlanVerdict;
 use crate::version::ConfigVersion;
 
 /// What a member is at the moment.
 #[derive(Clone, Debug)]
-pub(super) enum MemberStage {
+pub(super) enum ElectionState {
     /// It follows, or waits for a leader.
     Follower,
     /// It asks whether an election would be won; what voters said.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderStatus {
     /// Where the leader is, if known.
-    pub leader: Option<LeaderPlace>,
+    pub leader: Option<LeaderContact>,
     /// True where this member leads, holds the lease and has applied all
     /// that earlier leaders committed.
     pub leading: bool,
@@ -87,47 +87,47 @@
     pub(super) identity: MemberIdentity,
     /// Voters of the settings: they found the log, and are greeted by
     /// instances that know no members.
-    pub(super) founders: Vec<(Arc<str>, SocketAddr)>,
+    pub(super) seeds: Vec<(Arc<str>, SocketAddr)>,
     pub(super) random: SmallRng,
     pub(super) hard: HardState,
     pub(super) log: ReplicaLog,
     pub(super) commit: u64,
-    handed_out: u64,
+    delivered: u64,
     pub(super) restored: bool,
-    pub(super) stage: MemberStage,
+    pub(super) election_state: ElectionState,
     pub(super) output: OutputQueue,
-    pub(super) memory: PeerMemory,
-    pub(super) greetings: BTreeMap<Arc<str>, Greeting>,
+    pub(super) watermarks: FolderWatermarks,
+    pub(super) received_hellos: BTreeMap<Arc<str>, ReceivedHello>,
     /// Instances that answers to greetings named.
     pub(super) contacts: ContactBook,
     /// Instances that answered this start's greetings.
-    pub(super) founding_answers: BTreeMap<Arc<str>, Greeting>,
+    pub(super) hello_answers: BTreeMap<Arc<str>, ReceivedHello>,
     /// Folder by which each instance was last answered while this one had
     /// never held any entry.
-    pub(super) answered: BTreeMap<Arc<str>, u64>,
+    pub(super) answered_folders: BTreeMap<Arc<str>, u64>,
     pub(super) disk_failed: bool,
     /// Leader of the term, once heard.
-    pub(super) leader: Option<LeaderPlace>,
+    pub(super) leader: Option<LeaderContact>,
     /// Its data folder.
     pub(super) leader_folder: u64,
     /// Leader named by the answer to a greeting, and when.
-    pub(super) hint: Option<(LeaderPlace, Duration)>,
-    pub(super) leader_heard: Option<Duration>,
+    pub(super) leader_hint: Option<(LeaderContact, Duration)>,
+    pub(super) leader_heard_at: Option<Duration>,
     /// Last index known to match the leader's.
-    pub(super) verified: u64,
+    pub(super) matched_index: u64,
     /// Leader's clock on its last message.
     pub(super) leader_sent_at: Duration,
     /// No vote is given before this time.
-    pub(super) quiet_until: Duration,
+    pub(super) no_vote_until: Duration,
     pub(super) election_at: Duration,
     /// When it next asks whether all voters have started again.
-    pub(super) start_ask_at: Duration,
-    pub(super) hello_at: Duration,
-    pub(super) may_found: bool,
+    pub(super) restart_poll_at: Duration,
+    pub(super) next_hello_at: Duration,
+    pub(super) may_bootstrap: bool,
     /// Voters that the leader sees to by itself; 0 leaves them to operators.
-    pub(super) voters_wanted: usize,
+    pub(super) voter_target: usize,
     /// Last verdict on the members that was noted.
-    pub(super) plan_noted: PlanVerdict,
+    pub(super) last_plan_verdict: PlanVerdict,
     pub(super) plan_notes: Vec<PlanNote>,
 }
 
@@ -135,7 +135,7 @@
     /// A member that has just started on what its folder holds.
     pub fn open(
         identity: MemberIdentity,
-        founders: Vec<(Arc<str>, SocketAddr)>,
+        seeds: Vec<(Arc<str>, SocketAddr)>,
         saved: SavedState,
         now: Duration,
         seed: u64,
@@ -144,41 +144,41 @@
         let commit = log.snapshot().version.index;
         let mut member = Self {
             identity,
-            founders,
+            seeds,
             random: SmallRng::seed_from_u64(seed),
             hard: saved.hard,
             commit,
-            handed_out: commit,
+            delivered: commit,
             restored: commit > 0,
-            stage: MemberStage::Follower,
+            election_state: ElectionState::Follower,
             output: OutputQueue::new(log.last().index),
             log,
-            memory: PeerMemory::default(),
-            greetings: BTreeMap::new(),
+            watermarks: FolderWatermarks::default(),
+            received_hellos: BTreeMap::new(),
             contacts: ContactBook::default(),
-            founding_answers: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            hello_answers: BTreeMap::new(),
+            answered_folders: BTreeMap::new(),
             disk_failed: false,
             leader: None,
             leader_folder: 0,
-            hint: None,
-            leader_heard: None,
-            verified: 0,
+            leader_hint: None,
+            leader_heard_at: None,
+            matched_index: 0,
             leader_sent_at: Duration::ZERO,
             // Guards against a restarted voter that helps a second leader
             // to power while the first still answers as fresh, under a
             // lease that this voter granted before it crashed and forgot.
-            quiet_until: now + ELECTION_MIN,
+            no_vote_until: now + ELECTION_TIMEOUT_MIN,
             election_at: now,
-            start_ask_at: now,
-            hello_at: now,
-            may_found: true,
-            voters_wanted: 0,
-            plan_noted: PlanVerdict::Keep,
+            restart_poll_at: now,
+            next_hello_at: now,
+            may_bootstrap: true,
+            voter_target: 0,
+            last_plan_verdict: PlanVerdict::Keep,
             plan_notes: Vec::new(),
         };
-        member.delay_election(now);
-        member.delay_start_ask(now, Duration::ZERO);
+        member.reset_election_timer(now);
+        member.delay_restart_poll(now, Duration::ZERO);
         member
     }
 
@@ -191,11 +191,11 @@
             start: opened.start,
             ..self.identity.clone()
         };
-        let founders = self.founders.clone();
-        let mut member = Self::open(identity, founders, opened.saved, now, opened.seed);
-        member.may_found = self.may_found && same_folder;
-        member.voters_wanted = self.voters_wanted;
-        member.hint = self.hint.clone();
+        let seeds = self.seeds.clone();
+        let mut member = Self::open(identity, seeds, opened.saved, now, opened.seed);
+        member.may_bootstrap = self.may_bootstrap && same_folder;
+        member.voter_target = self.voter_target;
+        member.leader_hint = self.leader_hint.clone();
         member.contacts = self.contacts.clone();
         member
     }
@@ -206,30 +206,30 @@
     /// all others are away: it would found a second log, and operators would
     /// read that nothing was ever accepted.
     pub fn forbid_bootstrap(&mut self) {
-        self.may_found = false;
+        self.may_bootstrap = false;
     }
 
     /// As a leader, adds instances that greet until there are `wanted`
     /// voters, and puts returned ones in the place of their lost folders.
     pub fn set_voter_target(&mut self, wanted: usize) {
-        self.voters_wanted = wanted;
+        self.voter_target = wanted;
     }
 
     /// Other instances to greet besides the members, by name and address.
     /// Before the founding nothing changes, since all must agree on who founds.
-    pub fn greet_also(&mut self, others: Vec<(Arc<str>, SocketAddr)>) {
-        let founding = self.may_found && self.log.last() == ConfigVersion::ZERO;
-        if !founding {
-            self.founders = others;
+    pub fn set_seeds(&mut self, others: Vec<(Arc<str>, SocketAddr)>) {
+        let bootstrap = self.may_bootstrap && self.log.last() == ConfigVersion::ZERO;
+        if !bootstrap {
+            self.seeds = others;
         }
     }
 
     /// Who leads, as far as this member knows.
-    pub fn standing(&self, now: Duration) -> LeaderStatus {
-        if let MemberStage::Leader(leadership) = &self.stage {
+    pub fn leader_status(&self, now: Duration) -> LeaderStatus {
+        if let ElectionState::Leader(leadership) = &self.election_state {
             let lease_until = leadership.lease_until(self, now);
             let leading = lease_until.is_some();
-            let leader = leading.then(|| LeaderPlace {
+            let leader = leading.then(|| LeaderContact {
                 instance: Arc::clone(&self.identity.instance),
                 address: self.identity.address,
             });
@@ -239,8 +239,13 @@
                 lease_until,
             };
         }
-        let heard = self.leader_heard.is_some_and(|at| now < at + STEP_DOWN);
-        let hint = self.hint.as_ref().filter(|(_, at)| now < *at + STEP_DOWN);
+        let heard = self
+            .leader_heard_at
+            .is_some_and(|at| now < at + STEP_DOWN_TIMEOUT);
+        let hint = self
+            .leader_hint
+            .as_ref()
+            .filter(|(_, at)| now < *at + STEP_DOWN_TIMEOUT);
         let hinted = hint.map(|(leader, _)| leader.clone());
         LeaderStatus {
             leader: self.leader.clone().filter(|_| heard).or(hinted),
@@ -256,7 +261,7 @@
 
     /// True while this member leads its term, with a lease or without.
     pub fn is_leader(&self) -> bool {
-        matches!(self.stage, MemberStage::Leader(_))
+        matches!(self.election_state, ElectionState::Leader(_))
     }
 
     /// True for this member's own name.
@@ -280,8 +285,8 @@
     }
 
     /// Entries since the last snapshot.
-    pub fn since_snapshot(&self) -> u64 {
-        self.log.since_snapshot()
+    pub fn entries_since_snapshot(&self) -> u64 {
+        self.log.entries_since_snapshot()
     }
 
     /// True where this folder lost acknowledged entries and can only be
@@ -292,20 +297,20 @@
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Duration) {
-        self.greet(now);
-        if !self.takes_part() {
+        self.send_hellos(now);
+        if !self.can_participate() {
             return;
         }
         if self.is_leader() {
-            self.lead_on(now);
+            self.tick_leader(now);
             return;
         }
         if now >= self.election_at && self.is_voter() {
-            self.delay_election(now);
+            self.reset_election_timer(now);
             self.ask_pre_votes(now);
         }
-        if self.is_start_ask_due(now) {
-            self.start_ask_at = now + START_SPREAD;
+        if self.is_restart_poll_due(now) {
+            self.restart_poll_at = now + RESTART_POLL_SPREAD;
             self.ask_pre_votes(now);
         }
     }
@@ -324,25 +329,25 @@
         }
         match message.body {
             MessageBody::Hello { fresh } => {
-                self.take_hello(now, &message, fresh);
+                self.handle_hello(now, &message, fresh);
                 return;
             }
             MessageBody::HelloAnswer { .. } => {
-                self.take_hello_answer(now, message);
+                self.handle_hello_answer(now, message);
                 return;
             }
             MessageBody::Distrust { mark } => {
-                self.take_distrust(now, mark);
+                self.handle_distrust(now, mark);
                 return;
             }
             _ => {}
         }
-        if self.takes_part() && self.trusts(&message) {
-            self.take_part(now, message);
+        if self.can_participate() && self.trusts(&message) {
+            self.handle_member_message(now, message);
         }
     }
 
-    fn take_part(&mut self, now: Duration, message: MemberMessage) {
+    fn handle_member_message(&mut self, now: Duration, message: MemberMessage) {
         match &message.body {
             MessageBody::PreVote { last } => self.answer_pre_vote(now, &message, *last),
             MessageBody::PreVoteAnswer {
@@ -350,33 +355,33 @@
                 granted,
                 idle,
             } => {
-                let said = VoterWord {
+                let reply = PreVoteReply {
                     granted: *granted,
                     idle: *idle,
                 };
-                self.take_pre_vote(now, &message, *next_term, said);
+                self.handle_pre_vote_answer(now, &message, *next_term, reply);
             }
             MessageBody::Vote {
                 last,
                 handed_over,
                 all_idle,
             } => {
-                let ground = VoteGround {
+                let waiver = LeaseWaiver {
                     handed_over: *handed_over,
                     all_idle: *all_idle,
                 };
-                self.answer_vote(now, &message, *last, ground);
+                self.answer_vote(now, &message, *last, waiver);
             }
             MessageBody::VoteAnswer { granted } => {
-                self.take_vote(now, &message, *granted);
+                self.handle_vote_answer(now, &message, *granted);
             }
             MessageBody::Append { .. } | MessageBody::Install { .. } => {
-                self.take_from_leader(now, message);
+                self.handle_leader_message(now, message);
             }
             MessageBody::AppendAnswer { matched, sent_at } => {
-                self.take_answer(now, &message, *matched, *sent_at);
+                self.handle_append_answer(now, &message, *matched, *sent_at);
             }
-            MessageBody::TakeOver => self.take_over(now, &message),
+            MessageBody::TakeOver => self.handle_take_over(now, &message),
             MessageBody::Hello { .. }
             | MessageBody::HelloAnswer { .. }
             | MessageBody::Distrust { .. } => {}
@@ -387,13 +392,13 @@
     pub fn persisted(&mut self, now: Duration, sequence: u64) {
         let synced = self.output.synced_index();
         self.output.persisted(sequence);
-        if !self.takes_part() {
+        if !self.can_participate() {
             return;
         }
-        match self.stage {
-            MemberStage::Leader(_) => self.advance_commit(),
-            MemberStage::Candidate(_) => self.count_votes(now),
-            MemberStage::Follower | MemberStage::PreCandidate(_) => {
+        match self.election_state {
+            ElectionState::Leader(_) => self.advance_commit(),
+            ElectionState::Candidate(_) => self.count_votes(now),
+            ElectionState::Follower | ElectionState::PreCandidate(_) => {
                 if self.output.synced_index() != synced {
                     self.acknowledge();
                 }
@@ -405,7 +410,7 @@
     /// member neither votes nor acknowledges until its process ends.
     pub fn disk_failed(&mut self) {
         self.disk_failed = true;
-        self.stage = MemberStage::Follower;
+        self.election_state = ElectionState::Follower;
         self.output.clear();
     }
 
@@ -420,12 +425,12 @@
         let (write, messages) = self.output.take(self.log.last().index);
         let restored = self.take_restored();
         let mut committed = Vec::new();
-        while self.handed_out < self.commit {
-            let Some(entry) = self.log.entry(self.handed_out + 1) else {
+        while self.delivered < self.commit {
+            let Some(entry) = self.log.entry(self.delivered + 1) else {
                 break;
             };
             committed.push(entry.clone());
-            self.handed_out += 1;
+            self.delivered += 1;
         }
         MemberOutput {
             write: write.filter(|_| !self.disk_failed),
@@ -441,22 +446,22 @@
             return None;
         }
         let snapshot = self.log.snapshot().clone();
-        self.handed_out = snapshot.version.index;
+        self.delivered = snapshot.version.index;
         Some(snapshot)
     }
 
     /// True where this member may vote, acknowledge and lead.
-    pub(super) fn takes_part(&self) -> bool {
+    pub(super) fn can_participate(&self) -> bool {
         !self.disk_failed && !self.hard.barred
     }
 
     pub(super) fn is_voter(&self) -> bool {
         let members = self.log.members();
-        members.votes(&self.identity.instance, self.identity.folder)
+        members.is_voter(&self.identity.instance, self.identity.folder)
     }
 
     /// Follows in `term`, with nobody known to lead it yet.
-    pub(super) fn follow(&mut self, now: Duration, term: u64) {
+    pub(super) fn become_follower(&mut self, now: Duration, term: u64) {
         if term > self.hard.term {
             self.set_hard(HardState {
                 term,
@@ -464,10 +469,10 @@
                 barred: false,
             });
             self.leader = None;
-            self.verified = 0;
+            self.matched_index = 0;
         }
-        self.stage = MemberStage::Follower;
-        self.delay_election(now);
+        self.election_state = ElectionState::Follower;
+        self.reset_election_timer(now);
     }
 
     /// Version of the last entry.
--- a/crates/core/src/agreement/member_list.rs
+++ b/crates/core/src/agreement/member_list.rs
@@ -59,18 +59,18 @@
         self.former.retain(|former| *former != folder);
         let before = self.members.insert(instance, record);
         if let Some(before) = before.filter(|before| before.folder != folder) {
-            self.remember(before.folder);
+            self.add_former(before.folder);
         }
     }
 
     /// Removes a member.
     pub fn remove(&mut self, instance: &str) {
         if let Some(record) = self.members.remove(instance) {
-            self.remember(record.folder);
+            self.add_former(record.folder);
         }
     }
 
-    fn remember(&mut self, folder: u64) {
+    fn add_former(&mut self, folder: u64) {
         if self.former.len() >= FORMER_MAX {
             self.former.remove(0);
         }
@@ -95,13 +95,13 @@
     }
 
     /// True where this instance, with this folder, is a member.
-    pub fn holds(&self, instance: &str, folder: u64) -> bool {
+    pub fn contains(&self, instance: &str, folder: u64) -> bool {
         let record = self.members.get(instance);
         record.is_some_and(|record| record.folder == folder)
     }
 
     /// True where this instance, with this folder, votes.
-    pub fn votes(&self, instance: &str, folder: u64) -> bool {
+    pub fn is_voter(&self, instance: &str, folder: u64) -> bool {
         let record = self.members.get(instance);
         record.is_some_and(|record| {
             record.folder == folder && record.role == MemberRole::Voter
@@ -114,7 +114,7 @@
     }
 
     /// The highest value that a majority of the voters reaches.
-    pub fn reached<T: Ord>(&self, value: impl Fn(&Arc<str>) -> T) -> Option<T> {
+    pub fn quorum_value<T: Ord>(&self, value: impl Fn(&Arc<str>) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|one, other| other.cmp(one));
         values.into_iter().nth(self.quorum() - 1)
--- a/crates/core/src/agreement/member_message.rs
+++ b/crates/core/src/agreement/member_message.rs
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::agreement::contact_book::ContactPlace;
+use crate::agreement::contact_book::PeerContact;
+use crate::agreement::folder_watermarks::FolderWatermark;
+use crate::agreement::folder_watermarks::ProcessStart;
 use crate::agreement::log_entry::LogEntry;
-use crate::agreement::peer_memory::PeerMark;
-use crate::agreement::peer_memory::ProcessStart;
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
@@ -40,7 +40,7 @@
 
 /// Where the leader is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaderPlace {
+pub struct LeaderContact {
     /// Its instance.
     pub instance: Arc<str>,
     /// Where it listens.
@@ -58,7 +58,7 @@
     /// Answer to a greeting.
     HelloAnswer {
         /// The leader, where known.
-        leader: Option<LeaderPlace>,
+        leader: Option<LeaderContact>,
         /// True where the answering instance has never held any entry.
         fresh: bool,
         /// Start of the greeting instance.
@@ -66,7 +66,7 @@
         /// The members, or else the contacts, that the answering instance
         /// knows.
         #[serde(default)]
-        contacts: Vec<ContactPlace>,
+        contacts: Vec<PeerContact>,
     },
     /// Would you vote for the sender in the next term?
     PreVote {
@@ -110,7 +110,7 @@
         /// Leader's clock, to be given back.
         sent_at: Duration,
         /// What the leader knows the folders to hold; on heartbeats.
-        marks: BTreeMap<u64, PeerMark>,
+        marks: BTreeMap<u64, FolderWatermark>,
     },
     /// The leader's snapshot, for a member too far behind.
     Install {
@@ -132,6 +132,6 @@
     /// The receiver's folder held more than it shows now.
     Distrust {
         /// What it held.
-        mark: PeerMark,
+        mark: FolderWatermark,
     },
 }
--- a/crates/core/src/agreement/member_outbox.rs
+++ b/crates/core/src/agreement/member_outbox.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::agreement::folder_watermarks::FolderWatermark;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_list::MemberRole;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
-use crate::agreement::peer_memory::PeerMark;
 use crate::agreement::saved_state::HardState;
 
 impl AgreementMember {
@@ -53,42 +53,42 @@
     /// A learner whose addition is not committed gets nothing yet: should a
     /// later leader undo the addition, its folder is still empty and it can
     /// be added again.
-    pub(super) fn receivers(&self) -> Vec<(Arc<str>, u64)> {
+    pub(super) fn replication_targets(&self) -> Vec<(Arc<str>, u64)> {
         let settled = self.log.members_index() <= self.commit;
-        let mut receivers = Vec::new();
+        let mut replication_targets = Vec::new();
         for (name, record) in self.log.members().iter() {
             let waits = record.role == MemberRole::Learner && !settled;
             if *name != self.identity.instance && !waits {
-                receivers.push((Arc::clone(name), record.folder));
+                replication_targets.push((Arc::clone(name), record.folder));
             }
         }
-        receivers
+        replication_targets
     }
 
     /// Checks what a sender shows against what its folder must hold.
     pub(super) fn trusts(&mut self, message: &MemberMessage) -> bool {
-        let shown = PeerMark {
+        let shown = FolderWatermark {
             start: message.start,
             synced: message.synced,
             term: message.term,
         };
-        let Some(mark) = self.memory.meet(message.folder, shown) else {
+        let Some(mark) = self.watermarks.observe(message.folder, shown) else {
             return true;
         };
         self.answer(message, MessageBody::Distrust { mark });
         false
     }
 
-    pub(super) fn take_distrust(&mut self, now: Duration, mark: PeerMark) {
+    pub(super) fn handle_distrust(&mut self, now: Duration, mark: FolderWatermark) {
         let synced = self.output.synced_index();
-        if !mark.accuses(self.identity.start, synced, self.hard.term) {
+        if !mark.proves_loss(self.identity.start, synced, self.hard.term) {
             return;
         }
         self.set_hard(HardState {
             barred: true,
             ..self.hard.clone()
         });
-        self.stage = MemberStage::Follower;
-        self.delay_election(now);
+        self.election_state = ElectionState::Follower;
+        self.reset_election_timer(now);
     }
 }
--- a/crates/core/src/agreement/membership.rs
+++ b/crates/core/src/agreement/membership.rs
@@ -8,19 +8,19 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::agreement::founding::Greeting;
+use crate::agreement::bootstrap::ReceivedHello;
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_list::MemberRecord;
 use crate::agreement::member_list::MemberRole;
-use crate::agreement::timing::GREETING_FRESH;
+use crate::agreement::timing::HELLO_MAX_AGE;
 use crate::agreement::voter_plan;
+use crate::agreement::voter_plan::JoinCandidate;
+use crate::agreement::voter_plan::ObservedMember;
 use crate::agreement::voter_plan::PlanNote;
 use crate::agreement::voter_plan::PlanVerdict;
-use crate::agreement::voter_plan::SeenMember;
-use crate::agreement::voter_plan::SeenNewcomer;
 use crate::version::ConfigVersion;
 
 /// Live voters at most: each more costs the leader a copy of every change and
@@ -138,7 +138,7 @@
         let version = self.propose(now, EntryBody::Members(members))?;
         if let MemberChange::Add { instance, .. } = change {
             // It is about to hold entries: its greeting holds no longer.
-            self.greetings.remove(instance);
+            self.received_hellos.remove(instance);
         }
         Some(MemberAnswer::Accepted(version))
     }
@@ -177,14 +177,14 @@
         instance: &Arc<str>,
         address: SocketAddr,
     ) -> Result<MemberRecord, MemberRefusal> {
-        let greeting = self.greetings.get(instance);
-        let recent = greeting.filter(|greeting| now < greeting.at + GREETING_FRESH);
-        let greeting = recent.ok_or(MemberRefusal::NotHeard)?;
+        let hello = self.received_hellos.get(instance);
+        let recent = hello.filter(|hello| now < hello.at + HELLO_MAX_AGE);
+        let hello = recent.ok_or(MemberRefusal::NotHeard)?;
         let members = self.log.members();
-        if members.holds(instance, greeting.folder) {
+        if members.contains(instance, hello.folder) {
             return Err(MemberRefusal::AlreadyMember);
         }
-        if !self.is_admissible(greeting) {
+        if !self.is_admissible(hello) {
             return Err(MemberRefusal::NotEmpty);
         }
         let live = members.iter().filter(|(name, _)| self.is_live(now, name));
@@ -193,7 +193,7 @@
         }
         Ok(MemberRecord {
             address,
-            folder: greeting.folder,
+            folder: hello.folder,
             role: MemberRole::Learner,
         })
     }
@@ -204,8 +204,8 @@
     /// Without the second a member that gave its place to another one while it
     /// was cut off could never come back, and the fleet would run out of
     /// instances to choose from.
-    fn is_admissible(&self, greeting: &Greeting) -> bool {
-        greeting.fresh || self.log.members().was_member(greeting.folder)
+    fn is_admissible(&self, hello: &ReceivedHello) -> bool {
+        hello.fresh || self.log.members().was_member(hello.folder)
     }
 
     /// Gives a vote to a learner that holds everything committed, synced.
@@ -214,7 +214,7 @@
     /// that counted before it held the log would make a majority with the
     /// one instance that misses the last changes.
     pub(super) fn promote_learner(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let settled = self.log.members_index() <= self.commit;
@@ -242,15 +242,15 @@
     /// Load pattern: instances lose their disks or are replaced for good at
     /// any hour. Without this the next loss of one more voter stops all
     /// changes until an operator has added the returned one by hand.
-    pub(super) fn adopt_greeting(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+    pub(super) fn maintain_voters(&mut self, now: Duration) {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let settled = self.log.members_index() <= self.commit;
-        if self.voters_wanted == 0 || !settled || !leadership.is_fresh(self, now) {
+        if self.voter_target == 0 || !settled || !leadership.is_fresh(self, now) {
             return;
         }
-        let verdict = self.plan_voters(now);
+        let verdict = self.plan_voter_change(now);
         if let PlanVerdict::Change(change) = verdict {
             // Refused where too few are live; the next tick looks again.
             let _ = self.change_members(now, &change);
@@ -258,15 +258,15 @@
     }
 
     /// Decides on the next change, and notes a verdict that is new.
-    fn plan_voters(&mut self, now: Duration) -> PlanVerdict {
-        let members = self.seen_members(now);
-        let newcomers = self.seen_newcomers(now);
-        let verdict = voter_plan::decide(self.voters_wanted, &members, &newcomers);
-        if self.plan_noted != verdict {
-            self.plan_noted = verdict.clone();
+    fn plan_voter_change(&mut self, now: Duration) -> PlanVerdict {
+        let members = self.observed_members(now);
+        let candidates = self.join_candidates(now);
+        let verdict = voter_plan::decide(self.voter_target, &members, &candidates);
+        if self.last_plan_verdict != verdict {
+            self.last_plan_verdict = verdict.clone();
             self.plan_notes.push(PlanNote {
                 verdict: verdict.clone(),
-                wanted: self.voters_wanted,
+                wanted: self.voter_target,
                 members: members.len(),
                 silent: voter_plan::most_silent(&members),
             });
@@ -274,8 +274,8 @@
         verdict
     }
 
-    fn seen_members(&self, now: Duration) -> Vec<SeenMember> {
-        let MemberStage::Leader(leadership) = &self.stage else {
+    fn observed_members(&self, now: Duration) -> Vec<ObservedMember> {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return Vec::new();
         };
         let mut seen = Vec::new();
@@ -283,10 +283,10 @@
             let heard = if *instance == self.identity.instance {
                 Some(now)
             } else {
-                self.progress(instance).and_then(|peer| peer.heard_at())
+                self.progress(instance).and_then(|peer| peer.last_heard())
             };
             let since = heard.unwrap_or(Duration::ZERO).max(leadership.since());
-            seen.push(SeenMember {
+            seen.push(ObservedMember {
                 instance: Arc::clone(instance),
                 role: record.role,
                 silent: now.saturating_sub(since),
@@ -295,27 +295,27 @@
         seen
     }
 
-    fn seen_newcomers(&self, now: Duration) -> Vec<SeenNewcomer> {
+    fn join_candidates(&self, now: Duration) -> Vec<JoinCandidate> {
         let members = self.log.members();
-        let mut newcomers = Vec::new();
-        for (instance, greeting) in &self.greetings {
-            let recent = now < greeting.at + GREETING_FRESH;
-            if !recent || members.holds(instance, greeting.folder) {
+        let mut candidates = Vec::new();
+        for (instance, hello) in &self.received_hellos {
+            let recent = now < hello.at + HELLO_MAX_AGE;
+            if !recent || members.contains(instance, hello.folder) {
                 continue;
             }
             // A late greeting from before the member came back must not take
             // its place from the folder that it has now.
-            let heard = self.progress(instance).and_then(|peer| peer.heard_at());
-            if heard.is_some_and(|heard| heard > greeting.at) {
+            let heard = self.progress(instance).and_then(|peer| peer.last_heard());
+            if heard.is_some_and(|heard| heard > hello.at) {
                 continue;
             }
-            newcomers.push(SeenNewcomer {
+            candidates.push(JoinCandidate {
                 instance: Arc::clone(instance),
-                address: greeting.address,
-                admissible: self.is_admissible(greeting),
+                address: hello.address,
+                admissible: self.is_admissible(hello),
             });
         }
-        newcomers
+        candidates
     }
 
     /// The members as the leader sees them.
--- a/crates/core/src/agreement/output_queue.rs
+++ b/crates/core/src/agreement/output_queue.rs
@@ -25,8 +25,8 @@
     unsynced: VecDeque<(u64, u64)>,
     /// Last log index that is synced.
     synced_index: u64,
-    held: Vec<AddressedMessage>,
-    leaving: Vec<AddressedMessage>,
+    blocked: Vec<AddressedMessage>,
+    outgoing: Vec<AddressedMessage>,
 }
 
 impl OutputQueue {
@@ -64,7 +64,7 @@
 
     /// Queues a message.
     pub fn send(&mut self, message: AddressedMessage) {
-        self.leaving.push(message);
+        self.outgoing.push(message);
     }
 
     /// Everything up to batch `sequence` is synced.
@@ -82,11 +82,11 @@
     /// Hands out the batch, numbered, and the messages that may leave.
     pub fn take(&mut self, last: u64) -> (Option<WriteBatch>, Vec<AddressedMessage>) {
         let batch = self.close_batch(last);
-        self.held.append(&mut self.leaving);
+        self.blocked.append(&mut self.outgoing);
         if self.hard_sequence > self.synced_sequence {
             return (batch, Vec::new());
         }
-        (batch, std::mem::take(&mut self.held))
+        (batch, std::mem::take(&mut self.blocked))
     }
 
     fn close_batch(&mut self, last: u64) -> Option<WriteBatch> {
@@ -105,7 +105,7 @@
     /// Drops what waits; used where the disk failed.
     pub fn clear(&mut self) {
         self.pending = WriteBatch::default();
-        self.held.clear();
-        self.leaving.clear();
+        self.blocked.clear();
+        self.outgoing.clear();
     }
 }
--- a/crates/core/src/agreement/replica_log.rs
+++ b/crates/core/src/agreement/replica_log.rs
@@ -49,7 +49,7 @@
             };
             log.entries = entries.into();
         }
-        log.find_members();
+        log.recompute_members();
         log
     }
 
@@ -117,12 +117,12 @@
         let kept = index.saturating_sub(self.start.index + 1);
         self.entries.truncate(kept as usize);
         if self.members_index >= index {
-            self.find_members();
+            self.recompute_members();
         }
     }
 
     /// Entries since the last snapshot.
-    pub fn since_snapshot(&self) -> u64 {
+    pub fn entries_since_snapshot(&self) -> u64 {
         self.last()
             .index
             .saturating_sub(self.snapshot.version.index)
@@ -167,10 +167,10 @@
         self.start = base;
         self.entries
             .retain(|entry| entry.version.index > base.index);
-        self.find_members();
+        self.recompute_members();
     }
 
-    fn find_members(&mut self) {
+    fn recompute_members(&mut self) {
         self.members = self.snapshot.members.clone();
         self.members_index = self.snapshot.version.index;
         for entry in &self.entries {
--- a/crates/core/src/agreement/saved_state.rs
+++ b/crates/core/src/agreement/saved_state.rs
@@ -6,9 +6,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::agreement::folder_watermarks::ProcessStart;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member_list::MemberList;
-use crate::agreement::peer_memory::ProcessStart;
 use crate::control_state::ControlState;
 use crate::version::ConfigVersion;
 
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -108,7 +108,7 @@
     ///
     /// Guards against an answer from another leader's entry at the same
     /// index: the operator would read somebody else's outcome.
-    fn decided(
+    fn answer_committed(
         &self,
         entry: &LogEntry,
         outcome: Option<&ChangeOutcome>,
@@ -150,7 +150,7 @@
     applied: ConfigVersion,
     published: ConfigVersion,
     bare: BareDocument,
-    standing: LeaderStatus,
+    leader_status: LeaderStatus,
     members: MemberList,
     barred: bool,
     waiting: BTreeMap<u64, Vec<WaitingTicket>>,
@@ -166,7 +166,7 @@
             applied: ConfigVersion::ZERO,
             published: ConfigVersion::ZERO,
             bare: BareDocument::default(),
-            standing: LeaderStatus::default(),
+            leader_status: LeaderStatus::default(),
             members: MemberList::default(),
             barred: false,
             waiting: BTreeMap::new(),
@@ -197,20 +197,20 @@
         events: impl IntoIterator<Item = ReplicaEvent>,
     ) -> Vec<ReplicaAction> {
         for event in events {
-            self.take(now, event);
+            self.handle_event(now, event);
         }
         let output = self.agreement.take_output(now);
         self.apply(output);
-        if self.agreement.since_snapshot() >= SNAPSHOT_ENTRIES {
+        if self.agreement.entries_since_snapshot() >= SNAPSHOT_ENTRIES {
             self.compact();
         }
-        self.settle_waiting();
+        self.fail_waiting_if_deposed();
         self.publish();
-        self.show_standing(now);
+        self.report_changes(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, now: Duration, event: ReplicaEvent) {
+    fn handle_event(&mut self, now: Duration, event: ReplicaEvent) {
         match event {
             ReplicaEvent::Tick => self.agreement.tick(now),
             ReplicaEvent::Message(message) => self.agreement.receive(now, message),
@@ -221,7 +221,7 @@
             ReplicaEvent::Members(ticket, change) => {
                 self.change_members(now, ticket, &change);
             }
-            ReplicaEvent::SetSeeds(others) => self.agreement.greet_also(others),
+            ReplicaEvent::SetSeeds(others) => self.agreement.set_seeds(others),
             ReplicaEvent::HandOver => self.agreement.hand_over(now),
         }
     }
@@ -233,11 +233,11 @@
         self.state = Arc::default();
         self.applied = ConfigVersion::ZERO;
         self.barred = false;
-        self.settle_waiting();
+        self.fail_waiting_if_deposed();
     }
 
     fn change(&mut self, now: Duration, ticket: u64, entry: ChangeEntry) {
-        let leading = self.agreement.standing(now).leading;
+        let leading = self.agreement.leader_status(now).leading;
         if leading {
             if let Some(outcome) = self.state.answer(&entry.request_id) {
                 let answer = ChangeAnswer::Decided(outcome.clone());
@@ -266,7 +266,7 @@
     }
 
     fn change_members(&mut self, now: Duration, ticket: u64, change: &MemberChange) {
-        let leading = self.agreement.standing(now).leading;
+        let leading = self.agreement.leader_status(now).leading;
         let own_removal = matches!(
             change,
             MemberChange::Remove { instance } if self.agreement.is_named(instance)
@@ -326,7 +326,7 @@
             outcome = Some(state.apply(entry.version, change));
         }
         for ticket in waiting.unwrap_or_default() {
-            let action = ticket.decided(entry, outcome.as_ref());
+            let action = ticket.answer_committed(entry, outcome.as_ref());
             self.actions.push(action);
         }
     }
@@ -342,7 +342,7 @@
 
     /// Tells those that wait for this member, now deposed, that their
     /// changes may have been accepted: only the next leader knows.
-    fn settle_waiting(&mut self) {
+    fn fail_waiting_if_deposed(&mut self) {
         if self.agreement.is_leader() {
             return;
         }
@@ -367,11 +367,12 @@
         }
     }
 
-    fn show_standing(&mut self, now: Duration) {
-        let standing = self.agreement.standing(now);
-        if standing != self.standing {
-            self.standing = standing.clone();
-            self.actions.push(ReplicaAction::LeaderStatus(standing));
+    fn report_changes(&mut self, now: Duration) {
+        let leader_status = self.agreement.leader_status(now);
+        if leader_status != self.leader_status {
+            self.leader_status = leader_status.clone();
+            self.actions
+                .push(ReplicaAction::LeaderStatus(leader_status));
         }
         if *self.agreement.members() != self.members {
             self.members = self.agreement.members().clone();
--- a/crates/core/src/agreement/timing.rs
+++ b/crates/core/src/agreement/timing.rs
@@ -18,49 +18,49 @@
 /// Pause between two heartbeats. Five fit into a lease, so that a few lost
 /// ones do not end it; 16 members cost the leader about 200 messages a
 /// second, far below its share of a core.
-pub const HEARTBEAT: Duration = Duration::from_millis(80);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
 
 /// Time without a leader's message before a member looks for another one.
 /// Links take 1.5 ms and a slow sync some 100 ms, so it stays quiet in
 /// normal work. Nodes that start have no configuration until there is a
 /// leader: after the loss of all processes at once each half second here is
 /// half a second in which no caller is served.
-pub const ELECTION_MIN: Duration = Duration::from_millis(500);
+pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 /// Random part added to [`ELECTION_MIN`], so that two candidates of five
 /// are seldom within one round trip and one sync of each other.
-pub const ELECTION_SPREAD: Duration = Duration::from_millis(400);
+pub const ELECTION_TIMEOUT_JITTER: Duration = Duration::from_millis(400);
 
 /// Time after its start, and between its tries, in which each voter has a turn
 /// to ask whether all have started again. A third of it is an election on
 /// machines with 0.075 of a core: two round trips, a sync, and some
 /// milliseconds of work at each member.
-pub const START_SPREAD: Duration = Duration::from_millis(180);
+pub const RESTART_POLL_SPREAD: Duration = Duration::from_millis(180);
 
 /// Part of a voter's turn over which its question is spread.
-pub const START_JITTER_PART: u64 = 4;
+pub const RESTART_POLL_JITTER_DIVISOR: u64 = 4;
 
 /// How long such a member lets an election go on before it asks again: two
 /// round trips and two syncs on machines short of processor.
-pub const START_PATIENCE: Duration = Duration::from_millis(250);
+pub const RESTART_ELECTION_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long after a confirmed heartbeat the leader answers as fresh.
-pub const LEASE: Duration = Duration::from_millis(450);
+pub const LEASE_DURATION: Duration = Duration::from_millis(450);
 
 /// A leader without a confirmed heartbeat for this long gives up and tells
 /// waiting operators that their changes may have been accepted. Longer than
 /// the lease, so that a short stall costs no election.
-pub const STEP_DOWN: Duration = Duration::from_millis(1_200);
+pub const STEP_DOWN_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Pause between greetings of an instance that is no member, or hears from
 /// no leader. Thirteen relays cost a member some 52 messages a second.
-pub const HELLO_PAUSE: Duration = Duration::from_millis(250);
+pub const HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A greeting counts as recent for this long: ten of them are missing.
-pub const GREETING_FRESH: Duration = Duration::from_secs(5);
+pub const HELLO_MAX_AGE: Duration = Duration::from_secs(5);
 
 /// A member not heard of for this long is not counted as live.
-pub const PEER_LIVE: Duration = Duration::from_secs(1);
+pub const PEER_LIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A member silent for this long no longer keeps another instance from taking
 /// its place, where one waits. Longer than a process takes to start again, and
@@ -70,8 +70,8 @@
 
 /// A snapshot on its way is sent again after this long: 16 MB take 2 s on
 /// a link of 64 Mbit/s.
-pub const INSTALL_PATIENCE: Duration = Duration::from_secs(5);
+pub const INSTALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest that a leader waits for its successor to catch up before it
 /// gives up leadership all the same.
-pub const HAND_OVER_PATIENCE: Duration = Duration::from_secs(1);
+pub const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/core/src/agreement/voter_plan.rs
+++ b/crates/core/src/agreement/voter_plan.rs
@@ -12,14 +12,14 @@
 
 /// A member as its leader sees it.
 #[derive(Clone, Debug)]
-pub(super) struct SeenMember {
+pub(super) struct ObservedMember {
     pub(super) instance: Arc<str>,
     pub(super) role: MemberRole,
     /// Time since anything came from it under this leader.
     pub(super) silent: Duration,
 }
 
-impl SeenMember {
+impl ObservedMember {
     fn is_present(&self) -> bool {
         self.silent < ABSENT_AFTER
     }
@@ -27,7 +27,7 @@
 
 /// An instance that greets and is no member with the folder that it shows.
 #[derive(Clone, Debug)]
-pub(super) struct SeenNewcomer {
+pub(super) struct JoinCandidate {
     pub(super) instance: Arc<str>,
     pub(super) address: SocketAddr,
     /// False where its folder holds a log that is not known to be this one.
@@ -85,25 +85,25 @@
 /// are voters enough without it; should it come back first, nothing is lost.
 pub(super) fn decide(
     wanted: usize,
-    members: &[SeenMember],
-    newcomers: &[SeenNewcomer],
+    members: &[ObservedMember],
+    candidates: &[JoinCandidate],
 ) -> PlanVerdict {
-    if let Some(spare) = spare_member(wanted, members) {
+    if let Some(spare) = redundant_member(wanted, members) {
         let instance = Arc::clone(&spare.instance);
         return PlanVerdict::Change(MemberChange::Remove { instance });
     }
     let present = members.iter().filter(|member| member.is_present());
     let short = present.count() < wanted;
     let mut verdict = PlanVerdict::Keep;
-    for newcomer in newcomers {
-        let instance = Arc::clone(&newcomer.instance);
-        if !newcomer.admissible {
+    for candidate in candidates {
+        let instance = Arc::clone(&candidate.instance);
+        if !candidate.admissible {
             verdict = PlanVerdict::Waits(instance, WaitReason::NotEmpty);
             continue;
         }
         let returned = members.iter().any(|member| member.instance == instance);
         if returned || short {
-            let address = newcomer.address;
+            let address = candidate.address;
             return PlanVerdict::Change(MemberChange::Add { instance, address });
         }
         verdict = PlanVerdict::Waits(instance, WaitReason::Enough);
@@ -112,7 +112,10 @@
 }
 
 /// The silent member that the fleet can do without, if there is one.
-fn spare_member(wanted: usize, members: &[SeenMember]) -> Option<&SeenMember> {
+fn redundant_member(
+    wanted: usize,
+    members: &[ObservedMember],
+) -> Option<&ObservedMember> {
     let present = members.iter().filter(|member| member.is_present());
     let voters = present.filter(|member| member.role == MemberRole::Voter);
     if members.len() <= wanted || voters.count() < wanted {
@@ -123,7 +126,7 @@
 }
 
 /// The member that was silent for longest.
-pub(super) fn most_silent(members: &[SeenMember]) -> Option<(Arc<str>, Duration)> {
+pub(super) fn most_silent(members: &[ObservedMember]) -> Option<(Arc<str>, Duration)> {
     let most = members.iter().max_by_key(|member| member.silent)?;
     Some((Arc::clone(&most.instance), most.silent))
 }
--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -345,7 +345,10 @@
     let leader = fleet.settle();
     fleet.decide(&change("last", None));
     let member = fleet.instances[leader].member.as_ref();
-    let since = member.expect("it leads").agreement().since_snapshot();
+    let since = member
+        .expect("it leads")
+        .agreement()
+        .entries_since_snapshot();
     assert!(since < 4_096, "no snapshot was taken");
     fleet.start(away);
     fleet.run(Duration::from_secs(3));
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -55,7 +55,7 @@
 pub struct Fleet {
     pub instances: Vec<Instance>,
     /// Voters that the fleet sees to by itself; 0 leaves them to operators.
-    voters_wanted: usize,
+    voter_target: usize,
     pub now: Duration,
     random: SmallRng,
     queue: Vec<(Duration, SocketAddr, MemberMessage)>,
@@ -128,28 +128,23 @@
 }
 
 impl Fleet {
-    pub fn new(founders: usize, others: usize, seed: u64) -> Self {
-        Self::joining(founders, others, 0, seed)
+    pub fn new(seeds: usize, others: usize, seed: u64) -> Self {
+        Self::joining(seeds, others, 0, seed)
     }
 
     /// A fleet whose leader takes in instances until there are so many
     /// voters, and in which nobody founds a log after the first start.
-    pub fn joining(
-        founders: usize,
-        others: usize,
-        voters_wanted: usize,
-        seed: u64,
-    ) -> Self {
+    pub fn joining(seeds: usize, others: usize, voter_target: usize, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut instances = Vec::new();
-        for at in 0..founders + others {
-            let seeds = (0..founders).collect();
+        for at in 0..seeds + others {
+            let seeds = (0..seeds).collect();
             instances.push(Instance::new(at, seeds, &mut random));
         }
         let mut fleet = Self {
             groups: vec![0; instances.len()],
             instances,
-            voters_wanted,
+            voter_target,
             now: Duration::ZERO,
             random,
             queue: Vec::new(),
@@ -175,7 +170,7 @@
         }
         let seed = self.random.random();
         let nonce = self.random.random();
-        let founders = self.named(&self.instances[at].seeds);
+        let seeds = self.named(&self.instances[at].seeds);
         let instance = &mut self.instances[at];
         instance.starts += 1;
         instance.started = self.now;
@@ -190,9 +185,9 @@
         };
         let saved = instance.disk.clone();
         let zero = Duration::ZERO;
-        let mut agreement = AgreementMember::open(identity, founders, saved, zero, seed);
-        if self.voters_wanted > 0 {
-            agreement.set_voter_target(self.voters_wanted);
+        let mut agreement = AgreementMember::open(identity, seeds, saved, zero, seed);
+        if self.voter_target > 0 {
+            agreement.set_voter_target(self.voter_target);
             if self.now > Duration::ZERO {
                 agreement.forbid_bootstrap();
             }
@@ -436,7 +431,7 @@
             let Some(member) = &self.instances[at].member else {
                 continue;
             };
-            if member.agreement().standing(self.clock(at)).leading {
+            if member.agreement().leader_status(self.clock(at)).leading {
                 leading.push(at);
             }
         }
@@ -500,7 +495,7 @@
     pub fn votes(&self, leader: usize, at: usize) -> bool {
         let member = self.instances[leader].member.as_ref();
         let members = member.expect("a leader runs").agreement().members();
-        members.votes(&name(at), self.instances[at].folder)
+        members.is_voter(&name(at), self.instances[at].folder)
     }
 
     /// True where whoever leads counts `at` as a voter.
