--- a/crates/core/src/agreement.rs
+++ b/crates/core/src/agreement.rs
@@ -1,10 +1,10 @@
-//! Agreement of the voting control instances on one log of changes.
+//! Consensus among the voting control instances on one log of changes.
 //!
-//! A replicated log with terms, pre-vote, a leader lease, snapshots and
-//! membership change one member at a time. [`AgreementMember`] is one
-//! member's part of it, [`StateReplica`] adds the state made of the log.
-//! Neither touches a disk, a socket or a clock: the holder passes in the
-//! time and what arrived, and carries out the actions that come back.
+//! A Raft-style replicated log with terms, pre-vote, a leader lease,
+//! snapshots and single-member membership changes. [`AgreementMember`] runs
+//! the consensus protocol of one member; [`StateReplica`] applies committed
+//! entries to the replicated state. Both are free of I/O: the caller passes
+//! in the time and the incoming events, and executes the returned actions.
 
 pub use self::contact_book::PeerContact;
 pub use self::folder_watermarks::FolderWatermark;
--- a/crates/core/src/agreement/bootstrap.rs
+++ b/crates/core/src/agreement/bootstrap.rs
@@ -1,10 +1,10 @@
-//! Greetings, and the founding of a new log.
+//! Discovery of the leader, and bootstrap of a new log.
 //!
-//! An instance that is no member greets the voters of its settings, and
-//! learns from their answers who leads. A new log is founded only by the
-//! first of the settings, once all the others have answered it with empty
-//! folders. An instance that lost its folder therefore never founds a
-//! second log while any of the others still holds the first one.
+//! An instance that is not a member sends hellos to the seeds in its
+//! settings, and learns from their answers who leads. Only the first seed
+//! bootstraps a new log, and only once all other seeds have answered it with
+//! empty data folders. An instance that lost its folder therefore never
+//! bootstraps a second log while any other seed still holds the first one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,13 +27,13 @@
 use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::version::ConfigVersion;
 
-/// Instances remembered by their greetings; the fleet has 18 at most.
+/// Maximum number of instances whose hellos are kept; a fleet has at most 18.
 const HELLOS_MAX: usize = 64;
 
-/// Term of the founder's leadership.
+/// Term of the instance that bootstraps the log.
 const FIRST_TERM: u64 = 1;
 
-/// An instance's last greeting.
+/// The last hello received from an instance.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedHello {
     pub(super) address: SocketAddr,
@@ -54,8 +54,8 @@
 }
 
 impl AgreementMember {
-    /// Greets where there is nobody to follow, and founds where all are
-    /// there.
+    /// Sends hellos while there is no leader, and bootstraps the log once all
+    /// seeds have answered.
     pub(super) fn send_hellos(&mut self, now: Duration) {
         if now < self.next_hello_at || self.has_leader(now) {
             return;
@@ -70,7 +70,7 @@
         self.try_bootstrap(now);
     }
 
-    /// True for a leader, and for a member that hears from one.
+    /// True if this instance leads, or is a member that hears from a leader.
     fn has_leader(&self, now: Duration) -> bool {
         if self.is_leader() {
             return true;
@@ -89,20 +89,20 @@
     }
 
     fn hello_targets(&self) -> BTreeMap<Arc<str>, SocketAddr> {
-        let mut greeted: BTreeMap<_, _> = self.seeds.iter().cloned().collect();
+        let mut targets: BTreeMap<_, _> = self.seeds.iter().cloned().collect();
         for (name, record) in self.log.members().iter() {
-            greeted.insert(Arc::clone(name), record.address);
+            targets.insert(Arc::clone(name), record.address);
         }
-        // Without this an instance whose seeds are no members any more, though
-        // they run and know the leader, would never be heard of by the leader.
+        // Without this the leader would never learn of an instance whose seeds
+        // run and know the leader, but are no longer members.
         if let Some((leader, _)) = &self.leader_hint {
-            greeted.insert(Arc::clone(&leader.instance), leader.address);
+            targets.insert(Arc::clone(&leader.instance), leader.address);
         }
         for (name, address) in self.contacts.iter() {
-            greeted.entry(Arc::clone(name)).or_insert(address);
+            targets.entry(Arc::clone(name)).or_insert(address);
         }
-        greeted.remove(&self.identity.instance);
-        greeted
+        targets.remove(&self.identity.instance);
+        targets
     }
 
     pub(super) fn handle_hello(
@@ -126,7 +126,7 @@
         self.answer(message, body);
     }
 
-    /// The members, and where none is known yet the contacts.
+    /// Addresses of the members or, if none is known yet, of the contacts.
     fn known_contacts(&self) -> Vec<PeerContact> {
         let mut contacts = Vec::new();
         for (name, record) in self.log.members().iter() {
@@ -171,8 +171,8 @@
         if *greeted != self.identity.start {
             return;
         }
-        // An instance that lost its folder tells it here as well: its own
-        // greeting may have been sent before this one listened.
+        // The answer also shows whether its sender lost its folder: the sender's
+        // own hello may have been sent before this instance listened.
         self.record_hello(now, &message, *fresh);
         if !self.seeds.iter().any(|(name, _)| *name == message.from) {
             return;
@@ -183,13 +183,13 @@
         self.try_bootstrap(now);
     }
 
-    /// True for entries of a founder that has lost its folder since.
+    /// True if `message` comes from a folder that its sender has lost since.
     ///
-    /// Guards against a founder whose folder is lost right after the
-    /// founding, and that founds again: some members would hold the first
-    /// entry of the one log, some of the other. Each founding counts only
-    /// answers to its own start's greetings, and whoever answered takes no
-    /// entry of an earlier folder.
+    /// Guards against an instance that bootstraps the log, loses its folder
+    /// right afterwards and bootstraps again: some members would hold the first
+    /// entry of one log and some that of the other. A bootstrap counts only
+    /// answers to hellos of the same process start, and an instance that gave
+    /// such an answer accepts no entries from an earlier folder.
     pub(super) fn is_from_lost_folder(&self, message: &MemberMessage) -> bool {
         let answered = self.answered_folders.get(&message.from);
         let other = answered.is_some_and(|folder| *folder != message.folder);
@@ -208,18 +208,18 @@
         let Some(members) = self.bootstrap_members(now) else {
             return;
         };
-        self.set_hard(HardState {
+        self.set_hard_state(HardState {
             term: FIRST_TERM,
             voted_for: Some(Arc::clone(&self.identity.instance)),
             barred: false,
         });
         self.begin_leadership(now);
         self.append_as_leader(EntryBody::Members(members));
-        // They are about to hold entries: no greeting holds any longer.
+        // The senders are about to hold entries, so their hellos are outdated.
         self.received_hellos.clear();
     }
 
-    /// All voters of the settings, once each answered with an empty folder.
+    /// All seeds as voters, once each has answered with an empty data folder.
     fn bootstrap_members(&self, now: Duration) -> Option<MemberList> {
         let mut members = MemberList::default();
         for (name, address) in &self.seeds {
--- a/crates/core/src/agreement/contact_book.rs
+++ b/crates/core/src/agreement/contact_book.rs
@@ -1,4 +1,4 @@
-//! Instances that others told of, to be greeted besides the own seeds.
+//! Instances learned from others, which receive hellos besides the seeds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,31 +8,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Contacts kept; a fleet has 18 control instances at most.
+/// Maximum number of contacts kept; a fleet has at most 18 control instances.
 const CONTACTS_MAX: usize = 32;
 
-/// An instance and where it listens.
+/// Name and address of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerContact {
-    /// Its name.
+    /// Instance name.
     pub instance: Arc<str>,
-    /// Where it listens.
+    /// Address at which the instance listens.
     pub address: SocketAddr,
 }
 
-/// Contacts by name, in memory.
+/// Contacts by instance name, kept in memory.
 ///
-/// Guards against instances whose seeds are no members or are gone: together
-/// they would know only each other, and no leader would hear of them. Contacts
-/// are never dropped for age, since nobody else may be left to ask.
+/// Guards against instances whose seeds are not members or are gone: such
+/// instances would know only each other, and no leader would learn of them.
+/// Contacts never expire, since no other contact may be left.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ContactBook {
     contacts: BTreeMap<Arc<str>, (SocketAddr, Duration)>,
 }
 
 impl ContactBook {
-    /// Notes contacts that another instance named; the one that was named
-    /// longest ago makes room.
+    /// Adds contacts that another instance named. If there are too many, those
+    /// named longest ago are dropped.
     pub(super) fn merge(&mut self, now: Duration, received: &[PeerContact]) {
         for contact in received {
             let instance = Arc::clone(&contact.instance);
--- a/crates/core/src/agreement/election.rs
+++ b/crates/core/src/agreement/election.rs
@@ -1,4 +1,4 @@
-//! Pre-votes, votes and the taking over of leadership.
+//! Pre-votes, votes and leadership transfer.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,36 +18,40 @@
 use crate::agreement::timing::RESTART_POLL_SPREAD;
 use crate::version::ConfigVersion;
 
-/// What voters answered to the question whether an election would be won.
+/// Answers of the voters to a pre-vote.
 #[derive(Clone, Debug)]
 pub(super) struct PreVotes {
-    /// Those that would vote for the asker.
+    /// Voters that would vote for this member.
     granted: BTreeSet<Arc<str>>,
-    /// Those that can lead no term up to the asker's any more.
+    /// Voters that can no longer lead this member's term or an earlier one.
     idle: BTreeSet<Arc<str>>,
 }
 
-/// One voter's answer to that question.
+/// One voter's answer to a pre-vote.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PreVoteReply {
-    /// It would vote for the asker.
+    /// The voter would vote for the sender of the pre-vote.
     pub(super) granted: bool,
-    /// It is at the asker's term and can lead no term up to that any more.
+    /// The voter is in the sender's term, and can no longer lead that term or
+    /// an earlier one.
     pub(super) idle: bool,
 }
 
-/// Why a candidate's voters need not wait for leases to end.
+/// Reasons for which voters need not wait for earlier leases to expire before
+/// they vote for a candidate.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LeaseWaiver {
-    /// The leader of the term before gave up its lease for the candidate.
+    /// The leader of the previous term gave up its lease and chose the
+    /// candidate as its successor.
     pub(super) handed_over: bool,
-    /// Every voter was idle in the term before.
+    /// Every voter was idle in the previous term.
     pub(super) all_idle: bool,
 }
 
 impl AgreementMember {
-    /// True where it is time to ask whether all voters have started again:
-    /// until the wait after the own start is over, or a leader is heard.
+    /// True if it is time to ask whether all voters have restarted. This is
+    /// done only during the wait after the own start and until a leader is
+    /// heard.
     pub(super) fn is_restart_poll_due(&self, now: Duration) -> bool {
         let starting = now < self.no_vote_until && self.leader_heard_at.is_none();
         starting && now >= self.restart_poll_at && self.is_voter()
@@ -60,14 +64,14 @@
         self.election_at = now + ELECTION_TIMEOUT_MIN + Duration::from_millis(spread);
     }
 
-    /// Puts off the question whether all voters have started again.
+    /// Schedules the next restart poll: `delay` from now, plus this voter's
+    /// slot of [`RESTART_POLL_SPREAD`] in the order of the voters' names.
     ///
-    /// Guards against split votes after the loss of all processes: they are
-    /// back within some milliseconds of each other, and two that ask together
-    /// both stand for election. Where one of three voters lost its disk
-    /// neither wins. In the order of their names each has its own part of the
-    /// spread.
-    pub(super) fn delay_restart_poll(&mut self, now: Duration, patience: Duration) {
+    /// Guards against split votes after a crash of all processes. They return
+    /// within a few milliseconds of each other, and two voters that poll at the
+    /// same time both become candidates. If one of three voters has lost its
+    /// disk, neither wins.
+    pub(super) fn delay_restart_poll(&mut self, now: Duration, delay: Duration) {
         let voters: Vec<_> = self.log.members().voters().collect();
         let place = voters
             .iter()
@@ -76,16 +80,17 @@
         let jitter = part.as_millis() as u64 / RESTART_POLL_JITTER_DIVISOR;
         let jitter = self.random.random_range(0..jitter.max(1));
         let turn = part * place.unwrap_or_default() as u32;
-        self.restart_poll_at = now + patience + turn + Duration::from_millis(jitter);
+        self.restart_poll_at = now + delay + turn + Duration::from_millis(jitter);
     }
 
-    /// Asks whether an election would be won, without raising the term.
+    /// Asks the voters whether this member would win an election, without
+    /// raising the term.
     ///
-    /// Guards against a member that was cut off: without this it would come
-    /// back with a high term and depose a leader that serves well.
+    /// Guards against a member that was partitioned: without a pre-vote it
+    /// would return with a higher term and depose a working leader.
     pub(super) fn ask_pre_votes(&mut self, now: Duration) {
         let own = BTreeSet::from([Arc::clone(&self.identity.instance)]);
-        // While it waits after its start its own vote is not free either.
+        // During the wait after its start a member may not vote for itself.
         let granted = if self.is_free_to_vote(now) {
             own.clone()
         } else {
@@ -118,9 +123,9 @@
         self.answer(message, body);
     }
 
-    /// True where this member is at `term` and can lead neither that one nor
-    /// an earlier one any more: leadership is in memory only, and a candidate
-    /// that asks anew has given up its term.
+    /// True if this member is in `term` and can no longer lead it or an earlier
+    /// term: leadership is held only in memory, and a candidate that starts a
+    /// new pre-vote has given up its term.
     fn is_idle_in(&self, term: u64) -> bool {
         let idle = matches!(
             self.election_state,
@@ -155,15 +160,15 @@
         self.count_pre_votes(now);
     }
 
-    /// Stands for election where a majority would vote for this member, or
-    /// where all voters have started again.
+    /// Starts an election if a majority would vote for this member, or if all
+    /// voters have restarted.
     ///
-    /// A voter that starts again waits for leases that it may have granted
-    /// and forgotten. After the loss of all processes that is half a second
-    /// in which no node has a configuration. But where every voter can lead
-    /// no term up to this one any more, no such lease is left. Whoever leads
-    /// a later term than the one asked for raises the terms of a majority,
-    /// whose voters then refuse this candidate.
+    /// A restarted voter waits for leases that it may have granted before its
+    /// restart. After a crash of all processes that is half a second in which
+    /// no node has a configuration. If every voter is idle, so that none can
+    /// lead this term or an earlier one, no such lease exists and the wait is
+    /// skipped. A leader of a later term has raised the terms of a majority,
+    /// which then refuses this candidate.
     fn count_pre_votes(&mut self, now: Duration) {
         let ElectionState::PreCandidate(votes) = &self.election_state else {
             return;
@@ -184,14 +189,14 @@
         }
     }
 
-    /// True where `voter` has come back with another folder than it votes by
-    /// since this member started: whatever it led or granted before ended
-    /// with that process. It is idle and has no vote. Without this a fleet
-    /// that starts again with one lost disk waits half a second for leases
-    /// that nobody holds.
+    /// True if `voter` has returned with a data folder other than the listed
+    /// one since this member started. Any leadership or lease of the listed
+    /// folder ended with its process, so the voter counts as idle; it has no
+    /// vote. Without this, a fleet that restarts with one lost disk waits half
+    /// a second for leases that nobody holds.
     ///
-    /// Once a leader is heard greetings say nothing any more: the list may
-    /// name a folder that is newer than the greeting.
+    /// Once a leader is heard, hellos are no evidence any more: the member list
+    /// may name a folder that is newer than the hello.
     fn has_lost_folder(&self, voter: &str) -> bool {
         let record = self.log.members().get(voter);
         let hello = self.received_hellos.get(voter);
@@ -201,11 +206,11 @@
         self.leader_heard_at.is_none() && record.folder != hello.folder
     }
 
-    /// Raises the term and asks for votes in it.
+    /// Raises the term and requests votes in it.
     fn campaign(&mut self, now: Duration, waiver: LeaseWaiver) {
         let own = Arc::clone(&self.identity.instance);
         self.become_follower(now, self.hard.term + 1);
-        self.set_hard(HardState {
+        self.set_hard_state(HardState {
             voted_for: Some(Arc::clone(&own)),
             ..self.hard.clone()
         });
@@ -233,11 +238,11 @@
             self.answer(message, MessageBody::VoteAnswer { granted: false });
             return;
         }
-        // A hand-over needs no wait: the leader of the term before gave up
-        // its lease before it named its successor, and leases of older
-        // terms had ended before that leader was elected.
-        let forgotten = now < self.no_vote_until && !waiver.all_idle;
-        let free = !forgotten && self.is_free_of_leases(now);
+        // A hand-over needs no wait: the leader of the previous term gave up
+        // its lease before it chose its successor, and leases of older terms
+        // had expired before that leader was elected.
+        let waits_after_start = now < self.no_vote_until && !waiver.all_idle;
+        let free = !waits_after_start && self.is_free_of_leases(now);
         if !waiver.handed_over && !free {
             return;
         }
@@ -248,7 +253,7 @@
         let free = voted.as_ref().is_none_or(|voted| *voted == message.from);
         let granted = free && last >= self.log.last();
         if granted && voted.is_none() {
-            self.set_hard(HardState {
+            self.set_hard_state(HardState {
                 voted_for: Some(Arc::clone(&message.from)),
                 ..self.hard.clone()
             });
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Takes up leadership where a majority voted; the own vote counts
+    /// Becomes leader if a majority voted for this member. Its own vote counts
     /// once it is synced.
     pub(super) fn count_votes(&mut self, now: Duration) {
         let ElectionState::Candidate(votes) = &self.election_state else {
@@ -289,7 +294,8 @@
         }
     }
 
-    /// The leader of this term has stepped down in favour of this member.
+    /// Starts an election, because the leader of this term has stepped down in
+    /// favour of this member.
     pub(super) fn handle_take_over(&mut self, now: Duration, message: &MemberMessage) {
         if message.term == self.hard.term && self.is_voter() && !self.is_leader() {
             let waiver = LeaseWaiver {
@@ -300,13 +306,14 @@
         }
     }
 
-    /// True where no leader can still hold a lease that this member
-    /// granted, before or after its last start.
+    /// True if no leader can still hold a lease that this member granted,
+    /// before or after its last start.
     fn is_free_to_vote(&self, now: Duration) -> bool {
         now >= self.no_vote_until && self.is_free_of_leases(now)
     }
 
-    /// The same for leases granted since its last start.
+    /// True if no leader can still hold a lease that this member granted since
+    /// its last start.
     fn is_free_of_leases(&self, now: Duration) -> bool {
         if let ElectionState::Leader(leadership) = &self.election_state {
             return !leadership.is_confirmed(self, now);
@@ -315,7 +322,8 @@
         heard.is_none_or(|at| now >= at + ELECTION_TIMEOUT_MIN)
     }
 
-    /// True where the sender is a member with the folder it was listed by.
+    /// True if the sender is a member and has the data folder in the member
+    /// list.
     pub(super) fn is_listed(&self, message: &MemberMessage) -> bool {
         self.log.members().contains(&message.from, message.folder)
     }
--- a/crates/core/src/agreement/folder_watermarks.rs
+++ b/crates/core/src/agreement/folder_watermarks.rs
@@ -1,84 +1,84 @@
-//! What a member remembers of the others, to notice a folder that was
-//! rolled back.
+//! Detection of data folders that were rolled back to an older copy.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One start of a process on a data folder.
+/// Identifies one start of a process on a data folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStart {
-    /// How often the folder was opened, counted in the folder itself.
+    /// How often the folder has been opened; stored in the folder itself.
     pub count: u64,
     /// Random number of this start.
     pub nonce: u64,
 }
 
-/// The least that a folder must still hold.
+/// The minimum that a data folder must still hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderWatermark {
-    /// Start that showed it.
+    /// Latest process start seen on the folder.
     pub start: ProcessStart,
-    /// Index that it acknowledged as synced and that is committed, so that
-    /// no later leader can have cut it off.
+    /// Highest committed index that the folder acknowledged as synced; no later
+    /// leader can have cut it off.
     pub synced: u64,
-    /// Highest term that it took part in.
+    /// Highest term in which the folder's member took part.
     pub term: u64,
 }
 
-/// Marks by folder, kept in memory.
+/// Watermarks by data folder, kept in memory.
 ///
-/// Guards against a folder restored from an old copy. It shows as a start
-/// whose log or term is below what the folder had acknowledged: entries
-/// that were counted as held by a majority no longer are, or a vote is
-/// given twice. A later start of the same folder holds at least what an
-/// earlier one had synced, so a lower figure proves the loss. The leader
-/// tells all members its marks, so that a new leader knows them too.
+/// Guards against a folder that was restored from an old copy. Entries that
+/// counted as held by a majority no longer are, or its member votes twice in
+/// one term. A later start of the same folder holds at least what an earlier
+/// one had synced, so a start whose log or term is below the watermark proves
+/// the loss. The leader sends its watermarks to all members, so that a new
+/// leader knows them too.
 #[derive(Clone, Debug, Default)]
 pub struct FolderWatermarks {
     marks: BTreeMap<u64, FolderWatermark>,
 }
 
 impl FolderWatermarks {
-    /// Takes what a folder shows now; gives the mark that it falls short of.
+    /// Records what a folder reports now. Returns the watermark if the report is
+    /// below it.
     pub fn observe(
         &mut self,
         folder: u64,
-        shown: FolderWatermark,
+        reported: FolderWatermark,
     ) -> Option<FolderWatermark> {
         let Some(mark) = self.marks.get_mut(&folder) else {
             let synced = 0;
             self.marks
-                .insert(folder, FolderWatermark { synced, ..shown });
+                .insert(folder, FolderWatermark { synced, ..reported });
             return None;
         };
-        if shown.start == mark.start {
-            mark.term = mark.term.max(shown.term);
+        if reported.start == mark.start {
+            mark.term = mark.term.max(reported.term);
             return None;
         }
-        let older = shown.start.count <= mark.start.count;
-        if older || shown.synced < mark.synced || shown.term < mark.term {
+        let older = reported.start.count <= mark.start.count;
+        if older || reported.synced < mark.synced || reported.term < mark.term {
             return Some(*mark);
         }
-        mark.start = shown.start;
-        mark.term = shown.term;
+        mark.start = reported.start;
+        mark.term = reported.term;
         None
     }
 
-    /// Notes that a folder acknowledged a committed index.
+    /// Records that a folder acknowledged a committed index.
     pub fn record_acknowledged(&mut self, folder: u64, index: u64) {
         if let Some(mark) = self.marks.get_mut(&folder) {
             mark.synced = mark.synced.max(index);
         }
     }
 
-    /// Marks to tell others.
+    /// All watermarks, to be sent to other members.
     pub fn marks(&self) -> &BTreeMap<u64, FolderWatermark> {
         &self.marks
     }
 
-    /// Takes the marks that another member told.
+    /// Raises the watermarks to those received from another member.
     pub fn merge(&mut self, marks: &BTreeMap<u64, FolderWatermark>) {
         for (folder, received) in marks {
             let mark = self.marks.entry(*folder).or_insert(*received);
@@ -92,8 +92,8 @@
 }
 
 impl FolderWatermark {
-    /// True where this mark of the own folder proves that the folder, at
-    /// `start`, has lost what it once held.
+    /// True if this watermark proves that the folder has lost acknowledged state.
+    /// `start`, `synced` and `term` are the folder's present ones.
     pub fn proves_loss(&self, start: ProcessStart, synced: u64, term: u64) -> bool {
         if self.start == start {
             return false;
--- a/crates/core/src/agreement/follower.rs
+++ b/crates/core/src/agreement/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with the leader's messages.
+//! How a follower handles the leader's messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
         message: MemberMessage,
     ) {
         if message.term < self.hard.term {
-            // The answer's term tells the old leader to step down.
+            // The higher term in the answer makes the old leader step down.
             let matched = Err(0);
             let sent_at = Duration::ZERO;
             self.answer(&message, MessageBody::AppendAnswer { matched, sent_at });
@@ -55,7 +55,7 @@
             .as_ref()
             .is_none_or(|leader| leader.instance != message.from);
         if changed {
-            // Another leader's clock has another start.
+            // Clocks of different leaders are not comparable.
             self.leader_sent_at = Duration::ZERO;
         }
         self.leader_heard_at = Some(now);
@@ -72,7 +72,7 @@
         entries: Vec<LogEntry>,
         commit: u64,
     ) {
-        // Everything up to the commit index is the same in both logs.
+        // Committed entries are identical in both logs.
         let known = previous.index <= self.commit
             || self.log.version_at(previous.index) == Some(previous);
         if !known {
@@ -86,12 +86,14 @@
         }
         self.matched_index = self.matched_index.max(end);
         self.commit = self.commit.max(commit.min(self.matched_index));
-        // The answer to new entries follows once they are synced.
+        // New entries are acknowledged once they are synced.
         if !appended {
             self.acknowledge();
         }
     }
 
+    /// Appends an entry unless the log already holds it; cuts off conflicting
+    /// entries first. Returns true if the entry was appended.
     fn append_if_new(&mut self, entry: LogEntry) -> bool {
         let index = entry.version.index;
         if index <= self.commit || self.log.version_at(index) == Some(entry.version) {
@@ -113,7 +115,7 @@
         self.acknowledge();
     }
 
-    /// Tells the leader what matches and is synced.
+    /// Reports to the leader the last index that matches its log and is synced.
     pub(super) fn acknowledge(&mut self) {
         let matched = self.matched_index.min(self.output.synced_index());
         self.reply(Ok(matched));
--- a/crates/core/src/agreement/leadership.rs
+++ b/crates/core/src/agreement/leadership.rs
@@ -1,11 +1,10 @@
-//! What a leader does: sends entries, counts acknowledgements and leases.
+//! Replication by the leader, its commit index and its lease.
 //!
-//! Load pattern: bursts of changes, and members that fall behind. Entries
-//! are sent without waiting for the answers to those before, up to a
-//! window, and many in one message; without that each change would wait
-//! for a round trip and two syncs of its own. A member that misses entries
-//! is asked once for what it holds, instead of being sent the whole window
-//! over and over.
+//! Load pattern: bursts of changes, and members that fall behind. Entries are
+//! pipelined up to a window and batched into messages; otherwise each change
+//! would wait for a round trip and two syncs of its own. A member that misses
+//! entries is probed with one message at a time until its log matches, instead
+//! of being sent the whole window again and again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,55 +27,56 @@
 use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::version::ConfigVersion;
 
-/// Entries sent to a member ahead of its acknowledgements. A round trip
-/// with its sync takes some 10 ms, so that this carries bursts of 100,000
-/// changes a second, far above any disk.
+/// Maximum number of unacknowledged entries in flight to one member. A round
+/// trip with its sync takes about 10 ms, so the window allows 100,000 changes
+/// a second, far more than any disk can sync.
 const WINDOW_ENTRIES: u64 = 1_024;
 
-/// Rough size of the entries of one message, in bytes; one larger entry
-/// still goes alone. A sixteenth of the largest message.
+/// Approximate limit on the entries in one message, in bytes; a larger entry
+/// is sent alone. A sixteenth of the largest message.
 const APPEND_BYTES: usize = 1024 * 1024;
 
-/// Entries not committed yet, beyond which changes are refused: operators
-/// wait some seconds at most, and memory stays bounded.
+/// Maximum number of uncommitted entries; further changes are refused. Bounds
+/// memory, and the wait of operators to a few seconds.
 const UNCOMMITTED_MAX: u64 = 1_024;
 
-/// How far one other member has come.
+/// Replication progress of one other member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerProgress {
-    /// Data folder that this is about.
+    /// Data folder of the member.
     folder: u64,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     next: u64,
-    /// Last entry known to be synced there.
+    /// Index of the last entry known to be synced by the member.
     pub(super) matched: u64,
-    /// Latest own clock that came back.
+    /// Latest send time, on the leader's clock, that the member acknowledged.
     acked_sent_at: Option<Duration>,
-    /// Last time anything came.
+    /// Time of the last answer.
     last_heard: Option<Duration>,
-    /// Index of a snapshot on its way, and until when it is waited for.
+    /// Index of an unacknowledged snapshot, and when its timeout ends.
     installing: Option<(u64, Duration)>,
-    /// Entries were missing there; one message at a time until it agrees.
+    /// Entries were missing: one message at a time is sent until the logs match.
     probing: bool,
+    /// A probe was sent and neither answered nor superseded by a heartbeat.
     probe_in_flight: bool,
     sent_commit: u64,
 }
 
 impl PeerProgress {
-    /// True where the member was heard of a short while ago.
+    /// True if the member answered within [`PEER_LIVE_TIMEOUT`].
     pub(super) fn is_live(&self, now: Duration) -> bool {
         self.last_heard
             .is_some_and(|at| now < at + PEER_LIVE_TIMEOUT)
     }
 
-    /// Last time anything came from it.
+    /// Time of the member's last answer.
     pub(super) fn last_heard(&self) -> Option<Duration> {
         self.last_heard
     }
 
-    /// True where a snapshot may go out: the member answers heartbeats, and
-    /// none is on its way. One sent to a member that is away would be lost
-    /// and waited for.
+    /// True if a snapshot may be sent: the member answers heartbeats, and no
+    /// other snapshot is in flight. A snapshot to an unreachable member would
+    /// be lost and block others until its timeout.
     fn may_send_snapshot(&self, now: Duration) -> bool {
         let waiting = self.installing.is_some_and(|(_, until)| now < until);
         self.is_live(now) && !waiting
@@ -89,27 +89,28 @@
     }
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
     since: Duration,
-    /// First entry of the own term: nothing is fresh before it commits.
+    /// Index of the first entry of the leader's term. The leader holds no lease
+    /// before this entry is committed.
     pub(super) first_index: u64,
     heartbeat_at: Duration,
     heartbeat_due: bool,
     pub(super) peers: BTreeMap<Arc<str>, PeerProgress>,
-    /// Set while a successor is waited for.
+    /// Set while leadership is being handed over: when the timeout ends.
     handing_over: Option<Duration>,
 }
 
 impl Leadership {
-    /// When this leadership began.
+    /// Time at which this member became leader.
     pub(super) fn since(&self) -> Duration {
         self.since
     }
 
-    /// Latest time at which a majority is known to have taken a heartbeat
-    /// that had left by then.
+    /// Latest time such that a majority has acknowledged a message sent at that
+    /// time or later.
     fn confirmed_at(&self, member: &AgreementMember, now: Duration) -> Option<Duration> {
         let own = &member.identity.instance;
         let reached = member.log.members().quorum_value(|voter| {
@@ -121,22 +122,22 @@
         reached.flatten()
     }
 
-    /// True where no other leader can have been elected yet.
+    /// True if no other leader can have been elected yet.
     pub(super) fn is_confirmed(&self, member: &AgreementMember, now: Duration) -> bool {
         let at = self.confirmed_at(member, now);
         at.is_some_and(|at| now < at + ELECTION_TIMEOUT_MIN)
     }
 
-    /// True where the leader may accept changes and answer as fresh.
+    /// True if the leader may accept changes and answer as fresh.
     ///
-    /// Guards against a leader on the far side of a silent partition. It
-    /// shows as old configurations handed out as current while a new
-    /// leader accepts changes; see [`crate::agreement::timing`].
+    /// Guards against a partitioned leader that serves old configurations as
+    /// current while a new leader accepts changes; see
+    /// [`crate::agreement::timing`].
     pub(super) fn is_fresh(&self, member: &AgreementMember, now: Duration) -> bool {
         self.lease_until(member, now).is_some()
     }
 
-    /// When the lease ends, where it holds now.
+    /// When the lease expires, or `None` if the leader does not hold it.
     pub(super) fn lease_until(
         &self,
         member: &AgreementMember,
@@ -151,7 +152,7 @@
 }
 
 impl AgreementMember {
-    /// Takes up leadership of the current term.
+    /// Becomes leader of the current term and appends its first entry.
     pub(super) fn become_leader(&mut self, now: Duration) {
         self.begin_leadership(now);
         self.append_as_leader(EntryBody::Blank);
@@ -167,12 +168,12 @@
             peers: BTreeMap::new(),
             handing_over: None,
         });
-        let shown = FolderWatermark {
+        let reported = FolderWatermark {
             start: self.identity.start,
             synced: self.output.synced_index(),
             term: self.hard.term,
         };
-        self.watermarks.observe(self.identity.folder, shown);
+        self.watermarks.observe(self.identity.folder, reported);
     }
 
     pub(super) fn append_as_leader(&mut self, body: EntryBody) -> ConfigVersion {
@@ -185,10 +186,11 @@
         version
     }
 
-    /// Drops what was known of folders that are no member's any more.
+    /// Drops the progress of data folders that are no longer in `members`.
     ///
-    /// Guards against a repaired member that is counted by what its lost
-    /// folder had acknowledged, and sent entries from where that one stood.
+    /// Guards against a repaired member that inherits the progress of its lost
+    /// folder: acknowledgements of that folder would count for the new one, and
+    /// the entries before them would not be sent.
     fn drop_replaced_peers(&mut self, members: &MemberList) {
         let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
@@ -197,7 +199,8 @@
         peers.retain(|name, peer| members.contains(name, peer.folder));
     }
 
-    /// Adds an entry where this member leads and may accept.
+    /// Appends an entry and returns its version, or `None` if this member does
+    /// not hold the leader lease or has too many uncommitted entries.
     pub fn propose(&mut self, now: Duration, body: EntryBody) -> Option<ConfigVersion> {
         let ElectionState::Leader(leadership) = &self.election_state else {
             return None;
@@ -209,7 +212,7 @@
         Some(self.append_as_leader(body))
     }
 
-    /// The leader's part of the passing of time.
+    /// Runs the leader's timers that are due at `now`.
     pub(super) fn tick_leader(&mut self, now: Duration) {
         let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
@@ -236,8 +239,8 @@
         self.maintain_voters(now);
     }
 
-    /// Gives leadership to a member that holds everything, for a planned
-    /// stop: the next leader then serves after one round trip.
+    /// Transfers leadership to a member that holds the whole log, before a
+    /// planned stop. The next leader then serves after one round trip.
     pub fn hand_over(&mut self, now: Duration) {
         let alone = self.log.members().voters().count() < 2;
         let ElectionState::Leader(leadership) = &mut self.election_state else {
@@ -267,8 +270,8 @@
         let Some(successor) = successor else {
             return;
         };
-        // Stepping down first ends the lease for good: the successor's
-        // voters do not wait for it.
+        // Stepping down first ends the lease, so that the successor's voters
+        // need not wait for it.
         self.become_follower(now, self.hard.term);
         self.send(&successor, MessageBody::TakeOver);
     }
@@ -304,31 +307,32 @@
         self.advance_commit();
     }
 
-    /// Commits what a majority has synced, through an entry of this term.
+    /// Advances the commit index to the last entry that a majority has synced,
+    /// if that entry is of the current term.
     ///
-    /// Guards against counting copies of an earlier term's entry: a later
-    /// leader without it could still be elected and undo the change.
+    /// Guards against committing an entry of an earlier term by counting its
+    /// copies: a member without it could still be elected and undo the change.
     pub(super) fn advance_commit(&mut self) {
         let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let own = &self.identity.instance;
         let synced = self.output.synced_index();
-        let reached = self.log.members().quorum_value(|voter| {
+        let quorum_index = self.log.members().quorum_value(|voter| {
             if voter == own {
                 return synced;
             }
             leadership.peers.get(voter).map_or(0, |peer| peer.matched)
         });
-        let reached = reached.unwrap_or(0);
-        let version = self.log.version_at(reached);
+        let quorum_index = quorum_index.unwrap_or(0);
+        let version = self.log.version_at(quorum_index);
         let own_term = version.is_some_and(|version| version.term == self.hard.term);
-        if reached > self.commit && own_term {
-            self.commit = reached;
+        if quorum_index > self.commit && own_term {
+            self.commit = quorum_index;
         }
         self.record_acknowledged(synced);
         if self.commit >= self.log.members_index() && !self.is_voter() {
-            // The last change that this leader committed removed it.
+            // The member list just committed removed this leader.
             self.election_state = ElectionState::Follower;
         }
     }
@@ -348,15 +352,15 @@
         }
     }
 
-    /// Sends what each member needs now.
+    /// Sends due entries, snapshots and heartbeats to all other members.
     pub(super) fn replicate(&mut self, now: Duration) {
         let next = self.log.last().index;
-        let replication_targets = self.replication_targets();
+        let targets = self.replication_targets();
         let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let heartbeat = std::mem::take(&mut leadership.heartbeat_due);
-        for (peer, folder) in replication_targets {
+        for (peer, folder) in targets {
             let ElectionState::Leader(leadership) = &mut self.election_state else {
                 return;
             };
@@ -409,7 +413,8 @@
         progress
     }
 
-    /// True where the log still holds what comes before the next entry.
+    /// True if the log still holds the entry before the next one to send, and no
+    /// snapshot is in flight.
     fn can_append_to(&self, progress: &PeerProgress) -> bool {
         let held = self.log.version_at(progress.next - 1).is_some();
         held && progress.installing.is_none()
@@ -420,11 +425,11 @@
         if !progress.may_send_entries(self.log.last().index) {
             return entries;
         }
-        let mut weight = 0;
+        let mut bytes = 0;
         for entry in self.log.from(progress.next) {
-            weight += entry.estimated_bytes();
+            bytes += entry.estimated_bytes();
             let full = entries.len() as u64 >= WINDOW_ENTRIES;
-            if full || (!entries.is_empty() && weight > APPEND_BYTES) {
+            if full || (!entries.is_empty() && bytes > APPEND_BYTES) {
                 break;
             }
             entries.push(entry.clone());
--- a/crates/core/src/agreement/log_entry.rs
+++ b/crates/core/src/agreement/log_entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the agreed log.
+//! Entries of the replicated log.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 /// Estimated size of a small change or of one part of a document, in bytes.
 const PART_BYTES: usize = 256;
 
-/// One entry; its version is its term and its place in the log.
+/// One log entry; its version is its term and index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Term of the leader that made it, and index.
+    /// Term of the leader that created the entry, and the entry's index.
     pub version: ConfigVersion,
-    /// What it says.
+    /// Contents of the entry.
     pub body: EntryBody,
 }
 
-/// What an entry says.
+/// Contents of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryBody {
-    /// Nothing; a leader's first entry, which commits those before it.
+    /// No contents; a leader's first entry, with which earlier ones commit.
     Blank,
-    /// A change by an operator, shared and never edited.
+    /// A change by an operator; immutable and shared.
     Change(Arc<ChangeEntry>),
-    /// The members from here on.
+    /// The member list from this entry on.
     Members(MemberList),
 }
 
 impl LogEntry {
-    /// Rough size on the wire, for bounding messages.
+    /// Estimated size on the wire in bytes, for limiting message sizes.
     pub fn estimated_bytes(&self) -> usize {
         let EntryBody::Change(entry) = &self.body else {
             return PART_BYTES;
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -1,8 +1,9 @@
-//! One member's part of the agreement on the log.
+//! The consensus state of one member.
 //!
-//! Terms, votes, entries and commits are told to it by the methods; the
-//! parts of its behaviour stand in `election`, `follower`, `leadership`,
-//! `founding` and `membership`.
+//! The caller drives it through [`AgreementMember::tick`],
+//! [`AgreementMember::receive`] and [`AgreementMember::persisted`]. The
+//! protocol itself is implemented in `election`, `follower`, `leadership`,
+//! `bootstrap` and `membership`.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -41,52 +42,53 @@
 use crate::agreement::voter_plan::PlanVerdict;
 use crate::version::ConfigVersion;
 
-/// What a member is at the moment.
+/// A member's part in the current term.
 #[derive(Clone, Debug)]
 pub(super) enum ElectionState {
-    /// It follows, or waits for a leader.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It asks whether an election would be won; what voters said.
+    /// Asks whether it would win an election; holds the answers so far.
     PreCandidate(PreVotes),
-    /// It asks for votes; voters that gave theirs.
+    /// Requests votes; holds the voters that granted theirs.
     Candidate(BTreeSet<Arc<str>>),
-    /// It leads.
+    /// Leads the term.
     Leader(Leadership),
 }
 
-/// Who leads, as a member knows it.
+/// The leader as known to one member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderStatus {
-    /// Where the leader is, if known.
+    /// The leader, if known.
     pub leader: Option<LeaderContact>,
-    /// True where this member leads, holds the lease and has applied all
-    /// that earlier leaders committed.
+    /// True if this member leads, holds the lease and has committed an entry
+    /// of its own term, and with it all that earlier leaders committed.
     pub leading: bool,
-    /// Where it does: when the lease ends, unless it is confirmed again.
+    /// If `leading`: when the lease expires unless it is renewed.
     pub lease_until: Option<Duration>,
 }
 
-/// What a member wants done.
+/// Work that a member hands to its caller.
 #[derive(Clone, Debug, Default)]
 pub struct MemberOutput {
-    /// To be synced; tell its sequence back.
+    /// Batch to write and sync; the caller reports its sequence to
+    /// [`AgreementMember::persisted`].
     pub write: Option<WriteBatch>,
-    /// To be sent, in any order; any may be lost.
+    /// Messages to send; they may be reordered or lost.
     pub messages: Vec<AddressedMessage>,
-    /// A snapshot that takes the place of the whole state.
+    /// Snapshot that replaces the whole replicated state.
     pub restored: Option<ReplicaSnapshot>,
-    /// Entries committed since, in order.
+    /// Newly committed entries, in log order.
     pub committed: Vec<LogEntry>,
-    /// What was newly decided about the members.
+    /// New decisions about membership, for the log.
     pub notes: Vec<PlanNote>,
 }
 
-/// One member of the agreement.
+/// One member of the consensus group.
 #[derive(Clone, Debug)]
 pub struct AgreementMember {
     pub(super) identity: MemberIdentity,
-    /// Voters of the settings: they found the log, and are greeted by
-    /// instances that know no members.
+    /// Instances named in the settings. They are the first voters of a new
+    /// log, and receive hellos from this instance.
     pub(super) seeds: Vec<(Arc<str>, SocketAddr)>,
     pub(super) random: SmallRng,
     pub(super) hard: HardState,
@@ -98,41 +100,44 @@
     pub(super) output: OutputQueue,
     pub(super) watermarks: FolderWatermarks,
     pub(super) received_hellos: BTreeMap<Arc<str>, ReceivedHello>,
-    /// Instances that answers to greetings named.
+    /// Instances named in hello answers.
     pub(super) contacts: ContactBook,
-    /// Instances that answered this start's greetings.
+    /// Seeds that answered a hello sent since this process started.
     pub(super) hello_answers: BTreeMap<Arc<str>, ReceivedHello>,
-    /// Folder by which each instance was last answered while this one had
-    /// never held any entry.
+    /// Data folder of each instance whose hello this one answered while it
+    /// had never held an entry.
     pub(super) answered_folders: BTreeMap<Arc<str>, u64>,
     pub(super) disk_failed: bool,
-    /// Leader of the term, once heard.
+    /// Leader of the current term, once it has sent a message.
     pub(super) leader: Option<LeaderContact>,
-    /// Its data folder.
+    /// Data folder of `leader`.
     pub(super) leader_folder: u64,
-    /// Leader named by the answer to a greeting, and when.
+    /// Leader named in a hello answer, and the time of that answer.
     pub(super) leader_hint: Option<(LeaderContact, Duration)>,
     pub(super) leader_heard_at: Option<Duration>,
-    /// Last index known to match the leader's.
+    /// Last index known to match the leader's log.
     pub(super) matched_index: u64,
-    /// Leader's clock on its last message.
+    /// Send time of the leader's latest message, on the leader's clock.
     pub(super) leader_sent_at: Duration,
-    /// No vote is given before this time.
+    /// No vote is granted before this time.
     pub(super) no_vote_until: Duration,
     pub(super) election_at: Duration,
-    /// When it next asks whether all voters have started again.
+    /// When this member next asks whether all voters have restarted.
     pub(super) restart_poll_at: Duration,
     pub(super) next_hello_at: Duration,
     pub(super) may_bootstrap: bool,
-    /// Voters that the leader sees to by itself; 0 leaves them to operators.
+    /// Number of voters that the leader maintains by itself; 0 leaves
+    /// membership to operators.
     pub(super) voter_target: usize,
-    /// Last verdict on the members that was noted.
+    /// Membership verdict that was last added to `plan_notes`.
     pub(super) last_plan_verdict: PlanVerdict,
     pub(super) plan_notes: Vec<PlanNote>,
 }
 
 impl AgreementMember {
-    /// A member that has just started on what its folder holds.
+    /// Creates a member from the contents of its data folder.
+    ///
+    /// `seed` initializes the random numbers of its timeouts.
     pub fn open(
         identity: MemberIdentity,
         seeds: Vec<(Arc<str>, SocketAddr)>,
@@ -165,9 +170,9 @@
             leader_heard_at: None,
             matched_index: 0,
             leader_sent_at: Duration::ZERO,
-            // Guards against a restarted voter that helps a second leader
-            // to power while the first still answers as fresh, under a
-            // lease that this voter granted before it crashed and forgot.
+            // Guards against two leaders that answer as fresh at once: this
+            // voter may have granted a lease before it crashed, and that
+            // lease is not on disk.
             no_vote_until: now + ELECTION_TIMEOUT_MIN,
             election_at: now,
             restart_poll_at: now,
@@ -182,8 +187,8 @@
         member
     }
 
-    /// The same member once its folder has been opened again, as after a start
-    /// of its process: what it held in memory only is forgotten.
+    /// Returns this member with its data folder reopened, as after a process
+    /// restart: state that was held only in memory is dropped.
     pub fn reopen(&self, opened: ReopenedFolder, now: Duration) -> Self {
         let same_folder = opened.folder == self.identity.folder;
         let identity = MemberIdentity {
@@ -200,31 +205,33 @@
         member
     }
 
-    /// Never founds a log: the fleet has been founded before.
+    /// Prevents this member from bootstrapping a log, because the fleet
+    /// already has one.
     ///
-    /// Guards against an instance that comes back with an empty folder while
-    /// all others are away: it would found a second log, and operators would
-    /// read that nothing was ever accepted.
+    /// Guards against an instance that returns with an empty folder while all
+    /// others are down: it would bootstrap a second log, in which operators
+    /// would find none of the accepted changes.
     pub fn forbid_bootstrap(&mut self) {
         self.may_bootstrap = false;
     }
 
-    /// As a leader, adds instances that greet until there are `wanted`
-    /// voters, and puts returned ones in the place of their lost folders.
+    /// Makes this member, while it leads, add instances that send hellos until
+    /// there are `wanted` voters, and replace lost folders of returned members.
     pub fn set_voter_target(&mut self, wanted: usize) {
         self.voter_target = wanted;
     }
 
-    /// Other instances to greet besides the members, by name and address.
-    /// Before the founding nothing changes, since all must agree on who founds.
-    pub fn set_seeds(&mut self, others: Vec<(Arc<str>, SocketAddr)>) {
-        let bootstrap = self.may_bootstrap && self.log.last() == ConfigVersion::ZERO;
-        if !bootstrap {
-            self.seeds = others;
+    /// Replaces the instances that receive hellos besides the members, by name
+    /// and address. Ignored by a member that may still bootstrap the log, since
+    /// all seeds must agree on which of them does.
+    pub fn set_seeds(&mut self, seeds: Vec<(Arc<str>, SocketAddr)>) {
+        let may_bootstrap = self.may_bootstrap && self.log.last() == ConfigVersion::ZERO;
+        if !may_bootstrap {
+            self.seeds = seeds;
         }
     }
 
-    /// Who leads, as far as this member knows.
+    /// The leader as known to this member.
     pub fn leader_status(&self, now: Duration) -> LeaderStatus {
         if let ElectionState::Leader(leadership) = &self.election_state {
             let lease_until = leadership.lease_until(self, now);
@@ -254,48 +261,47 @@
         }
     }
 
-    /// Highest term seen.
+    /// Highest term that this member has seen.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// True while this member leads its term, with a lease or without.
+    /// True while this member leads its term, with or without a lease.
     pub fn is_leader(&self) -> bool {
         matches!(self.election_state, ElectionState::Leader(_))
     }
 
-    /// True for this member's own name.
+    /// True if `instance` is this member's own name.
     pub fn is_named(&self, instance: &str) -> bool {
         *self.identity.instance == *instance
     }
 
-    /// Last committed index.
+    /// Index of the last committed entry.
     pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
-    /// Members as of the last entry, committed or not.
+    /// Members as of the last log entry, committed or not.
     pub fn members(&self) -> &MemberList {
         self.log.members()
     }
 
-    /// The entry at `index`, where it is held.
+    /// The entry at `index`, if the log still holds it.
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         self.log.entry(index)
     }
 
-    /// Entries since the last snapshot.
+    /// Number of log entries after the last snapshot.
     pub fn entries_since_snapshot(&self) -> u64 {
         self.log.entries_since_snapshot()
     }
 
-    /// True where this folder lost acknowledged entries and can only be
-    /// replaced.
+    /// True if this data folder lost acknowledged entries and must be replaced.
     pub fn is_barred(&self) -> bool {
         self.hard.barred
     }
 
-    /// Lets time pass.
+    /// Runs the timers that are due at `now`.
     pub fn tick(&mut self, now: Duration) {
         self.send_hellos(now);
         if !self.can_participate() {
@@ -315,14 +321,14 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another instance.
     pub fn receive(&mut self, now: Duration, message: MemberMessage) {
         if *message.to != *self.identity.instance {
             return;
         }
-        // Guards against an instance that lost its folder and came back
-        // empty under the same name: it must not take part with the
-        // standing of the folder that it lost.
+        // Guards against an instance that lost its folder and returned empty
+        // under the same name: messages meant for the lost folder must not
+        // give the new one its vote.
         let meant = message.to_folder;
         if meant.is_some_and(|folder| folder != self.identity.folder) {
             return;
@@ -388,7 +394,7 @@
         }
     }
 
-    /// Every write up to `sequence` is synced.
+    /// Records that every batch up to `sequence` is synced.
     pub fn persisted(&mut self, now: Duration, sequence: u64) {
         let synced = self.output.synced_index();
         self.output.persisted(sequence);
@@ -406,15 +412,16 @@
         }
     }
 
-    /// The disk failed. What it holds is not known any more, so this
-    /// member neither votes nor acknowledges until its process ends.
+    /// Records that the disk failed. Its contents are unknown from now on, so
+    /// this member neither votes nor acknowledges until its folder is reopened
+    /// or its process restarts.
     pub fn disk_failed(&mut self) {
         self.disk_failed = true;
         self.election_state = ElectionState::Follower;
         self.output.clear();
     }
 
-    /// Hands out what was decided since the last time.
+    /// Takes the work that has accumulated since the last call.
     pub fn take_output(&mut self, now: Duration) -> MemberOutput {
         if self.disk_failed {
             self.output.pending().hard = None;
@@ -450,7 +457,7 @@
         Some(snapshot)
     }
 
-    /// True where this member may vote, acknowledge and lead.
+    /// True if this member may vote, acknowledge and lead.
     pub(super) fn can_participate(&self) -> bool {
         !self.disk_failed && !self.hard.barred
     }
@@ -460,10 +467,11 @@
         members.is_voter(&self.identity.instance, self.identity.folder)
     }
 
-    /// Follows in `term`, with nobody known to lead it yet.
+    /// Becomes a follower. In a later term than the current one, no leader is
+    /// known yet.
     pub(super) fn become_follower(&mut self, now: Duration, term: u64) {
         if term > self.hard.term {
-            self.set_hard(HardState {
+            self.set_hard_state(HardState {
                 term,
                 voted_for: None,
                 barred: false,
--- a/crates/core/src/agreement/member_list.rs
+++ b/crates/core/src/agreement/member_list.rs
@@ -1,4 +1,4 @@
-//! Who agrees: the members, their roles and what a majority of them is.
+//! The member list: roles, data folders and the quorum.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,40 +10,41 @@
 /// Whether a member counts in majorities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberRole {
-    /// It counts.
+    /// Votes, and counts in majorities.
     Voter,
-    /// It receives the log and counts once it holds what is committed.
+    /// Receives the log, and becomes a voter once it holds all committed
+    /// entries.
     Learner,
 }
 
-/// One member.
+/// Address, data folder and role of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Random number of its data folder. An instance that comes back with
-    /// another folder is another member, whatever its name.
+    /// Random id of its data folder. An instance that returns with another
+    /// folder is another member, even under the same name.
     pub folder: u64,
-    /// Whether it counts.
+    /// Whether it counts in majorities.
     pub role: MemberRole,
 }
 
-/// Members by the name of their instance.
+/// Members by instance name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
     members: BTreeMap<Arc<str>, MemberRecord>,
-    /// Folders of members that were removed or came back with another one,
-    /// the last at the end.
+    /// Data folders of members that were removed or returned with another
+    /// folder, latest last.
     #[serde(default)]
     former: Vec<u64>,
 }
 
-/// Former folders that are remembered: more than a fleet's
-/// instances, each replaced some times.
+/// Maximum number of former data folders kept: enough for every instance of a
+/// fleet to be replaced several times.
 const FORMER_MAX: usize = 64;
 
 impl MemberList {
-    /// The member of this name.
+    /// The member with this instance name.
     pub fn get(&self, instance: &str) -> Option<&MemberRecord> {
         self.members.get(instance)
     }
@@ -53,7 +54,7 @@
         self.members.iter()
     }
 
-    /// Sets a member's record.
+    /// Adds or replaces a member.
     pub fn set(&mut self, instance: Arc<str>, record: MemberRecord) {
         let folder = record.folder;
         self.former.retain(|former| *former != folder);
@@ -77,30 +78,30 @@
         self.former.push(folder);
     }
 
-    /// True for a folder that was a member's once and is none's now.
+    /// True if the data folder belonged to a member and belongs to none now.
     pub fn was_member(&self, folder: u64) -> bool {
         self.former.contains(&folder)
     }
 
-    /// True where no member is known yet.
+    /// True if there are no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Names of the voters.
+    /// Instance names of the voters.
     pub fn voters(&self) -> impl Iterator<Item = &Arc<str>> {
         let voters = self.members.iter();
         let voters = voters.filter(|(_, record)| record.role == MemberRole::Voter);
         voters.map(|(instance, _)| instance)
     }
 
-    /// True where this instance, with this folder, is a member.
+    /// True if this instance is a member with this data folder.
     pub fn contains(&self, instance: &str, folder: u64) -> bool {
         let record = self.members.get(instance);
         record.is_some_and(|record| record.folder == folder)
     }
 
-    /// True where this instance, with this folder, votes.
+    /// True if this instance is a voter with this data folder.
     pub fn is_voter(&self, instance: &str, folder: u64) -> bool {
         let record = self.members.get(instance);
         record.is_some_and(|record| {
@@ -108,12 +109,13 @@
         })
     }
 
-    /// How many voters make a majority.
+    /// Number of voters in a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The highest value that a majority of the voters reaches.
+    /// The highest value that a majority of the voters has reached, or `None`
+    /// if there are no voters.
     pub fn quorum_value<T: Ord>(&self, value: impl Fn(&Arc<str>) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/core/src/agreement/member_message.rs
+++ b/crates/core/src/agreement/member_message.rs
@@ -15,123 +15,125 @@
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
-/// A message with what every message tells of its sender.
+/// A message, with the sender's identity and state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMessage {
-    /// Sender's instance.
+    /// Instance name of the sender.
     pub from: Arc<str>,
-    /// Where the sender listens.
+    /// Address at which the sender listens.
     pub address: SocketAddr,
-    /// Sender's data folder.
+    /// Id of the sender's data folder.
     pub folder: u64,
-    /// Sender's start.
+    /// The sender's process start.
     pub start: ProcessStart,
-    /// Last index that the sender had synced.
+    /// Last log index that the sender has synced.
     pub synced: u64,
-    /// Sender's term, synced.
+    /// The sender's term, synced.
     pub term: u64,
-    /// Instance that it is meant for.
+    /// Instance name of the receiver.
     pub to: Arc<str>,
-    /// Data folder that it is meant for; `None` for any.
+    /// Id of the receiver's data folder; `None` for any.
     pub to_folder: Option<u64>,
-    /// What it says.
+    /// Type and contents of the message.
     pub body: MessageBody,
 }
 
-/// Where the leader is.
+/// Name and address of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderContact {
-    /// Its instance.
+    /// Instance name of the leader.
     pub instance: Arc<str>,
-    /// Where it listens.
+    /// Address at which the leader listens.
     pub address: SocketAddr,
 }
 
-/// What a message says.
+/// Type and contents of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is no member, or hears from no leader.
+    /// The sender is not a member, or hears from no leader.
     Hello {
-        /// True where it has never held any entry.
+        /// True if the sender has never held an entry.
         fresh: bool,
     },
-    /// Answer to a greeting.
+    /// Answer to a hello.
     HelloAnswer {
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<LeaderContact>,
-        /// True where the answering instance has never held any entry.
+        /// True if the answering instance has never held an entry.
         fresh: bool,
-        /// Start of the greeting instance.
+        /// Process start of the instance that sent the hello.
         greeted: ProcessStart,
-        /// The members, or else the contacts, that the answering instance
-        /// knows.
+        /// Members known to the answering instance or, if it knows none, its
+        /// other contacts.
         #[serde(default)]
         contacts: Vec<PeerContact>,
     },
-    /// Would you vote for the sender in the next term?
+    /// Asks whether the receiver would vote for the sender in the next term.
     PreVote {
-        /// Sender's last entry.
+        /// Version of the sender's last entry.
         last: ConfigVersion,
     },
     /// Answer to a pre-vote.
     PreVoteAnswer {
-        /// Term that was asked about.
+        /// The term in question.
         next_term: u64,
-        /// The answer.
+        /// True if the voter would vote for the receiver of this answer.
         granted: bool,
-        /// The answering voter is at the asker's term, and can lead neither
-        /// that one nor an earlier one any more.
+        /// The answering voter is in the term of the pre-vote's sender, and can
+        /// no longer lead that term or an earlier one.
         #[serde(default)]
         idle: bool,
     },
-    /// The sender asks for a vote in its term.
+    /// Requests a vote for the sender in its term.
     Vote {
-        /// Sender's last entry.
+        /// Version of the sender's last entry.
         last: ConfigVersion,
-        /// The leader of the term before handed over to the sender.
+        /// The leader of the previous term handed leadership over to the sender.
         handed_over: bool,
-        /// Every voter said that it is idle, in the term before.
+        /// Every voter was idle in the previous term.
         #[serde(default)]
         all_idle: bool,
     },
-    /// Answer to a vote.
+    /// Answer to a vote request.
     VoteAnswer {
-        /// The answer.
+        /// True if the vote is granted.
         granted: bool,
     },
-    /// Entries from the leader; without any it is a heartbeat.
+    /// Entries from the leader; a heartbeat if empty.
     Append {
-        /// The entry before the first of them.
+        /// Version of the entry before the first of `entries`.
         previous: ConfigVersion,
-        /// The entries.
+        /// Consecutive log entries.
         entries: Vec<LogEntry>,
-        /// Last committed index.
+        /// The leader's last committed index.
         commit: u64,
-        /// Leader's clock, to be given back.
+        /// Send time on the leader's clock, returned in the answer.
         sent_at: Duration,
-        /// What the leader knows the folders to hold; on heartbeats.
+        /// Watermarks by data folder; sent with heartbeats only.
         marks: BTreeMap<u64, FolderWatermark>,
     },
-    /// The leader's snapshot, for a member too far behind.
+    /// The leader's snapshot, for a member that needs entries which the leader
+    /// no longer holds.
     Install {
         /// The snapshot.
         snapshot: ReplicaSnapshot,
-        /// Leader's clock, to be given back.
+        /// Send time on the leader's clock, returned in the answer.
         sent_at: Duration,
     },
-    /// Answer to entries, heartbeat or snapshot.
+    /// Answer to entries, a heartbeat or a snapshot.
     AppendAnswer {
-        /// Last index that matches the leader's and is synced; or, where
-        /// the previous entry is missing, the last committed one.
+        /// `Ok` with the last index that matches the leader's log and is synced,
+        /// or `Err` with the last committed index if the previous entry is
+        /// missing.
         matched: Result<u64, u64>,
-        /// The leader's clock at sending.
+        /// Latest send time received from the leader, on the leader's clock.
         sent_at: Duration,
     },
     /// The leader has stepped down in favour of the receiver.
     TakeOver,
-    /// The receiver's folder held more than it shows now.
+    /// The receiver's data folder has lost acknowledged entries.
     Distrust {
-        /// What it held.
+        /// Watermark of the folder.
         mark: FolderWatermark,
     },
 }
--- a/crates/core/src/agreement/member_outbox.rs
+++ b/crates/core/src/agreement/member_outbox.rs
@@ -1,4 +1,4 @@
-//! What a member sends, to whom, and whom it trusts.
+//! Sending of messages, and the check of their senders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Sends to a member of the list.
+    /// Sends a message to a member; does nothing if `to` is not a member.
     pub(super) fn send(&mut self, to: &Arc<str>, body: MessageBody) {
         let Some(record) = self.log.members().get(to) else {
             return;
@@ -41,50 +41,53 @@
         self.output.send((address, message));
     }
 
-    /// Answers the sender of `message`, member of the own list or not: the
-    /// list may lag behind the sender's.
+    /// Answers the sender of `message`, even if it is not in this member's
+    /// list, which may lag behind the sender's.
     pub(super) fn answer(&mut self, message: &MemberMessage, body: MessageBody) {
         let answer = self.message(&message.from, Some(message.folder), body);
         self.output.send((message.address, answer));
     }
 
-    /// The other members that entries go to, and their folders.
+    /// The other members that receive entries, with their data folders.
     ///
-    /// A learner whose addition is not committed gets nothing yet: should a
-    /// later leader undo the addition, its folder is still empty and it can
-    /// be added again.
+    /// A learner whose addition is not committed receives nothing yet: if a
+    /// later leader drops the addition, the learner's folder is still empty and
+    /// it can be added again.
     pub(super) fn replication_targets(&self) -> Vec<(Arc<str>, u64)> {
         let settled = self.log.members_index() <= self.commit;
-        let mut replication_targets = Vec::new();
+        let mut targets = Vec::new();
         for (name, record) in self.log.members().iter() {
             let waits = record.role == MemberRole::Learner && !settled;
             if *name != self.identity.instance && !waits {
-                replication_targets.push((Arc::clone(name), record.folder));
+                targets.push((Arc::clone(name), record.folder));
             }
         }
-        replication_targets
+        targets
     }
 
-    /// Checks what a sender shows against what its folder must hold.
+    /// True if the sender's data folder holds at least what it acknowledged.
+    /// Otherwise tells the sender that it has lost entries.
     pub(super) fn trusts(&mut self, message: &MemberMessage) -> bool {
-        let shown = FolderWatermark {
+        let reported = FolderWatermark {
             start: message.start,
             synced: message.synced,
             term: message.term,
         };
-        let Some(mark) = self.watermarks.observe(message.folder, shown) else {
+        let Some(mark) = self.watermarks.observe(message.folder, reported) else {
             return true;
         };
         self.answer(message, MessageBody::Distrust { mark });
         false
     }
 
+    /// Bars this member if `mark` proves that its data folder has lost
+    /// acknowledged entries.
     pub(super) fn handle_distrust(&mut self, now: Duration, mark: FolderWatermark) {
         let synced = self.output.synced_index();
         if !mark.proves_loss(self.identity.start, synced, self.hard.term) {
             return;
         }
-        self.set_hard(HardState {
+        self.set_hard_state(HardState {
             barred: true,
             ..self.hard.clone()
         });
--- a/crates/core/src/agreement/member_writes.rs
+++ b/crates/core/src/agreement/member_writes.rs
@@ -1,4 +1,4 @@
-//! What a member writes: its term and vote, its entries and its snapshots.
+//! Writes of a member: term and vote, log entries and snapshots.
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
@@ -7,7 +7,7 @@
 use crate::agreement::saved_state::SnapshotWrite;
 
 impl AgreementMember {
-    pub(super) fn set_hard(&mut self, hard: HardState) {
+    pub(super) fn set_hard_state(&mut self, hard: HardState) {
         self.hard = hard;
         self.output.pending().hard = Some(self.hard.clone());
     }
@@ -27,8 +27,8 @@
         pending.cut_from = Some(lowest);
     }
 
-    /// Takes a snapshot of the state after `version`, which was handed out
-    /// as committed.
+    /// Stores a snapshot of the state after an entry that was delivered as
+    /// committed, and compacts the log.
     pub fn compact(&mut self, mut snapshot: ReplicaSnapshot) {
         snapshot.members = self.log.members_at(snapshot.version.index);
         self.log.compact(snapshot);
@@ -36,7 +36,8 @@
     }
 
     pub(super) fn restore(&mut self, snapshot: ReplicaSnapshot) {
-        // Synced entries behind the old commit may be of another history.
+        // Synced entries after the old commit index may conflict with the
+        // snapshot's history.
         self.output.cut_from(self.commit + 1);
         self.commit = snapshot.version.index;
         self.log.install(snapshot);
@@ -52,7 +53,7 @@
             hard: self.hard.clone(),
             rest,
         };
-        // The new log file holds the whole log as it stands now.
+        // The new log file holds the whole current log.
         let pending = self.output.pending();
         pending.snapshot = Some(write);
         pending.cut_from = None;
--- a/crates/core/src/agreement/membership.rs
+++ b/crates/core/src/agreement/membership.rs
@@ -1,4 +1,4 @@
-//! Change of members, one at a time.
+//! Membership changes, one member at a time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,51 +23,53 @@
 use crate::agreement::voter_plan::PlanVerdict;
 use crate::version::ConfigVersion;
 
-/// Live voters at most: each more costs the leader a copy of every change and
-/// five survive two losses already.
-const VOTERS_MAX: usize = 7;
+/// Maximum number of live members, all of which become voters. Each voter costs
+/// the leader another copy of every change, and five voters already tolerate two
+/// failures.
+const LIVE_MEMBERS_MAX: usize = 7;
 
-/// What an operator asks of the members.
+/// A change of membership requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// Add an instance that runs with an empty data folder, or put it in
-    /// the place of a member of the same name whose folder is lost.
+    /// Add an instance that runs with an empty data folder, or replace a member
+    /// of the same name whose folder is lost.
     Add {
-        /// Its name.
+        /// Instance name.
         instance: Arc<str>,
-        /// Where it listens.
+        /// Address at which the instance listens.
         address: SocketAddr,
     },
     /// Remove a member.
     Remove {
-        /// Its name.
+        /// Instance name.
         instance: Arc<str>,
     },
 }
 
-/// Why a change of members was refused; nothing changed.
+/// Why a membership change was refused; nothing has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum MemberRefusal {
-    /// One change at a time.
-    #[error("another change of members is under way; ask again when it is done")]
+    /// Another membership change is not committed yet.
+    #[error("another membership change is under way; retry when it is done")]
     UnderWay,
-    /// The instance has not greeted the members.
+    /// The leader has received no recent hello from the instance.
     #[error("the instance has not been heard of; start it with an empty data folder and these members in its settings first")]
     NotHeard,
-    /// Its folder holds entries, and was no member's of this log.
-    #[error("the instance's data folder is not empty; stop it, remove the folder, start it and ask again")]
+    /// The instance's data folder holds entries and is not known to be from this
+    /// log.
+    #[error("the instance's data folder is not empty; stop it, remove the folder, start it and retry")]
     NotEmpty,
     /// No member has this name.
     #[error("no member has this name")]
     NotMember,
-    /// It is a member already, with the folder it has.
-    #[error("the instance is a member already")]
+    /// The instance is already a member with its current data folder.
+    #[error("the instance is already a member")]
     AlreadyMember,
-    /// Fewer voters than a majority would be live.
-    #[error("fewer voters than a majority would be live afterwards")]
+    /// Less than a majority of the voters would be live.
+    #[error("less than a majority of the voters would be live afterwards")]
     TooFewLive,
-    /// More voters than are of use.
-    #[error("there are as many members as are of use")]
+    /// There are already as many live members as allowed.
+    #[error("the maximum number of live members is reached")]
     TooMany,
 }
 
@@ -83,7 +85,7 @@
         Self::TooMany,
     ];
 
-    /// The reason as counters name it.
+    /// The reason as a metric label.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::UnderWay => "under-way",
@@ -97,35 +99,37 @@
     }
 }
 
-/// What became of a change of members.
+/// Result of a membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberAnswer {
-    /// It is in the log. A new member votes once it holds the log.
+    /// The change is in the log at this version. A new member votes once it
+    /// holds the log.
     Accepted(ConfigVersion),
     /// Nothing changed.
     Refused(MemberRefusal),
 }
 
-/// One member as operators read it.
+/// One member as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLine {
-    /// Its name.
+    /// Instance name.
     pub instance: Arc<str>,
-    /// Where it listens.
+    /// Address at which the instance listens.
     pub address: SocketAddr,
     /// Whether it votes.
     pub role: MemberRole,
     /// True for the leader.
     pub leads: bool,
-    /// True where it was heard of within the last second.
+    /// True if the leader heard from it within the last second.
     pub live: bool,
-    /// Last index that it is known to hold, synced.
+    /// Last index that it is known to have synced.
     pub synced: u64,
 }
 
 impl AgreementMember {
-    /// Starts a change of members; the caller has made sure that this
-    /// member leads and may accept.
+    /// Starts a membership change. The caller has checked that this member
+    /// leads and holds the lease. Returns `None` if the entry cannot be
+    /// appended.
     pub fn change_members(
         &mut self,
         now: Duration,
@@ -137,7 +141,7 @@
         };
         let version = self.propose(now, EntryBody::Members(members))?;
         if let MemberChange::Add { instance, .. } = change {
-            // It is about to hold entries: its greeting holds no longer.
+            // The instance is about to hold entries, so its hello is outdated.
             self.received_hellos.remove(instance);
         }
         Some(MemberAnswer::Accepted(version))
@@ -188,7 +192,7 @@
             return Err(MemberRefusal::NotEmpty);
         }
         let live = members.iter().filter(|(name, _)| self.is_live(now, name));
-        if members.get(instance).is_none() && live.count() >= VOTERS_MAX {
+        if members.get(instance).is_none() && live.count() >= LIVE_MEMBERS_MAX {
             return Err(MemberRefusal::TooMany);
         }
         Ok(MemberRecord {
@@ -198,21 +202,21 @@
         })
     }
 
-    /// True for an empty folder, and for one that was a member's once and so
-    /// holds the beginning of this log.
+    /// True if the data folder is empty, or belonged to a former member and so
+    /// holds a prefix of this log.
     ///
-    /// Without the second a member that gave its place to another one while it
-    /// was cut off could never come back, and the fleet would run out of
-    /// instances to choose from.
+    /// Without the second case a member that was replaced while it was
+    /// partitioned could never return, and the fleet would run out of
+    /// candidates.
     fn is_admissible(&self, hello: &ReceivedHello) -> bool {
         hello.fresh || self.log.members().was_member(hello.folder)
     }
 
-    /// Gives a vote to a learner that holds everything committed, synced.
+    /// Makes a learner that has synced all committed entries a voter.
     ///
     /// Guards against a second loss right after a repair: a repaired member
-    /// that counted before it held the log would make a majority with the
-    /// one instance that misses the last changes.
+    /// that voted before it held the log could form a majority with the one
+    /// instance that misses the last changes.
     pub(super) fn promote_learner(&mut self, now: Duration) {
         let ElectionState::Leader(leadership) = &self.election_state else {
             return;
@@ -237,11 +241,11 @@
         self.propose(now, EntryBody::Members(members));
     }
 
-    /// Sees to the wanted number of voters without an operator.
+    /// Keeps the number of voters at the target without an operator.
     ///
-    /// Load pattern: instances lose their disks or are replaced for good at
-    /// any hour. Without this the next loss of one more voter stops all
-    /// changes until an operator has added the returned one by hand.
+    /// Load pattern: instances lose their disks or are replaced for good at any
+    /// time. Without this the loss of one more voter would stop all changes
+    /// until an operator adds the returned instance by hand.
     pub(super) fn maintain_voters(&mut self, now: Duration) {
         let ElectionState::Leader(leadership) = &self.election_state else {
             return;
@@ -252,12 +256,13 @@
         }
         let verdict = self.plan_voter_change(now);
         if let PlanVerdict::Change(change) = verdict {
-            // Refused where too few are live; the next tick looks again.
+            // Refused if too few voters are live; the next tick tries again.
             let _ = self.change_members(now, &change);
         }
     }
 
-    /// Decides on the next change, and notes a verdict that is new.
+    /// Decides on the next membership change, and records a verdict that differs
+    /// from the last one.
     fn plan_voter_change(&mut self, now: Duration) -> PlanVerdict {
         let members = self.observed_members(now);
         let candidates = self.join_candidates(now);
@@ -278,7 +283,7 @@
         let ElectionState::Leader(leadership) = &self.election_state else {
             return Vec::new();
         };
-        let mut seen = Vec::new();
+        let mut observed = Vec::new();
         for (instance, record) in self.log.members().iter() {
             let heard = if *instance == self.identity.instance {
                 Some(now)
@@ -286,13 +291,13 @@
                 self.progress(instance).and_then(|peer| peer.last_heard())
             };
             let since = heard.unwrap_or(Duration::ZERO).max(leadership.since());
-            seen.push(ObservedMember {
+            observed.push(ObservedMember {
                 instance: Arc::clone(instance),
                 role: record.role,
                 silent: now.saturating_sub(since),
             });
         }
-        seen
+        observed
     }
 
     fn join_candidates(&self, now: Duration) -> Vec<JoinCandidate> {
@@ -303,8 +308,8 @@
             if !recent || members.contains(instance, hello.folder) {
                 continue;
             }
-            // A late greeting from before the member came back must not take
-            // its place from the folder that it has now.
+            // A delayed hello, sent before the member returned, must not
+            // replace the data folder that the member has now.
             let heard = self.progress(instance).and_then(|peer| peer.last_heard());
             if heard.is_some_and(|heard| heard > hello.at) {
                 continue;
@@ -318,7 +323,7 @@
         candidates
     }
 
-    /// The members as the leader sees them.
+    /// The members as seen by the leader.
     pub fn member_lines(&self, now: Duration) -> Vec<MemberLine> {
         let mut lines = Vec::new();
         for (instance, record) in self.log.members().iter() {
--- a/crates/core/src/agreement/output_queue.rs
+++ b/crates/core/src/agreement/output_queue.rs
@@ -1,4 +1,4 @@
-//! What a member has decided and not yet handed out.
+//! Writes and messages of a member that its caller has not taken yet.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -6,31 +6,35 @@
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::saved_state::WriteBatch;
 
-/// A message and where it goes.
+/// A message and the address of its receiver.
 pub type AddressedMessage = (SocketAddr, MemberMessage);
 
-/// Gathers writes and messages; holds messages back until the term and
-/// vote that they tell of are synced.
+/// Collects writes and messages, and blocks messages until the term and vote
+/// on which they depend are synced.
 ///
-/// Guards against a member that crashes after telling of a vote that its
-/// disk does not hold: it would vote twice in one term, and two leaders
-/// would accept different changes under equal numbers.
+/// Guards against a member that crashes after it sent a vote that is not on its
+/// disk: it would vote twice in one term, and two leaders would accept
+/// different changes under the same version.
 #[derive(Clone, Debug, Default)]
 pub struct OutputQueue {
     pending: WriteBatch,
+    /// Sequence of the last batch taken.
     sequence: u64,
+    /// Sequence of the last batch with a term or vote.
     hard_sequence: u64,
     synced_sequence: u64,
-    /// Last log index after each batch that is not synced yet.
+    /// Sequence and last log index of each batch that is not synced yet.
     unsynced: VecDeque<(u64, u64)>,
     /// Last log index that is synced.
     synced_index: u64,
+    /// Messages that wait for a term or vote to be synced.
     blocked: Vec<AddressedMessage>,
+    /// Messages queued since the last call of [`Self::take`].
     outgoing: Vec<AddressedMessage>,
 }
 
 impl OutputQueue {
-    /// A queue for a log that is synced up to `index`.
+    /// Creates a queue for a log that is synced up to `index`.
     pub fn new(index: u64) -> Self {
         Self {
             synced_index: index,
@@ -38,7 +42,7 @@
         }
     }
 
-    /// The batch being gathered.
+    /// The batch being collected.
     pub fn pending(&mut self) -> &mut WriteBatch {
         &mut self.pending
     }
@@ -48,12 +52,13 @@
         self.synced_index
     }
 
-    /// True where term and vote are synced.
+    /// True if the current term and vote are synced.
     pub fn hard_synced(&self) -> bool {
         self.pending.hard.is_none() && self.hard_sequence <= self.synced_sequence
     }
 
-    /// The log is cut: what was synced beyond counts no more.
+    /// Records that the log was cut from `index` on: entries from there on no
+    /// longer count as synced.
     pub fn cut_from(&mut self, index: u64) {
         let kept = index.saturating_sub(1);
         self.synced_index = self.synced_index.min(kept);
@@ -67,7 +72,7 @@
         self.outgoing.push(message);
     }
 
-    /// Everything up to batch `sequence` is synced.
+    /// Records that all batches up to `sequence` are synced.
     pub fn persisted(&mut self, sequence: u64) {
         self.synced_sequence = self.synced_sequence.max(sequence);
         while let Some((batch, last)) = self.unsynced.front().copied() {
@@ -79,7 +84,8 @@
         }
     }
 
-    /// Hands out the batch, numbered, and the messages that may leave.
+    /// Takes the collected batch, numbered, and the messages that may be sent.
+    /// `last` is the last log index after the batch.
     pub fn take(&mut self, last: u64) -> (Option<WriteBatch>, Vec<AddressedMessage>) {
         let batch = self.close_batch(last);
         self.blocked.append(&mut self.outgoing);
@@ -102,7 +108,7 @@
         Some(std::mem::take(&mut self.pending))
     }
 
-    /// Drops what waits; used where the disk failed.
+    /// Drops the collected batch and all messages, after a disk failure.
     pub fn clear(&mut self) {
         self.pending = WriteBatch::default();
         self.blocked.clear();
--- a/crates/core/src/agreement/replica_log.rs
+++ b/crates/core/src/agreement/replica_log.rs
@@ -8,15 +8,15 @@
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
-/// Entries kept behind a snapshot, so that a member a little late needs no
-/// snapshot: an hour and a half at 13,000 changes a day.
+/// Entries kept before a snapshot, so that a member that is a little behind
+/// needs no snapshot: an hour and a half at 13,000 changes a day.
 const KEPT_ENTRIES: u64 = 1_024;
 
-/// Snapshot, entries and the members that follow from both.
+/// A snapshot, the log entries and the resulting member list.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaLog {
     snapshot: ReplicaSnapshot,
-    /// Entry before the first one held.
+    /// Version of the entry before the first one held.
     start: ConfigVersion,
     entries: VecDeque<LogEntry>,
     members: MemberList,
@@ -24,17 +24,18 @@
 }
 
 impl ReplicaLog {
-    /// A log of what was found on disk.
+    /// Creates a log from the snapshot and entries read from disk.
     pub fn new(snapshot: ReplicaSnapshot, entries: Vec<LogEntry>) -> Self {
         let mut log = Self {
             snapshot,
             ..Self::default()
         };
         log.start = log.snapshot.version;
-        // Guards against a crash between the new snapshot and the new log
-        // file: the old log is then behind the snapshot or, after one that
-        // came from the leader, of another history. Only a log that holds
-        // the snapshot's own last entry goes on from it.
+        // Guards against a crash between writing a new snapshot and the new
+        // log file: the old log then ends before the snapshot or, if the
+        // snapshot came from the leader, may have another history. The log is
+        // kept only if it holds the snapshot's last entry or starts right
+        // after it.
         let base = log.snapshot.version;
         let first = entries.first().map(|entry| entry.version.index);
         let joins = entries.iter().any(|entry| entry.version == base)
@@ -44,7 +45,7 @@
             log.start = if index == base.index {
                 base
             } else {
-                // Terms below the kept entries are never asked for.
+                // The term of the entry before the kept ones is never used.
                 ConfigVersion::new(0, index)
             };
             log.entries = entries.into();
@@ -63,7 +64,7 @@
         &self.members
     }
 
-    /// Index of the entry that set the members.
+    /// Index of the entry, or of the snapshot, that set the members.
     pub fn members_index(&self) -> u64 {
         self.members_index
     }
@@ -75,12 +76,12 @@
             .map_or(self.start, |entry| entry.version)
     }
 
-    /// Index of the first entry held, or of the next to come.
+    /// Index of the first entry held, or of the next one if there is none.
     pub fn first_index(&self) -> u64 {
         self.start.index + 1
     }
 
-    /// The version at `index`, where it is held.
+    /// Version of the entry at `index`, if the log or the snapshot knows it.
     pub fn version_at(&self, index: u64) -> Option<ConfigVersion> {
         if index == self.snapshot.version.index {
             return Some(self.snapshot.version);
@@ -91,13 +92,13 @@
         self.entry(index).map(|entry| entry.version)
     }
 
-    /// The entry at `index`, where it is held.
+    /// The entry at `index`, if the log holds it.
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         let at = index.checked_sub(self.start.index + 1)?;
         self.entries.get(at as usize)
     }
 
-    /// Entries held from `index` on.
+    /// The entries held from `index` on.
     pub fn from(&self, index: u64) -> impl Iterator<Item = &LogEntry> {
         let at = index.saturating_sub(self.start.index + 1);
         self.entries.iter().skip(at as usize)
@@ -112,7 +113,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn cut_from(&mut self, index: u64) {
         let kept = index.saturating_sub(self.start.index + 1);
         self.entries.truncate(kept as usize);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Entries since the last snapshot.
+    /// Number of entries after the last snapshot.
     pub fn entries_since_snapshot(&self) -> u64 {
         self.last()
             .index
@@ -143,7 +144,8 @@
         self.snapshot.members.clone()
     }
 
-    /// Takes a snapshot of the own state and drops most entries in it.
+    /// Installs a snapshot of this member's state, and drops its entries except
+    /// the last [`KEPT_ENTRIES`].
     pub fn compact(&mut self, snapshot: ReplicaSnapshot) {
         let keep_from = snapshot.version.index.saturating_sub(KEPT_ENTRIES);
         self.snapshot = snapshot;
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Takes the leader's snapshot in place of the log, but for entries
-    /// that go on from it.
+    /// Replaces the log by the leader's snapshot, and keeps only the entries
+    /// that continue it.
     pub fn install(&mut self, snapshot: ReplicaSnapshot) {
         let base = snapshot.version;
         if self.version_at(base.index) != Some(base) {
--- a/crates/core/src/agreement/saved_state.rs
+++ b/crates/core/src/agreement/saved_state.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk, and what it asks to be written.
+//! The state that a member keeps on disk, and the batches it writes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 use crate::control_state::ControlState;
 use crate::version::ConfigVersion;
 
-/// Who a member is: its settings and its data folder.
+/// Identity of a member: its name, address, data folder and process start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberIdentity {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Random number of its data folder.
+    /// Random id of its data folder.
     pub folder: u64,
-    /// This start of the process.
+    /// This start of its process.
     pub start: ProcessStart,
 }
 
-/// Term and vote; synced before a message of the term leaves.
+/// Term and vote, synced before any message of the term is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Highest term seen.
+    /// Highest term that the member has seen.
     pub term: u64,
-    /// Whom this member voted for in it.
+    /// The candidate for which the member voted in this term.
     pub voted_for: Option<Arc<str>>,
-    /// Set once the folder was found to have lost acknowledged entries: it
-    /// never votes or acknowledges again.
+    /// True once the folder is known to have lost acknowledged entries: a member
+    /// with this folder neither votes nor acknowledges again.
     pub barred: bool,
 }
 
-/// The state after the entry at `version`.
+/// The replicated state after the entry at `version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSnapshot {
-    /// Last entry in it.
+    /// Version of the last entry that the snapshot includes.
     pub version: ConfigVersion,
     /// Members as of that entry.
     pub members: MemberList,
@@ -48,59 +48,60 @@
     pub state: Arc<ControlState>,
 }
 
-/// What was found on disk.
+/// The state read from disk at start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SavedState {
     /// Term and vote.
     pub hard: HardState,
-    /// Last snapshot; empty at version zero where none was taken.
+    /// Last snapshot; empty and at version zero if none was taken.
     pub snapshot: ReplicaSnapshot,
-    /// Entries of the log, in order, without gaps.
+    /// Log entries, in order and without gaps.
     pub entries: Vec<LogEntry>,
 }
 
-/// A data folder that was opened again after its disk had failed, or a new one
-/// in the place of one that lost acknowledged entries.
+/// A data folder that was reopened after a disk failure, or a new one that
+/// replaces a folder that lost acknowledged entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReopenedFolder {
-    /// Random number of the folder.
+    /// Random id of the folder.
     pub folder: u64,
-    /// This start on it.
+    /// The start that opened the folder.
     pub start: ProcessStart,
-    /// What it holds.
+    /// Contents of the folder.
     pub saved: SavedState,
-    /// Seed of what the member draws.
+    /// Seed of the member's random numbers.
     pub seed: u64,
 }
 
-/// Something to be written and synced as one, in the order of the fields.
+/// Changes that are written in the order of the fields and synced together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Grows by one with each batch; told back once synced.
+    /// Number of the batch, one more than that of the batch before; reported to
+    /// the member once the batch is synced.
     pub sequence: u64,
-    /// New term or vote.
+    /// New term and vote.
     pub hard: Option<HardState>,
     /// New snapshot, after which the log holds exactly `rest`.
     pub snapshot: Option<SnapshotWrite>,
-    /// The log ends before this index.
+    /// Index from which on log entries are removed.
     pub cut_from: Option<u64>,
     /// Entries to append.
     pub entries: Vec<LogEntry>,
 }
 
-/// A snapshot and the log that stays beside it.
+/// A snapshot and the log entries kept with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotWrite {
     /// The snapshot.
     pub snapshot: ReplicaSnapshot,
-    /// Term and vote at the time, for the new log file.
+    /// Current term and vote, for the new log file.
     pub hard: HardState,
     /// Entries that the new log file starts with.
     pub rest: Vec<LogEntry>,
 }
 
 impl WriteBatch {
-    /// True where there is nothing to write.
+    /// True if there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.hard.is_none()
             && self.snapshot.is_none()
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -1,5 +1,5 @@
-//! A member together with the state made of the log, and the operators
-//! that wait for answers.
+//! A member, the state that results from its committed entries, and the
+//! pending requests of operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,68 +27,70 @@
 use crate::document::BareDocument;
 use crate::version::ConfigVersion;
 
-/// Entries between two snapshots. At 13,000 changes a day one is taken
-/// every eight hours, and a start replays at most this many.
+/// Entries between two snapshots. At 13,000 changes a day a snapshot is taken
+/// every eight hours, and a start replays at most this many entries.
 const SNAPSHOT_ENTRIES: u64 = 4_096;
 
-/// What can happen to a member.
+/// An event that a replica handles.
 #[derive(Clone, Debug)]
 pub enum ReplicaEvent {
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
     /// A message from another instance.
     Message(MemberMessage),
-    /// Writes up to this sequence are synced.
+    /// Batches up to this sequence are synced.
     Persisted(u64),
-    /// A write or sync failed; nothing written later counts.
+    /// A write or sync failed; nothing is written until the folder is reopened.
     DiskFailed,
-    /// The folder was opened again, or another one in its place.
+    /// The data folder was reopened, or replaced by a new one.
     Reopened(ReopenedFolder),
-    /// An operator's change; the answer carries the ticket.
+    /// An operator's change; the answer carries the same ticket.
     Change(u64, ChangeEntry),
-    /// An operator's change of members; the answer carries the ticket.
+    /// An operator's membership change; the answer carries the same ticket.
     Members(u64, MemberChange),
-    /// Instances to greet, besides the members.
+    /// The settings name these instances, which receive hellos besides the
+    /// members.
     SetSeeds(Vec<(Arc<str>, SocketAddr)>),
-    /// This instance is about to stop.
+    /// This instance is about to stop and should transfer its leadership.
     HandOver,
 }
 
-/// An answer to an operator.
+/// The answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeAnswer<T> {
-    /// Decided, for good.
+    /// The final outcome.
     Decided(T),
-    /// Not taken: this member does not lead, or takes nothing now.
+    /// Refused: this member does not lead, or accepts no changes at present.
     NotLeading,
-    /// It may have been accepted.
+    /// The request may or may not have been accepted.
     Unknown,
 }
 
-/// What a member wants done.
+/// An action that the caller executes for a replica.
 #[derive(Clone, Debug)]
 pub enum ReplicaAction {
-    /// Write and sync, then tell the sequence back.
+    /// Write and sync the batch, then report its sequence with
+    /// [`ReplicaEvent::Persisted`].
     Write(WriteBatch),
-    /// Send, with no promise of arrival.
+    /// Send a message; it may be lost.
     Send(SocketAddr, MemberMessage),
-    /// Hand out this configuration.
+    /// Publish this configuration to the nodes.
     Publish(ConfigSnapshot),
     /// Answer an operator's change.
     AnswerChange(u64, ChangeAnswer<ChangeOutcome>),
-    /// Answer an operator's change of members.
+    /// Answer an operator's membership change.
     AnswerMembers(u64, ChangeAnswer<MemberAnswer>),
     /// The leader or the lease has changed.
     LeaderStatus(LeaderStatus),
-    /// The log names other members than before.
+    /// The member list of the log has changed.
     Members(MemberList),
-    /// As a leader, a new verdict on who should be a member.
+    /// The leader has reached a new verdict on the next membership change.
     Planned(PlanNote),
-    /// The folder was found to have lost acknowledged entries.
+    /// The data folder has lost acknowledged entries.
     Barred,
 }
 
-/// Who waits for an entry to commit.
+/// A request that waits for its entry to be committed.
 #[derive(Clone, Debug)]
 struct WaitingTicket {
     version: ConfigVersion,
@@ -103,11 +105,11 @@
 }
 
 impl WaitingTicket {
-    /// The answer once `entry` is committed at the awaited index, with
-    /// what the state made of it.
+    /// The answer after `entry` was committed at the awaited index and applied
+    /// with `outcome`.
     ///
-    /// Guards against an answer from another leader's entry at the same
-    /// index: the operator would read somebody else's outcome.
+    /// Guards against another leader's entry at the same index: the operator
+    /// would get the outcome of someone else's change.
     fn answer_committed(
         &self,
         entry: &LogEntry,
@@ -158,7 +160,8 @@
 }
 
 impl StateReplica {
-    /// Puts the state on top of a member that has just opened.
+    /// Creates a replica with an empty state from a member that was just
+    /// opened.
     pub fn new(agreement: AgreementMember) -> Self {
         Self {
             agreement,
@@ -179,18 +182,18 @@
         &self.state
     }
 
-    /// The member's part of the agreement.
+    /// The consensus state of this member.
     pub fn agreement(&self) -> &AgreementMember {
         &self.agreement
     }
 
-    /// The members as the leader sees them.
+    /// The members as seen by the leader.
     pub fn member_lines(&self, now: Duration) -> Vec<MemberLine> {
         self.agreement.member_lines(now)
     }
 
-    /// Takes events that came together, so that their writes share a sync
-    /// and their entries a message.
+    /// Handles a batch of events, so that their writes share one sync and their
+    /// entries one message.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -221,13 +224,14 @@
             ReplicaEvent::Members(ticket, change) => {
                 self.change_members(now, ticket, &change);
             }
-            ReplicaEvent::SetSeeds(others) => self.agreement.set_seeds(others),
+            ReplicaEvent::SetSeeds(seeds) => self.agreement.set_seeds(seeds),
             ReplicaEvent::HandOver => self.agreement.hand_over(now),
         }
     }
 
-    /// Begins again on what the folder holds. What was published stays so: the
-    /// state grows back to it as entries are found to be committed.
+    /// Restarts from the contents of a reopened folder. The published
+    /// configuration stays; the state catches up with it as entries are
+    /// committed again.
     fn reopen(&mut self, now: Duration, opened: ReopenedFolder) {
         self.agreement = self.agreement.reopen(opened, now);
         self.state = Arc::default();
@@ -272,8 +276,8 @@
             MemberChange::Remove { instance } if self.agreement.is_named(instance)
         );
         if leading && own_removal {
-            // The next leader removes this one, so that nobody leads a log
-            // that it is no member of.
+            // The next leader removes this member, so that no instance leads a
+            // log of which it is not a member.
             self.agreement.hand_over(now);
         }
         let answer = if leading && !own_removal {
@@ -340,8 +344,8 @@
         self.agreement.compact(snapshot);
     }
 
-    /// Tells those that wait for this member, now deposed, that their
-    /// changes may have been accepted: only the next leader knows.
+    /// Answers all waiting requests as unknown if this member no longer leads:
+    /// only the next leader knows whether they were accepted.
     fn fail_waiting_if_deposed(&mut self) {
         if self.agreement.is_leader() {
             return;
@@ -357,7 +361,7 @@
         let snapshot = self.state.snapshot();
         if snapshot.version > self.published {
             self.published = snapshot.version;
-            // What operators noted stays here: with 1,500 routes it is two
+            // Operators' notes are left out: with 1,500 routes they are two
             // thirds of the bytes that every node would check and hold.
             let published = ConfigSnapshot {
                 version: snapshot.version,
--- a/crates/core/src/agreement/voter_plan.rs
+++ b/crates/core/src/agreement/voter_plan.rs
@@ -1,6 +1,6 @@
-//! Which instances become members where a fleet sees to its voters itself.
+//! Planning of membership changes that keep the number of voters at a target.
 //!
-//! The leader asks one step at a time; each is committed before the next.
+//! The leader makes one change at a time; each is committed before the next.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,13 @@
 use crate::agreement::membership::MemberChange;
 use crate::agreement::timing::ABSENT_AFTER;
 
-/// A member as its leader sees it.
+/// A member as observed by its leader.
 #[derive(Clone, Debug)]
 pub(super) struct ObservedMember {
     pub(super) instance: Arc<str>,
     pub(super) role: MemberRole,
-    /// Time since anything came from it under this leader.
+    /// Time since the leader last heard from it, at most the time since the
+    /// leader's election.
     pub(super) silent: Duration,
 }
 
@@ -25,37 +26,38 @@
     }
 }
 
-/// An instance that greets and is no member with the folder that it shows.
+/// An instance that sends hellos and is not a member with its current data
+/// folder.
 #[derive(Clone, Debug)]
 pub(super) struct JoinCandidate {
     pub(super) instance: Arc<str>,
     pub(super) address: SocketAddr,
-    /// False where its folder holds a log that is not known to be this one.
+    /// False if its folder holds entries that are not known to be from this log.
     pub(super) admissible: bool,
 }
 
-/// What the leader does about its members next.
+/// The leader's next step in maintaining its voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanVerdict {
-    /// Nobody waits and nobody has to go.
+    /// No instance waits to join and no member is to be removed.
     Keep,
-    /// A change of one member.
+    /// Add or remove one member.
     Change(MemberChange),
-    /// This instance greets and is not taken in now.
+    /// This instance sends hellos but is not added now.
     Waits(Arc<str>, WaitReason),
 }
 
-/// Why a greeting instance is not taken in.
+/// Why an instance that sends hellos is not added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// There are as many members as wanted.
+    /// Enough members are present.
     Enough,
-    /// Its folder holds entries of some other log.
+    /// Its data folder holds entries that are not known to be from this log.
     NotEmpty,
 }
 
 impl WaitReason {
-    /// The reason as logs name it.
+    /// The reason as written to the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Enough => "enough-members",
@@ -64,32 +66,33 @@
     }
 }
 
-/// A verdict with the inputs that decided it.
+/// A verdict together with the inputs that led to it.
 #[derive(Clone, Debug)]
 pub struct PlanNote {
     /// The verdict.
     pub verdict: PlanVerdict,
-    /// How many voters are wanted.
+    /// Target number of voters.
     pub wanted: usize,
-    /// How many members there are.
+    /// Number of members.
     pub members: usize,
-    /// The member that was silent for longest, and for how long.
+    /// The member that has been silent the longest, and for how long.
     pub silent: Option<(Arc<str>, Duration)>,
 }
 
-/// Decides on the next change of members.
+/// Decides on the next membership change.
 ///
-/// Guards against an instance that is lost for good and keeps the place of its
-/// successor: with the next loss nobody is left that holds the log. A successor
-/// is taken in beside the silent member, which loses its place only once there
-/// are voters enough without it; should it come back first, nothing is lost.
+/// Guards against an instance that is lost for good and is never replaced:
+/// after further losses no member would hold the log. A replacement is added
+/// while the silent member is still listed, and that member is removed only
+/// once there are enough voters without it. If it returns before that, nothing
+/// is lost.
 pub(super) fn decide(
     wanted: usize,
     members: &[ObservedMember],
     candidates: &[JoinCandidate],
 ) -> PlanVerdict {
-    if let Some(spare) = redundant_member(wanted, members) {
-        let instance = Arc::clone(&spare.instance);
+    if let Some(redundant) = redundant_member(wanted, members) {
+        let instance = Arc::clone(&redundant.instance);
         return PlanVerdict::Change(MemberChange::Remove { instance });
     }
     let present = members.iter().filter(|member| member.is_present());
@@ -111,7 +114,7 @@
     verdict
 }
 
-/// The silent member that the fleet can do without, if there is one.
+/// The member silent for longest, if the fleet has enough voters without it.
 fn redundant_member(
     wanted: usize,
     members: &[ObservedMember],
@@ -125,7 +128,7 @@
     silent.max_by_key(|member| member.silent)
 }
 
-/// The member that was silent for longest.
+/// The member that has been silent the longest, and for how long.
 pub(super) fn most_silent(members: &[ObservedMember]) -> Option<(Arc<str>, Duration)> {
     let most = members.iter().max_by_key(|member| member.silent)?;
     Some((Arc::clone(&most.instance), most.silent))
