--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -16,7 +16,7 @@
 use cowslip_core::version::ConfigVersion;
 
 use crate::fleet::address;
-use crate::fleet::change;
+use crate::fleet::change_entry;
 use crate::fleet::name;
 use crate::fleet::Fleet;
 
@@ -24,15 +24,17 @@
 /// slowest clock allowed, and one step of the test.
 const STALE_MAX: Duration = Duration::from_millis(490);
 
-fn version(outcome: &ChangeOutcome) -> ConfigVersion {
+fn accepted_version(outcome: &ChangeOutcome) -> ConfigVersion {
     match outcome {
         ChangeOutcome::Accepted { version } => *version,
         refused => panic!("{refused:?}"),
     }
 }
 
-pub fn others(fleet: &Fleet, but: usize) -> Vec<usize> {
-    (0..fleet.instances.len()).filter(|at| *at != but).collect()
+pub fn others(fleet: &Fleet, except: usize) -> Vec<usize> {
+    (0..fleet.instances.len())
+        .filter(|at| *at != except)
+        .collect()
 }
 
 // A leader ends up alone on the far side of a silent partition. Within a
@@ -41,24 +43,24 @@
 #[test]
 fn a_cut_off_leader_stops_within_its_lease() {
     let mut fleet = Fleet::new(3, 0, 1);
-    let leader = fleet.settle();
-    fleet.decide(&change("before", None));
-    let leader = if fleet.leading().contains(&leader) {
+    let leader = fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("before", None));
+    let leader = if fleet.lease_holders().contains(&leader) {
         leader
     } else {
-        fleet.settle()
+        fleet.wait_for_leader()
     };
     fleet.groups[leader] = 1;
-    fleet.ask(leader, change("lost", None));
+    fleet.request_change(leader, change_entry("lost", None));
     fleet.run(STALE_MAX);
-    assert!(!fleet.leading().contains(&leader));
-    fleet.ask(leader, change("late", None));
+    assert!(!fleet.lease_holders().contains(&leader));
+    fleet.request_change(leader, change_entry("late", None));
     fleet.run(Duration::from_secs(4));
     assert!(!fleet.answers.contains_key("lost") && !fleet.answers.contains_key("late"));
     assert!(fleet.unknown.contains("lost") && !fleet.unknown.contains("late"));
-    assert_ne!(fleet.settle(), leader);
-    fleet.decide(&change("after", None));
-    fleet.check_end(3);
+    assert_ne!(fleet.wait_for_leader(), leader);
+    fleet.commit_change(&change_entry("after", None));
+    fleet.check_convergence(3);
 }
 
 // The leader answers as fresh under a lease that one follower granted. That
@@ -69,12 +71,12 @@
 fn a_restarted_voter_keeps_the_lease_it_granted() {
     for seed in 0..40 {
         let mut fleet = Fleet::new(3, 0, seed);
-        let leader = fleet.settle();
-        fleet.decide(&change("before", None));
+        let leader = fleet.wait_for_leader();
+        fleet.commit_change(&change_entry("before", None));
         let followers = others(&fleet, leader);
         fleet.groups[followers[1]] = 1;
         fleet.run(Duration::from_secs(3));
-        if !fleet.leading().contains(&leader) {
+        if !fleet.lease_holders().contains(&leader) {
             continue;
         }
         fleet.groups[followers[0]] = 1;
@@ -92,24 +94,24 @@
 fn a_second_loss_right_after_a_repair_loses_nothing() {
     let mut fleet = Fleet::new(3, 0, 3);
     for number in 0..20 {
-        fleet.decide(&change(&format!("early-{number}"), None));
+        fleet.commit_change(&change_entry(&format!("early-{number}"), None));
     }
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     let followers = others(&fleet, leader);
     fleet.wipe(followers[0]);
     fleet.start(followers[0]);
-    fleet.replace(followers[0]);
+    fleet.add_until_voter(followers[0]);
     fleet.groups[followers[1]] = 1;
     for number in 0..5 {
-        fleet.decide(&change(&format!("late-{number}"), None));
+        fleet.commit_change(&change_entry(&format!("late-{number}"), None));
     }
     // The leader never comes back.
-    let lost = fleet.settle();
+    let lost = fleet.wait_for_leader();
     fleet.groups[followers[1]] = 0;
     fleet.groups[lost] = 2;
     fleet.run(Duration::from_secs(5));
-    let next = fleet.settle();
-    let last = fleet.decide(&change("last", None));
+    let next = fleet.wait_for_leader();
+    let last = fleet.commit_change(&change_entry("last", None));
     let state = fleet.state(next);
     assert_eq!(state.answer("last"), Some(&last));
     for (request, outcome) in &fleet.answers {
@@ -123,17 +125,17 @@
 fn a_repaired_member_does_not_vote_before_it_holds_the_log() {
     let mut fleet = Fleet::new(3, 0, 4);
     for number in 0..20 {
-        fleet.decide(&change(&format!("early-{number}"), None));
+        fleet.commit_change(&change_entry(&format!("early-{number}"), None));
     }
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     let repaired = others(&fleet, leader)[0];
     // Twice: what the leader knew of the lost folders must not count.
     for _ in 0..2 {
         fleet.wipe(repaired);
         fleet.start(repaired);
         fleet.run(Duration::from_secs(1));
-        let leader = fleet.settle();
-        fleet.ask_members(
+        let leader = fleet.wait_for_leader();
+        fleet.request_members(
             leader,
             MemberChange::Add {
                 instance: name(repaired),
@@ -144,11 +146,11 @@
         fleet.run(Duration::from_secs(3));
         assert!(!fleet.has_vote(repaired));
         fleet.groups[repaired] = 0;
-        fleet.replace(repaired);
+        fleet.add_until_voter(repaired);
         let held = fleet.instances[repaired].disk.entries.len();
         assert!(held > 20, "it votes with {held} entries");
     }
-    fleet.check_end(3);
+    fleet.check_convergence(3);
 }
 
 // A repaired instance answers every heartbeat, but its disk hangs half-way
@@ -157,13 +159,14 @@
 fn a_repaired_member_with_half_the_log_does_not_vote() {
     let mut fleet = Fleet::new(3, 0, 14);
     for burst in 0..3 {
-        let leader = fleet.settle();
+        let leader = fleet.wait_for_leader();
         for number in 0..500 {
-            fleet.ask(leader, change(&format!("{burst}-{number}"), None));
+            fleet
+                .request_change(leader, change_entry(&format!("{burst}-{number}"), None));
         }
         fleet.run(Duration::from_millis(400));
     }
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     let repaired = others(&fleet, leader)[0];
     fleet.wipe(repaired);
     fleet.start(repaired);
@@ -172,7 +175,7 @@
         instance: name(repaired),
         address: address(repaired),
     };
-    fleet.ask_members(leader, change);
+    fleet.request_members(leader, change);
     while fleet.instances[repaired].disk.entries.is_empty() {
         fleet.run(Duration::from_millis(10));
     }
@@ -183,7 +186,7 @@
     assert!(!fleet.has_vote(repaired));
     fleet.run(Duration::from_secs(2));
     assert!(fleet.has_vote(repaired));
-    fleet.check_end(3);
+    fleet.check_convergence(3);
 }
 
 // An instance comes back with an empty folder and another one crashes. The
@@ -193,17 +196,17 @@
 #[test]
 fn an_empty_folder_does_not_vote() {
     let mut fleet = Fleet::new(3, 0, 5);
-    fleet.decide(&change("before", None));
+    fleet.commit_change(&change_entry("before", None));
     fleet.wipe(0);
     fleet.start(0);
     fleet.crash(1);
     fleet.run(Duration::from_secs(10));
-    assert_eq!(fleet.leading(), Vec::<usize>::new());
+    assert_eq!(fleet.lease_holders(), Vec::<usize>::new());
     fleet.start(1);
-    fleet.decide(&change("after", None));
+    fleet.commit_change(&change_entry("after", None));
     assert!(!fleet.has_vote(0));
-    fleet.replace(0);
-    fleet.check_end(3);
+    fleet.add_until_voter(0);
+    fleet.check_convergence(3);
 }
 
 // An operator restores an instance's disk from an old copy. Its process
@@ -211,20 +214,20 @@
 // others must find that out, also under a new leader, and it must neither
 // vote nor acknowledge until it was added again with an empty folder.
 #[test]
-fn a_rolled_back_folder_is_found_out() {
+fn a_rolled_back_folder_is_detected() {
     let mut fleet = Fleet::new(3, 0, 6);
-    fleet.decide(&change("early", None));
-    let leader = fleet.settle();
+    fleet.commit_change(&change_entry("early", None));
+    let leader = fleet.wait_for_leader();
     let rolled_back = others(&fleet, leader)[0];
     fleet.run(Duration::from_secs(1));
     let copy = fleet.instances[rolled_back].disk.clone();
     let starts = fleet.instances[rolled_back].starts;
     for number in 0..5 {
-        fleet.decide(&change(&format!("late-{number}"), None));
+        fleet.commit_change(&change_entry(&format!("late-{number}"), None));
     }
     fleet.run(Duration::from_secs(1));
     fleet.crash(rolled_back);
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     fleet.event(leader, ReplicaEvent::HandOver);
     fleet.run(Duration::from_secs(3));
     fleet.instances[rolled_back].disk = copy;
@@ -234,8 +237,8 @@
     let member = fleet.instances[rolled_back].member.as_ref();
     assert!(member.expect("it runs").agreement().is_barred());
     assert!(fleet.instances[rolled_back].disk.hard.barred);
-    let leader = fleet.settle();
-    fleet.ask_members(
+    let leader = fleet.wait_for_leader();
+    fleet.request_members(
         leader,
         MemberChange::Add {
             instance: name(rolled_back),
@@ -247,8 +250,8 @@
     assert_eq!(fleet.member_answers.last(), Some(&refused));
     fleet.wipe(rolled_back);
     fleet.start(rolled_back);
-    fleet.replace(rolled_back);
-    fleet.check_end(3);
+    fleet.add_until_voter(rolled_back);
+    fleet.check_convergence(3);
 }
 
 // The leader's disk is full while operators wait. Nothing that is not
@@ -257,40 +260,40 @@
 #[test]
 fn a_full_disk_acknowledges_nothing() {
     let mut fleet = Fleet::new(3, 0, 7);
-    fleet.decide(&change("before", None));
-    let full = fleet.settle();
-    fleet.ask(full, change("waiting", None));
+    fleet.commit_change(&change_entry("before", None));
+    let full = fleet.wait_for_leader();
+    fleet.request_change(full, change_entry("waiting", None));
     fleet.event(full, ReplicaEvent::DiskFailed);
     assert!(fleet.unknown.contains("waiting"));
     fleet.run(Duration::from_secs(5));
-    let next = fleet.settle();
+    let next = fleet.wait_for_leader();
     assert_ne!(next, full);
-    fleet.decide(&change("waiting", None));
+    fleet.commit_change(&change_entry("waiting", None));
     // With one more instance away there is no majority of synced copies.
     let away = others(&fleet, full).into_iter().find(|at| *at != next);
     fleet.crash(away.expect("three instances"));
-    fleet.ask(next, change("alone", None));
+    fleet.request_change(next, change_entry("alone", None));
     fleet.run(Duration::from_secs(5));
     assert!(!fleet.answers.contains_key("alone"));
-    assert_eq!(fleet.leading(), Vec::<usize>::new());
+    assert_eq!(fleet.lease_holders(), Vec::<usize>::new());
 }
 
 // Two operators change the same version; the leader dies between the two
 // answers. The one that asks the new leader must be told who won.
 #[test]
-fn racers_across_a_failover_have_one_winner() {
+fn concurrent_changes_across_a_failover_have_one_winner() {
     let mut fleet = Fleet::new(3, 0, 8);
-    let base = version(&fleet.decide(&change("base", None)));
-    let first = version(&fleet.decide(&change("anna", Some(base))));
-    let leader = fleet.settle();
+    let base = accepted_version(&fleet.commit_change(&change_entry("base", None)));
+    let first = accepted_version(&fleet.commit_change(&change_entry("anna", Some(base))));
+    let leader = fleet.wait_for_leader();
     fleet.crash(leader);
-    let second = fleet.decide(&change("beatriz", Some(base)));
+    let second = fleet.commit_change(&change_entry("beatriz", Some(base)));
     let lost = ChangeOutcome::Conflict {
         current: first,
         winner: "anna".into(),
     };
     assert_eq!(second, lost);
-    fleet.check_end(3);
+    fleet.check_convergence(3);
 }
 
 // A change is committed, but the leader dies before the operator hears of
@@ -299,16 +302,16 @@
 #[test]
 fn a_resend_after_failover_gets_the_first_answer() {
     let mut fleet = Fleet::new(3, 0, 9);
-    let first = fleet.decide(&change("anna", None));
-    let between = version(&fleet.decide(&change("beatriz", None)));
-    let leader = fleet.settle();
+    let first = fleet.commit_change(&change_entry("anna", None));
+    let between = accepted_version(&fleet.commit_change(&change_entry("beatriz", None)));
+    let leader = fleet.wait_for_leader();
     fleet.crash(leader);
     fleet.answers.remove("anna");
-    assert_eq!(fleet.decide(&change("anna", None)), first);
-    let leader = fleet.settle();
+    assert_eq!(fleet.commit_change(&change_entry("anna", None)), first);
+    let leader = fleet.wait_for_leader();
     let state = fleet.state(leader);
     assert_eq!(state.snapshot().version, between);
-    fleet.check_end(3);
+    fleet.check_convergence(3);
 }
 
 // A leader is stopped as planned. Another one must lead at once, without
@@ -316,14 +319,14 @@
 #[test]
 fn a_planned_stop_hands_leadership_over() {
     let mut fleet = Fleet::new(3, 0, 10);
-    fleet.decide(&change("before", None));
+    fleet.commit_change(&change_entry("before", None));
     fleet.run(Duration::from_secs(1));
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     fleet.event(leader, ReplicaEvent::HandOver);
-    assert_eq!(fleet.leading(), Vec::<usize>::new());
+    assert_eq!(fleet.lease_holders(), Vec::<usize>::new());
     fleet.run(Duration::from_millis(600));
-    assert_eq!(fleet.leading().len(), 1);
-    assert!(!fleet.leading().contains(&leader));
+    assert_eq!(fleet.lease_holders().len(), 1);
+    assert!(!fleet.lease_holders().contains(&leader));
 }
 
 // An instance is away for more changes than the log keeps. It gets the
@@ -331,19 +334,20 @@
 #[test]
 fn a_member_far_behind_gets_a_snapshot() {
     let mut fleet = Fleet::new(3, 0, 11);
-    let first = fleet.decide(&change("first", None));
-    let leader = fleet.settle();
+    let first = fleet.commit_change(&change_entry("first", None));
+    let leader = fleet.wait_for_leader();
     let away = others(&fleet, leader)[0];
     fleet.crash(away);
     for burst in 0..12 {
-        let leader = fleet.settle();
+        let leader = fleet.wait_for_leader();
         for number in 0..500 {
-            fleet.ask(leader, change(&format!("{burst}-{number}"), None));
+            fleet
+                .request_change(leader, change_entry(&format!("{burst}-{number}"), None));
         }
         fleet.run(Duration::from_millis(400));
     }
-    let leader = fleet.settle();
-    fleet.decide(&change("last", None));
+    let leader = fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("last", None));
     let member = fleet.instances[leader].member.as_ref();
     let since = member
         .expect("it leads")
@@ -357,7 +361,7 @@
     // A restart finds the snapshot and the log behind it.
     fleet.crash(away);
     fleet.start(away);
-    fleet.check_end(3);
+    fleet.check_convergence(3);
 }
 
 // Three voters become five, then an instance that leads is removed. At every
@@ -365,25 +369,25 @@
 #[test]
 fn members_are_added_and_the_leader_removed() {
     let mut fleet = Fleet::new(3, 2, 12);
-    fleet.decide(&change("three", None));
-    fleet.replace(3);
-    fleet.replace(4);
-    fleet.decide(&change("five", None));
-    let leader = fleet.settle();
-    let gone = MemberChange::Remove {
+    fleet.commit_change(&change_entry("three", None));
+    fleet.add_until_voter(3);
+    fleet.add_until_voter(4);
+    fleet.commit_change(&change_entry("five", None));
+    let leader = fleet.wait_for_leader();
+    let removed = MemberChange::Remove {
         instance: name(leader),
     };
     for _ in 0..20 {
-        let now = fleet.settle();
-        fleet.ask_members(now, gone.clone());
+        let now = fleet.wait_for_leader();
+        fleet.request_members(now, removed.clone());
         fleet.run(Duration::from_secs(1));
         if !fleet.has_vote(leader) {
             break;
         }
     }
-    let next = fleet.settle();
+    let next = fleet.wait_for_leader();
     assert_ne!(next, leader);
-    assert!(!fleet.votes(next, leader));
+    assert!(!fleet.is_voter(next, leader));
     // Two of the four that are left may not decide, three may.
     let left = others(&fleet, leader);
     fleet.crash(
@@ -392,11 +396,11 @@
             .find(|at| *at != next)
             .expect("one more"),
     );
-    fleet.decide(&change("four", None));
+    fleet.commit_change(&change_entry("four", None));
 }
 
 /// Members of a log of five, as the founder's first entry.
-fn five() -> LogEntry {
+fn five_member_entry() -> LogEntry {
     let mut members = MemberList::default();
     for at in 0..5 {
         let record = MemberRecord {
@@ -412,7 +416,7 @@
     }
 }
 
-fn blank(term: u64, index: u64) -> LogEntry {
+fn blank_entry(term: u64, index: u64) -> LogEntry {
     LogEntry {
         version: ConfigVersion::new(term, index),
         body: EntryBody::Blank,
@@ -424,14 +428,14 @@
 // between the two can still be elected and overwrite it. An operator would
 // see an accepted change undone. It must commit only with a newer entry.
 #[test]
-fn an_older_entry_commits_only_through_a_newer_one() {
+fn an_earlier_terms_entry_commits_only_with_a_current_one() {
     let mut fleet = Fleet::new(5, 0, 13);
     let logs = [
-        vec![five(), blank(2, 2)],
-        vec![five(), blank(2, 2)],
-        vec![five()],
-        vec![five()],
-        vec![five(), blank(3, 2)],
+        vec![five_member_entry(), blank_entry(2, 2)],
+        vec![five_member_entry(), blank_entry(2, 2)],
+        vec![five_member_entry()],
+        vec![five_member_entry()],
+        vec![five_member_entry(), blank_entry(3, 2)],
     ];
     for (at, log) in logs.into_iter().enumerate() {
         fleet.crash(at);
@@ -459,26 +463,26 @@
     fleet.start(behind);
     fleet.groups = vec![0, 0, 1, 0, 0];
     fleet.run(Duration::from_secs(8));
-    assert_eq!(fleet.leading(), vec![4]);
-    fleet.check_end(5);
+    assert_eq!(fleet.lease_holders(), vec![4]);
+    fleet.check_convergence(5);
 }
 
 // All instances know only a few seeds, and nobody adds members by hand. The
 // seeds found the log, and the leader takes in others until it has its five
 // voters; with three of them two losses would stop every change.
 #[test]
-fn a_fleet_sees_to_its_voters() {
-    let mut fleet = Fleet::joining(3, 4, 5, 7);
-    let leader = fleet.settle();
-    fleet.decide(&change("before", None));
+fn the_leader_adds_instances_up_to_the_voter_target() {
+    let mut fleet = Fleet::with_voter_target(3, 4, 5, 7);
+    let leader = fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("before", None));
     fleet.run(Duration::from_secs(20));
     let member = fleet.instances[leader].member.as_ref().expect("it runs");
     assert_eq!(member.agreement().members().voters().count(), 5);
     for at in others(&fleet, leader).into_iter().take(2) {
         fleet.crash(at);
     }
-    fleet.settle();
-    fleet.decide(&change("after", None));
+    fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("after", None));
 }
 
 // A voter loses its disk right after a change was accepted and comes back
@@ -486,19 +490,19 @@
 // log, and then be a voter again without an operator: so that the next loss
 // neither loses the change nor stops new ones.
 #[test]
-fn a_voter_with_an_empty_disk_comes_back_by_itself() {
+fn a_voter_with_an_empty_disk_regains_its_vote() {
     for seed in 0..10 {
-        let mut fleet = Fleet::joining(3, 0, 3, seed);
-        let leader = fleet.settle();
-        fleet.decide(&change("kept", None));
+        let mut fleet = Fleet::with_voter_target(3, 0, 3, seed);
+        let leader = fleet.wait_for_leader();
+        fleet.commit_change(&change_entry("kept", None));
         let lost = others(&fleet, leader)[0];
         fleet.wipe(lost);
         fleet.start(lost);
         fleet.run(Duration::from_secs(8));
         let other = others(&fleet, leader)[1];
         fleet.crash(other);
-        fleet.settle();
-        fleet.decide(&change("after", None));
+        fleet.wait_for_leader();
+        fleet.commit_change(&change_entry("after", None));
         let member = fleet.instances[lost].member.as_ref().expect("it runs");
         assert!(member.state().answer("kept").is_some(), "seed {seed}");
     }
@@ -507,21 +511,21 @@
 // The founder loses its disk while both others are down, and starts before
 // they do. It must not found a second log: what was accepted would be gone.
 #[test]
-fn a_founder_with_an_empty_disk_founds_nothing() {
-    let mut fleet = Fleet::joining(3, 0, 3, 3);
-    fleet.settle();
-    fleet.decide(&change("kept", None));
+fn a_seed_with_an_empty_disk_bootstraps_no_second_log() {
+    let mut fleet = Fleet::with_voter_target(3, 0, 3, 3);
+    fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("kept", None));
     for at in 1..3 {
         fleet.crash(at);
     }
     fleet.wipe(0);
     fleet.start(0);
     fleet.run(Duration::from_secs(10));
-    assert!(fleet.leading().is_empty());
+    assert!(fleet.lease_holders().is_empty());
     for at in 1..3 {
         fleet.start(at);
     }
-    let leader = fleet.settle();
+    let leader = fleet.wait_for_leader();
     let member = fleet.instances[leader].member.as_ref().expect("it runs");
     assert!(member.state().answer("kept").is_some());
 }
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -41,13 +41,13 @@
     pub folder: u64,
     pub starts: u64,
     /// It was taken away for good.
-    gone: bool,
+    removed: bool,
     /// Instances that its settings name.
     seeds: Vec<usize>,
     /// Its disk syncs nothing before this.
     stalled_until: Duration,
     /// Speed of its clock, in thousandths.
-    pace: u32,
+    clock_rate: u32,
     started: Duration,
 }
 
@@ -62,7 +62,7 @@
     /// Group of each instance; messages pass within a group only.
     pub groups: Vec<u32>,
     pub loss_percent: u32,
-    leaders: BTreeMap<u64, usize>,
+    term_leaders: BTreeMap<u64, usize>,
     committed: Vec<ConfigVersion>,
     pub answers: BTreeMap<Arc<str>, ChangeOutcome>,
     tickets: BTreeMap<u64, Arc<str>>,
@@ -70,7 +70,7 @@
     pub member_answers: Vec<ChangeAnswer<MemberAnswer>>,
     next_ticket: u64,
     /// Messages take up to 20 ms and syncs 3, as on small sound machines.
-    pub quick: bool,
+    pub low_latency: bool,
 }
 
 pub fn address(at: usize) -> SocketAddr {
@@ -81,7 +81,7 @@
     format!("control-{at}").into()
 }
 
-pub fn change(id: &str, expected: Option<ConfigVersion>) -> ChangeEntry {
+pub fn change_entry(id: &str, expected: Option<ConfigVersion>) -> ChangeEntry {
     ChangeEntry {
         request_id: id.into(),
         expected,
@@ -94,7 +94,7 @@
 }
 
 /// What a disk holds after one more batch.
-pub fn write(disk: &mut SavedState, batch: WriteBatch) {
+pub fn apply_batch(disk: &mut SavedState, batch: WriteBatch) {
     if let Some(hard) = batch.hard {
         disk.hard = hard;
     }
@@ -118,10 +118,10 @@
             unsynced: Vec::new(),
             folder: at as u64 + 1,
             starts: 0,
-            gone: false,
+            removed: false,
             seeds,
             stalled_until: Duration::ZERO,
-            pace: random.random_range(955..=1_045),
+            clock_rate: random.random_range(955..=1_045),
             started: Duration::ZERO,
         }
     }
@@ -129,12 +129,17 @@
 
 impl Fleet {
     pub fn new(seeds: usize, others: usize, seed: u64) -> Self {
-        Self::joining(seeds, others, 0, seed)
+        Self::with_voter_target(seeds, others, 0, seed)
     }
 
     /// A fleet whose leader takes in instances until there are so many
     /// voters, and in which nobody founds a log after the first start.
-    pub fn joining(seeds: usize, others: usize, voter_target: usize, seed: u64) -> Self {
+    pub fn with_voter_target(
+        seeds: usize,
+        others: usize,
+        voter_target: usize,
+        seed: u64,
+    ) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut instances = Vec::new();
         for at in 0..seeds + others {
@@ -149,14 +154,14 @@
             random,
             queue: Vec::new(),
             loss_percent: 0,
-            leaders: BTreeMap::new(),
+            term_leaders: BTreeMap::new(),
             committed: Vec::new(),
             answers: BTreeMap::new(),
             tickets: BTreeMap::new(),
             unknown: BTreeSet::new(),
             member_answers: Vec::new(),
             next_ticket: 0,
-            quick: false,
+            low_latency: false,
         };
         for at in 0..fleet.instances.len() {
             fleet.start(at);
@@ -165,12 +170,12 @@
     }
 
     pub fn start(&mut self, at: usize) {
-        if self.instances[at].member.is_some() || self.instances[at].gone {
+        if self.instances[at].member.is_some() || self.instances[at].removed {
             return;
         }
         let seed = self.random.random();
         let nonce = self.random.random();
-        let seeds = self.named(&self.instances[at].seeds);
+        let seeds = self.seed_addresses(&self.instances[at].seeds);
         let instance = &mut self.instances[at];
         instance.starts += 1;
         instance.started = self.now;
@@ -195,7 +200,7 @@
         instance.member = Some(StateReplica::new(agreement));
     }
 
-    fn named(&self, seeds: &[usize]) -> Vec<(Arc<str>, SocketAddr)> {
+    fn seed_addresses(&self, seeds: &[usize]) -> Vec<(Arc<str>, SocketAddr)> {
         let named = seeds.iter().map(|seed| (name(*seed), address(*seed)));
         named.collect()
     }
@@ -213,12 +218,12 @@
     /// Takes an instance away for good.
     pub fn remove(&mut self, at: usize) {
         self.crash(at);
-        self.instances[at].gone = true;
+        self.instances[at].removed = true;
     }
 
     /// Changes the seeds in an instance's settings, which it reads again.
     pub fn reload(&mut self, at: usize, seeds: Vec<usize>) {
-        let named = self.named(&seeds);
+        let named = self.seed_addresses(&seeds);
         self.instances[at].seeds = seeds;
         self.event(at, ReplicaEvent::SetSeeds(named));
     }
@@ -233,7 +238,7 @@
         let kept = self.random.random_range(0..3);
         let unsynced = std::mem::take(&mut self.instances[at].unsynced);
         for (_, batch) in unsynced.into_iter().take(kept) {
-            write(&mut self.instances[at].disk, batch);
+            apply_batch(&mut self.instances[at].disk, batch);
         }
         self.event(at, ReplicaEvent::DiskFailed);
     }
@@ -270,7 +275,7 @@
             .into_iter()
             .take(kept)
         {
-            write(&mut instance.disk, batch);
+            apply_batch(&mut instance.disk, batch);
         }
     }
 
@@ -291,7 +296,7 @@
     /// Time on the clock of an instance's process.
     fn clock(&self, at: usize) -> Duration {
         let instance = &self.instances[at];
-        (self.now - instance.started) * instance.pace / 1_000
+        (self.now - instance.started) * instance.clock_rate / 1_000
     }
 
     pub fn event(&mut self, at: usize, event: ReplicaEvent) {
@@ -305,15 +310,15 @@
         };
         let actions = member.handle(clock, events);
         for action in actions {
-            self.act(at, action);
+            self.execute(at, action);
         }
-        self.check(at);
+        self.check_safety(at);
     }
 
-    fn act(&mut self, at: usize, action: ReplicaAction) {
+    fn execute(&mut self, at: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Write(batch) => {
-                let longest = if self.quick { 3 } else { 60 };
+                let longest = if self.low_latency { 3 } else { 60 };
                 let delay = self.random.random_range(1..longest);
                 let due = self.now + Duration::from_millis(delay);
                 // A disk syncs in the order of writing.
@@ -324,14 +329,14 @@
             }
             ReplicaAction::Send(to, message) => {
                 for _ in 0..self.random.random_range(1..=2) {
-                    let longest = if self.quick { 20 } else { 50 };
+                    let longest = if self.low_latency { 20 } else { 50 };
                     let delay = self.random.random_range(0..longest);
                     let due = self.now + Duration::from_millis(delay);
                     self.queue.push((due, to, message.clone()));
                 }
             }
             ReplicaAction::AnswerChange(ticket, answer) => {
-                self.take_answer(ticket, answer);
+                self.record_answer(ticket, answer);
             }
             ReplicaAction::AnswerMembers(_, answer) => self.member_answers.push(answer),
             ReplicaAction::Publish(_)
@@ -342,7 +347,7 @@
         }
     }
 
-    fn take_answer(&mut self, ticket: u64, answer: ChangeAnswer<ChangeOutcome>) {
+    fn record_answer(&mut self, ticket: u64, answer: ChangeAnswer<ChangeOutcome>) {
         let request = self.tickets.remove(&ticket).expect("one answer a ticket");
         match answer {
             ChangeAnswer::Decided(outcome) => {
@@ -356,7 +361,7 @@
         }
     }
 
-    pub fn ask(&mut self, at: usize, entry: ChangeEntry) {
+    pub fn request_change(&mut self, at: usize, entry: ChangeEntry) {
         if self.instances[at].member.is_none() {
             return;
         }
@@ -366,7 +371,7 @@
         self.event(at, ReplicaEvent::Change(ticket, entry));
     }
 
-    pub fn ask_members(&mut self, at: usize, change: MemberChange) {
+    pub fn request_members(&mut self, at: usize, change: MemberChange) {
         self.event(at, ReplicaEvent::Members(0, change));
     }
 
@@ -374,18 +379,21 @@
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
-            let due = self.take_due();
+            let due = self.deliver_due();
             for (at, mut events) in due.into_iter().enumerate() {
                 events.push(ReplicaEvent::Tick);
-                self.sync(at, &mut events);
+                self.sync_due_writes(at, &mut events);
                 self.events(at, events);
             }
-            let leading = self.leading();
-            assert!(leading.len() <= 1, "two leases at once: {leading:?}");
+            let lease_holders = self.lease_holders();
+            assert!(
+                lease_holders.len() <= 1,
+                "two leases at once: {lease_holders:?}"
+            );
         }
     }
 
-    fn take_due(&mut self) -> Vec<Vec<ReplicaEvent>> {
+    fn deliver_due(&mut self) -> Vec<Vec<ReplicaEvent>> {
         let mut due = vec![Vec::new(); self.instances.len()];
         let mut later = Vec::new();
         for (time, to, message) in std::mem::take(&mut self.queue) {
@@ -404,7 +412,7 @@
         due
     }
 
-    fn sync(&mut self, at: usize, events: &mut Vec<ReplicaEvent>) {
+    fn sync_due_writes(&mut self, at: usize, events: &mut Vec<ReplicaEvent>) {
         let instance = &mut self.instances[at];
         while instance
             .unsynced
@@ -413,35 +421,35 @@
         {
             let (_, batch) = instance.unsynced.remove(0);
             events.push(ReplicaEvent::Persisted(batch.sequence));
-            write(&mut instance.disk, batch);
+            apply_batch(&mut instance.disk, batch);
         }
     }
 
     /// Highest term of any instance.
-    pub fn terms(&self) -> u64 {
+    pub fn highest_term(&self) -> u64 {
         let members = self.instances.iter().filter_map(|one| one.member.as_ref());
         let terms = members.map(|member| member.agreement().term());
         terms.max().unwrap_or_default()
     }
 
     /// Instances that may answer as fresh now.
-    pub fn leading(&self) -> Vec<usize> {
-        let mut leading = Vec::new();
+    pub fn lease_holders(&self) -> Vec<usize> {
+        let mut lease_holders = Vec::new();
         for at in 0..self.instances.len() {
             let Some(member) = &self.instances[at].member else {
                 continue;
             };
             if member.agreement().leader_status(self.clock(at)).leading {
-                leading.push(at);
+                lease_holders.push(at);
             }
         }
-        leading
+        lease_holders
     }
 
     /// Runs until one instance leads.
-    pub fn settle(&mut self) -> usize {
+    pub fn wait_for_leader(&mut self) -> usize {
         for _ in 0..1_500 {
-            if let Some(leader) = self.leading().first() {
+            if let Some(leader) = self.lease_holders().first() {
                 return *leader;
             }
             self.run(STEP);
@@ -458,10 +466,10 @@
     }
 
     /// Has `entry` decided by whoever leads, resent as an operator would.
-    pub fn decide(&mut self, entry: &ChangeEntry) -> ChangeOutcome {
+    pub fn commit_change(&mut self, entry: &ChangeEntry) -> ChangeOutcome {
         for _ in 0..100 {
-            let leader = self.settle();
-            self.ask(leader, entry.clone());
+            let leader = self.wait_for_leader();
+            self.request_change(leader, entry.clone());
             self.run(Duration::from_millis(300));
             if let Some(outcome) = self.answers.get(&entry.request_id) {
                 return outcome.clone();
@@ -471,17 +479,17 @@
     }
 
     /// Replaces a lost folder: adds the instance until it votes.
-    pub fn replace(&mut self, at: usize) {
+    pub fn add_until_voter(&mut self, at: usize) {
         let change = MemberChange::Add {
             instance: name(at),
             address: address(at),
         };
         for _ in 0..100 {
-            let leader = self.settle();
-            if self.votes(leader, at) {
+            let leader = self.wait_for_leader();
+            if self.is_voter(leader, at) {
                 return;
             }
-            self.ask_members(leader, change.clone());
+            self.request_members(leader, change.clone());
             self.run(Duration::from_millis(300));
         }
         panic!(
@@ -492,7 +500,7 @@
     }
 
     /// True where the member list of `leader` gives `at` a vote.
-    pub fn votes(&self, leader: usize, at: usize) -> bool {
+    pub fn is_voter(&self, leader: usize, at: usize) -> bool {
         let member = self.instances[leader].member.as_ref();
         let members = member.expect("a leader runs").agreement().members();
         members.is_voter(&name(at), self.instances[at].folder)
@@ -500,18 +508,18 @@
 
     /// True where whoever leads counts `at` as a voter.
     pub fn has_vote(&mut self, at: usize) -> bool {
-        let leader = self.settle();
-        self.votes(leader, at)
+        let leader = self.wait_for_leader();
+        self.is_voter(leader, at)
     }
 
     /// One leader a term; what is committed once stays, everywhere.
-    fn check(&mut self, at: usize) {
+    fn check_safety(&mut self, at: usize) {
         let Some(member) = &self.instances[at].member else {
             return;
         };
         let agreement = member.agreement();
         if agreement.is_leader() {
-            let leader = self.leaders.entry(agreement.term()).or_insert(at);
+            let leader = self.term_leaders.entry(agreement.term()).or_insert(at);
             assert_eq!(*leader, at, "two leaders in term {}", agreement.term());
         }
         for index in 1..=agreement.commit_index() {
@@ -528,22 +536,22 @@
 
     /// After all is healed: the same state everywhere, every answer in it,
     /// every number used once.
-    pub fn check_end(&mut self, voters: usize) {
-        let leader = self.check_promises();
+    pub fn check_convergence(&mut self, voters: usize) {
+        let leader = self.check_outcomes();
         for at in 0..voters {
             assert!(self.state(at) == self.state(leader), "{} differs", name(at));
         }
     }
 
     /// The same, but for what instances hold that are no voters at the end.
-    pub fn check_promises(&mut self) -> usize {
+    pub fn check_outcomes(&mut self) -> usize {
         self.heal();
-        self.settle();
-        let outcome = self.decide(&change("last", None));
+        self.wait_for_leader();
+        let outcome = self.commit_change(&change_entry("last", None));
         assert!(matches!(outcome, ChangeOutcome::Accepted { .. }));
         // A disk that hung may cost one more election.
         self.run(Duration::from_secs(10));
-        let leader = self.settle();
+        let leader = self.wait_for_leader();
         let state = self.state(leader);
         for (request, outcome) in &self.answers {
             assert_eq!(state.answer(request), Some(outcome), "{request} was lost");
--- a/crates/core/tests/agreement/properties.rs
+++ b/crates/core/tests/agreement/properties.rs
@@ -7,7 +7,7 @@
 
 use cowslip_core::agreement::ReplicaEvent;
 
-use crate::fleet::change;
+use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
 /// One thing that happens to the fleet.
@@ -18,11 +18,11 @@
     Crash(usize),
     CrashAll(u64),
     CrashLeader,
-    CutLeader,
+    PartitionLeader,
     Stall(usize, u64),
     Start(usize),
-    Cut(u32),
-    Loss(u32),
+    Partition(u32),
+    MessageLoss(u32),
     HandOver(usize),
     Replace(usize),
 }
@@ -33,19 +33,19 @@
         6 => (10_u64..80).prop_map(FleetStep::Run),
         1 => Just(FleetStep::CrashLeader),
         1 => (0_u64..700).prop_map(FleetStep::CrashAll),
-        1 => Just(FleetStep::CutLeader),
+        1 => Just(FleetStep::PartitionLeader),
         2 => (0..members, 50_u64..2_000).prop_map(|(at, time)| FleetStep::Stall(at, time)),
         8 => (0..members).prop_map(FleetStep::Change),
         2 => (0..members).prop_map(FleetStep::Crash),
         3 => (0..members).prop_map(FleetStep::Start),
-        2 => (0_u32..1 << members).prop_map(FleetStep::Cut),
-        1 => (0_u32..40).prop_map(FleetStep::Loss),
+        2 => (0_u32..1 << members).prop_map(FleetStep::Partition),
+        1 => (0_u32..40).prop_map(FleetStep::MessageLoss),
         1 => (0..members).prop_map(FleetStep::HandOver),
         1 => (0..members).prop_map(FleetStep::Replace),
     ]
 }
 
-fn play(fleet: &mut Fleet, members: usize, number: usize, step: &FleetStep) {
+fn apply_step(fleet: &mut Fleet, members: usize, number: usize, step: &FleetStep) {
     match step {
         FleetStep::Run(millis) => fleet.run(Duration::from_millis(*millis)),
         FleetStep::Change(at) => {
@@ -55,10 +55,10 @@
             } else {
                 number
             };
-            let entry = change(&format!("request-{request}"), None);
-            fleet.ask(*at, entry.clone());
-            for leader in fleet.leading() {
-                fleet.ask(leader, entry.clone());
+            let entry = change_entry(&format!("request-{request}"), None);
+            fleet.request_change(*at, entry.clone());
+            for leader in fleet.lease_holders() {
+                fleet.request_change(leader, entry.clone());
             }
         }
         FleetStep::Crash(at) => fleet.crash(*at),
@@ -72,12 +72,12 @@
             }
         }
         FleetStep::CrashLeader => {
-            for leader in fleet.leading() {
+            for leader in fleet.lease_holders() {
                 fleet.crash(leader);
             }
         }
-        FleetStep::CutLeader => {
-            for leader in fleet.leading() {
+        FleetStep::PartitionLeader => {
+            for leader in fleet.lease_holders() {
                 fleet.groups[leader] = 2;
             }
         }
@@ -85,21 +85,21 @@
             fleet.stall(*at, Duration::from_millis(*millis));
         }
         FleetStep::Start(at) => fleet.start(*at),
-        FleetStep::Cut(mask) => {
+        FleetStep::Partition(mask) => {
             for at in 0..members {
                 fleet.groups[at] = mask >> at & 1;
             }
         }
-        FleetStep::Loss(percent) => fleet.loss_percent = *percent,
+        FleetStep::MessageLoss(percent) => fleet.loss_percent = *percent,
         FleetStep::HandOver(at) => fleet.event(*at, ReplicaEvent::HandOver),
         FleetStep::Replace(at) => {
             // One loss at a time, with all the others there and settled.
             fleet.heal();
             fleet.run(Duration::from_secs(1));
-            fleet.settle();
+            fleet.wait_for_leader();
             fleet.wipe(*at);
             fleet.start(*at);
-            fleet.replace(*at);
+            fleet.add_until_voter(*at);
         }
     }
 }
@@ -112,26 +112,26 @@
     })]
 
     #[test]
-    fn three_members_hold_every_promise(
+    fn three_members_keep_all_invariants(
         seed in any::<u64>(),
         steps in vec(step(3), 1..60),
     ) {
         let mut fleet = Fleet::new(3, 0, seed);
         for (number, step) in steps.iter().enumerate() {
-            play(&mut fleet, 3, number, step);
+            apply_step(&mut fleet, 3, number, step);
         }
-        fleet.check_end(3);
+        fleet.check_convergence(3);
     }
 
     #[test]
-    fn five_members_hold_every_promise(
+    fn five_members_keep_all_invariants(
         seed in any::<u64>(),
         steps in vec(step(5), 1..60),
     ) {
         let mut fleet = Fleet::new(5, 0, seed);
         for (number, step) in steps.iter().enumerate() {
-            play(&mut fleet, 5, number, step);
+            apply_step(&mut fleet, 5, number, step);
         }
-        fleet.check_end(5);
+        fleet.check_convergence(5);
     }
 }
--- a/crates/core/tests/agreement/restarts.rs
+++ b/crates/core/tests/agreement/restarts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::failures::others;
-use crate::fleet::change;
+use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
 // The power of the whole fleet fails for a moment, and every process starts
@@ -12,13 +12,13 @@
 // refused that long. All voters are there and none of them leads: nobody can
 // hold a lease that one of them has forgotten, and there is nothing to wait for.
 #[test]
-fn a_fleet_that_starts_again_whole_has_a_leader_at_once() {
+fn a_full_restart_elects_a_leader_quickly() {
     for voters in [3, 5] {
         let mut waits = Vec::new();
         for seed in 0..40 {
             let mut fleet = Fleet::new(voters, 0, seed);
-            fleet.settle();
-            fleet.decide(&change("before", None));
+            fleet.wait_for_leader();
+            fleet.commit_change(&change_entry("before", None));
             for at in 0..voters {
                 fleet.crash(at);
             }
@@ -27,10 +27,10 @@
                 fleet.start(at);
             }
             let started = fleet.now;
-            fleet.settle();
+            fleet.wait_for_leader();
             waits.push(fleet.now - started);
-            fleet.decide(&change("after", None));
-            fleet.check_end(voters);
+            fleet.commit_change(&change_entry("after", None));
+            fleet.check_convergence(voters);
         }
         waits.sort();
         // Messages take up to 50 ms here and syncs up to 60; a wait for
@@ -48,13 +48,13 @@
 // nothing, but it says that it is new: what it led or granted is forgotten with
 // the process that knew of it, and there is nothing to wait for either.
 #[test]
-fn a_fleet_that_starts_again_with_a_lost_disk_has_a_leader_soon() {
+fn a_full_restart_with_a_lost_disk_elects_a_leader_quickly() {
     for voters in [3, 5] {
         let mut waits = Vec::new();
         for seed in 0..40 {
-            let mut fleet = Fleet::joining(voters, 0, voters, seed);
-            fleet.settle();
-            fleet.decide(&change("before", None));
+            let mut fleet = Fleet::with_voter_target(voters, 0, voters, seed);
+            fleet.wait_for_leader();
+            fleet.commit_change(&change_entry("before", None));
             fleet.run(Duration::from_secs(1));
             for at in 1..voters {
                 fleet.crash(at);
@@ -65,10 +65,10 @@
                 fleet.start(at);
             }
             let started = fleet.now;
-            fleet.settle();
+            fleet.wait_for_leader();
             waits.push(fleet.now - started);
-            fleet.decide(&change("after", None));
-            fleet.check_end(voters);
+            fleet.commit_change(&change_entry("after", None));
+            fleet.check_convergence(voters);
         }
         waits.sort();
         let usual = waits[20];
@@ -80,15 +80,15 @@
 // they to ask each other at random times, they would often stand for election
 // together, neither would win, and for a second no node has a configuration.
 #[test]
-fn voters_that_start_again_together_split_few_votes() {
+fn simultaneous_restarts_rarely_split_votes() {
     let mut split = 0;
     for seed in 0..100 {
-        let mut fleet = Fleet::joining(3, 0, 3, seed);
-        fleet.quick = true;
-        fleet.settle();
-        fleet.decide(&change("before", None));
+        let mut fleet = Fleet::with_voter_target(3, 0, 3, seed);
+        fleet.low_latency = true;
+        fleet.wait_for_leader();
+        fleet.commit_change(&change_entry("before", None));
         fleet.run(Duration::from_secs(1));
-        let before = fleet.terms();
+        let before = fleet.highest_term();
         for at in 1..3 {
             fleet.crash(at);
         }
@@ -97,8 +97,8 @@
         for at in 0..3 {
             fleet.start(at);
         }
-        fleet.settle();
-        split += usize::from(fleet.terms() > before + 1);
+        fleet.wait_for_leader();
+        split += usize::from(fleet.highest_term() > before + 1);
     }
     assert!(split <= 5, "{split} of 100 elections had no winner");
 }
@@ -106,15 +106,15 @@
 /// Stops the followers of a leader that runs on by `stop`, starts them again
 /// within a few milliseconds, and cuts the leader off once it has heard their
 /// first questions. No two instances may answer as fresh at once meanwhile.
-fn followers_start_again(
+fn check_follower_restart(
     mut fleet: Fleet,
     voters: usize,
     seed: u64,
     stop: fn(&mut Fleet, &[usize]),
 ) {
-    let leader = fleet.settle();
-    fleet.decide(&change("before", None));
-    if !fleet.leading().contains(&leader) {
+    let leader = fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("before", None));
+    if !fleet.lease_holders().contains(&leader) {
         return;
     }
     let followers = others(&fleet, leader);
@@ -126,9 +126,9 @@
     fleet.groups[leader] = 1;
     fleet.run(Duration::from_secs(2));
     fleet.heal();
-    fleet.settle();
-    fleet.decide(&change("after", None));
-    fleet.check_end(voters);
+    fleet.wait_for_leader();
+    fleet.commit_change(&change_entry("after", None));
+    fleet.check_convergence(voters);
 }
 
 // A voter loses its disk and starts again, and so does another one with its
@@ -138,8 +138,8 @@
 fn a_lost_disk_does_not_end_the_leaders_lease() {
     for voters in [3, 5] {
         for seed in 0..200 {
-            let fleet = Fleet::joining(voters, 0, voters, seed);
-            followers_start_again(fleet, voters, seed, |fleet, followers| {
+            let fleet = Fleet::with_voter_target(voters, 0, voters, seed);
+            check_follower_restart(fleet, voters, seed, |fleet, followers| {
                 fleet.wipe(followers[0]);
                 for at in &followers[1..] {
                     fleet.crash(*at);
@@ -154,11 +154,11 @@
 // forgot. They find each other idle at once. Did they not wait for the leader,
 // which is not idle, two instances would answer as fresh at once.
 #[test]
-fn followers_that_start_again_together_keep_their_leaders_lease() {
+fn restarted_followers_respect_the_leaders_lease() {
     for voters in [3, 5] {
         for seed in 0..200 {
             let fleet = Fleet::new(voters, 0, seed);
-            followers_start_again(fleet, voters, seed, |fleet, followers| {
+            check_follower_restart(fleet, voters, seed, |fleet, followers| {
                 for at in followers {
                     fleet.crash(*at);
                 }
--- a/crates/core/tests/agreement/schedules.rs
+++ b/crates/core/tests/agreement/schedules.rs
@@ -6,7 +6,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use crate::fleet::change;
+use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
 /// Time after its return, or its successor's start, for which an instance
@@ -14,7 +14,7 @@
 const CATCH_UP: Duration = Duration::from_secs(4);
 
 /// Longest from the return of all to a leader that accepts changes.
-const RECOVERY: Duration = Duration::from_secs(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How an instance is lost, and comes back or is replaced.
 #[derive(Clone, Copy, Debug)]
@@ -82,18 +82,18 @@
 }
 
 /// A fleet under a schedule, and which of its instances are there.
-struct Schedule {
+struct ScheduleRun {
     fleet: Fleet,
     voters: usize,
     present: Vec<usize>,
     changes: usize,
 }
 
-impl Schedule {
+impl ScheduleRun {
     fn new(voters: usize, spares: usize, seed: u64) -> Self {
-        let mut fleet = Fleet::joining(3, voters - 3 + spares, voters, seed);
-        fleet.quick = true;
-        fleet.settle();
+        let mut fleet = Fleet::with_voter_target(3, voters - 3 + spares, voters, seed);
+        fleet.low_latency = true;
+        fleet.wait_for_leader();
         Self {
             fleet,
             voters,
@@ -107,11 +107,11 @@
     }
 
     /// Offers a change to whoever leads; it may go unanswered.
-    fn offer(&mut self) {
+    fn submit_change(&mut self) {
         self.changes += 1;
-        let entry = change(&format!("change-{}", self.changes), None);
-        for leader in self.fleet.leading() {
-            self.fleet.ask(leader, entry.clone());
+        let entry = change_entry(&format!("change-{}", self.changes), None);
+        for leader in self.fleet.lease_holders() {
+            self.fleet.request_change(leader, entry.clone());
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Begins a loss.
-    fn lose(&mut self, at: usize, kind: LossKind) {
+    fn begin_loss(&mut self, at: usize, kind: LossKind) {
         match kind {
             LossKind::Replaced => self.fleet.remove(at),
             LossKind::ReplacedAsPlanned => {
@@ -149,11 +149,11 @@
         if matches!(kind, LossKind::Replaced | LossKind::ReplacedAsPlanned) {
             self.present.retain(|present| *present != at);
         }
-        self.offer();
+        self.submit_change();
     }
 
     /// Ends a loss.
-    fn restore(&mut self, at: usize, kind: LossKind) {
+    fn end_loss(&mut self, at: usize, kind: LossKind) {
         match kind {
             LossKind::Replaced => {
                 let added = self.fleet.add(self.seeds());
@@ -176,50 +176,50 @@
         }
     }
 
-    fn pick(&self, draw: usize) -> usize {
+    fn pick_present(&self, draw: usize) -> usize {
         self.present[draw % self.present.len()]
     }
 
-    fn play(&mut self, step: &ScheduleStep) {
+    fn apply_step(&mut self, step: &ScheduleStep) {
         self.reload();
-        self.offer();
+        self.submit_change();
         match step {
-            ScheduleStep::Lose(losses) => self.lose_some(losses),
+            ScheduleStep::Lose(losses) => self.run_losses(losses),
             ScheduleStep::LoseAndKillAll(draw, kind, after, down) => {
-                let at = self.pick(*draw);
-                self.lose(at, *kind);
+                let at = self.pick_present(*draw);
+                self.begin_loss(at, *kind);
                 self.run(500);
-                self.restore(at, *kind);
+                self.end_loss(at, *kind);
                 self.run(*after);
                 self.kill_all(*down);
             }
             ScheduleStep::LoseAndSplit(draw, kind, after, mask, time) => {
-                let at = self.pick(*draw);
-                self.lose(at, *kind);
+                let at = self.pick_present(*draw);
+                self.begin_loss(at, *kind);
                 self.run(500);
-                self.restore(at, *kind);
+                self.end_loss(at, *kind);
                 self.run(*after);
                 for at in self.present.clone() {
                     self.fleet.groups[at] = mask >> (at % 32) & 1;
                 }
-                self.offer();
+                self.submit_change();
                 self.run(*time);
                 self.fleet.groups.fill(0);
             }
             ScheduleStep::KillAll(down) => self.kill_all(*down),
         }
-        self.check_whole();
+        self.check_recovered();
     }
 
     /// Begins the losses together and ends each after its own time.
-    fn lose_some(&mut self, losses: &[(usize, LossKind, u64)]) {
+    fn run_losses(&mut self, losses: &[(usize, LossKind, u64)]) {
         let mut lost: Vec<(u64, usize, LossKind)> = Vec::new();
         for (draw, kind, away) in losses {
-            let at = self.pick(*draw);
+            let at = self.pick_present(*draw);
             if lost.iter().any(|(_, other, _)| *other == at) {
                 continue;
             }
-            self.lose(at, *kind);
+            self.begin_loss(at, *kind);
             lost.push((*away, at, *kind));
         }
         lost.sort_unstable_by_key(|(away, _, _)| *away);
@@ -227,15 +227,15 @@
         for (away, at, kind) in lost {
             self.run(away - passed);
             passed = away;
-            self.restore(at, kind);
-            self.offer();
+            self.end_loss(at, kind);
+            self.submit_change();
         }
     }
 
-    fn check_end(&mut self) {
-        let leader = self.fleet.check_promises();
+    fn check_convergence(&mut self) {
+        let leader = self.fleet.check_outcomes();
         let mut voters = self.present.clone();
-        voters.retain(|at| self.fleet.votes(leader, *at));
+        voters.retain(|at| self.fleet.is_voter(leader, *at));
         for at in voters {
             let same = self.fleet.state(at) == self.fleet.state(leader);
             assert!(same, "{at} differs from {leader}");
@@ -244,24 +244,29 @@
 
     /// Once the time to catch up is over the fleet bears the next losses: as
     /// many voters as wanted run, and a change is accepted.
-    fn check_whole(&mut self) {
+    fn check_recovered(&mut self) {
         self.fleet.run(CATCH_UP);
-        let leading = self.fleet.leading();
+        let lease_holders = self.fleet.lease_holders();
         let waited = self.fleet.now;
-        let leader = self.fleet.settle();
+        let leader = self.fleet.wait_for_leader();
         let late = self.fleet.now - waited;
-        assert!(late < RECOVERY, "no leader for {late:?}");
-        if leading.is_empty() {
+        assert!(late < RECOVERY_TIMEOUT, "no leader for {late:?}");
+        if lease_holders.is_empty() {
             // A split or the loss of all processes delays catching up.
             self.fleet.run(CATCH_UP);
         }
-        let leader = self.fleet.leading().first().copied().unwrap_or(leader);
-        let votes = |at: &&usize| self.fleet.votes(leader, **at);
+        let leader = self
+            .fleet
+            .lease_holders()
+            .first()
+            .copied()
+            .unwrap_or(leader);
+        let votes = |at: &&usize| self.fleet.is_voter(leader, **at);
         let voters = self.present.iter().filter(votes).count();
         assert!(voters >= self.voters, "{voters} of {} voters", self.voters);
         self.changes += 1;
-        let entry = change(&format!("change-{}", self.changes), None);
-        self.fleet.decide(&entry);
+        let entry = change_entry(&format!("change-{}", self.changes), None);
+        self.fleet.commit_change(&entry);
     }
 }
 
@@ -271,13 +276,13 @@
     asked.map_or(60, |asked| asked.parse().expect("a number of cases"))
 }
 
-fn hold(voters: usize, spares: usize, seed: u64, steps: &[ScheduleStep]) {
-    let mut schedule = Schedule::new(voters, spares, seed);
-    schedule.check_whole();
+fn run_schedule(voters: usize, spares: usize, seed: u64, steps: &[ScheduleStep]) {
+    let mut schedule = ScheduleRun::new(voters, spares, seed);
+    schedule.check_recovered();
     for step in steps {
-        schedule.play(step);
+        schedule.apply_step(step);
     }
-    schedule.check_end();
+    schedule.check_convergence();
 }
 
 proptest! {
@@ -288,34 +293,34 @@
     })]
 
     #[test]
-    fn three_voters_bear_one_loss_after_another(
+    fn three_voters_survive_consecutive_single_losses(
         seed in any::<u64>(),
         steps in vec(step(1), 1..8),
     ) {
-        hold(3, 0, seed, &steps);
+        run_schedule(3, 0, seed, &steps);
     }
 
     #[test]
-    fn five_voters_bear_two_losses_after_another(
+    fn five_voters_survive_consecutive_double_losses(
         seed in any::<u64>(),
         steps in vec(step(2), 1..8),
     ) {
-        hold(5, 0, seed, &steps);
+        run_schedule(5, 0, seed, &steps);
     }
 
     #[test]
-    fn five_voters_and_two_spares_bear_two_losses_after_another(
+    fn five_voters_and_two_spares_survive_consecutive_double_losses(
         seed in any::<u64>(),
         steps in vec(step(2), 1..8),
     ) {
-        hold(5, 2, seed, &steps);
+        run_schedule(5, 2, seed, &steps);
     }
 }
 
 // Guards against instances that know only each other: their seeds were spares,
 // and the one member among them is gone.
 #[test]
-fn instances_whose_seeds_are_spares_or_gone_are_taken_in() {
+fn instances_whose_seeds_are_spares_or_removed_are_added() {
     let steps = [
         ScheduleStep::LoseAndKillAll(0, LossKind::Crashed, 0, 100),
         ScheduleStep::Lose(vec![
@@ -323,5 +328,5 @@
             (17101939146766189867, LossKind::Replaced, 100),
         ]),
     ];
-    hold(5, 2, 292725811798027434, &steps);
+    run_schedule(5, 2, 292725811798027434, &steps);
 }
