--- a/crates/core/src/agreement/follower.rs
+++ b/crates/core/src/agreement/follower.rs
@@ -1,20 +1,24 @@
-//! What a follower does with the leader's messages.
+//! How a follower handles the leader's messages.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member_message::LeaderPlace;
+use crate::agreement::member_message::LeaderContact;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
 use crate::agreement::saved_state::ReplicaSnapshot;
 use crate::version::ConfigVersion;
 
 impl AgreementMember {
-    pub(super) fn take_from_leader(&mut self, now: Duration, message: MemberMessage) {
+    pub(super) fn handle_leader_message(
+        &mut self,
+        now: Duration,
+        message: MemberMessage,
+    ) {
         if message.term < self.hard.term {
-            // The answer's term tells the old leader to step down.
+            // The higher term in the answer makes the old leader step down.
             let matched = Err(0);
             let sent_at = Duration::ZERO;
             self.answer(&message, MessageBody::AppendAnswer { matched, sent_at });
@@ -23,8 +27,8 @@
         if self.is_from_lost_folder(&message) {
             return;
         }
-        self.follow(now, message.term);
-        self.note_leader(now, &message);
+        self.become_follower(now, message.term);
+        self.record_leader(now, &message);
         match message.body {
             MessageBody::Append {
                 previous,
@@ -33,42 +37,42 @@
                 sent_at,
                 marks,
             } => {
-                self.memory.learn(&marks);
+                self.watermarks.merge(&marks);
                 self.leader_sent_at = self.leader_sent_at.max(sent_at);
-                self.take_entries(previous, entries, commit);
+                self.handle_entries(previous, entries, commit);
             }
             MessageBody::Install { snapshot, sent_at } => {
                 self.leader_sent_at = self.leader_sent_at.max(sent_at);
-                self.take_snapshot(snapshot);
+                self.handle_snapshot(snapshot);
             }
             _ => {}
         }
     }
 
-    fn note_leader(&mut self, now: Duration, message: &MemberMessage) {
+    fn record_leader(&mut self, now: Duration, message: &MemberMessage) {
         let changed = self
             .leader
             .as_ref()
             .is_none_or(|leader| leader.instance != message.from);
         if changed {
-            // Another leader's clock has another start.
+            // Clocks of different leaders are not comparable.
             self.leader_sent_at = Duration::ZERO;
         }
-        self.leader_heard = Some(now);
+        self.leader_heard_at = Some(now);
         self.leader_folder = message.folder;
-        self.leader = Some(LeaderPlace {
+        self.leader = Some(LeaderContact {
             instance: Arc::clone(&message.from),
             address: message.address,
         });
     }
 
-    fn take_entries(
+    fn handle_entries(
         &mut self,
         previous: ConfigVersion,
         entries: Vec<LogEntry>,
         commit: u64,
     ) {
-        // Everything up to the commit index is the same in both logs.
+        // Committed entries are identical in both logs.
         let known = previous.index <= self.commit
             || self.log.version_at(previous.index) == Some(previous);
         if !known {
@@ -78,17 +82,19 @@
         let end = previous.index + entries.len() as u64;
         let mut appended = false;
         for entry in entries {
-            appended |= self.take_entry(entry);
+            appended |= self.append_if_new(entry);
         }
-        self.verified = self.verified.max(end);
-        self.commit = self.commit.max(commit.min(self.verified));
-        // The answer to new entries follows once they are synced.
+        self.matched_index = self.matched_index.max(end);
+        self.commit = self.commit.max(commit.min(self.matched_index));
+        // New entries are acknowledged once they are synced.
         if !appended {
             self.acknowledge();
         }
     }
 
-    fn take_entry(&mut self, entry: LogEntry) -> bool {
+    /// Appends an entry unless the log already holds it; cuts off conflicting
+    /// entries first. Returns true if the entry was appended.
+    fn append_if_new(&mut self, entry: LogEntry) -> bool {
         let index = entry.version.index;
         if index <= self.commit || self.log.version_at(index) == Some(entry.version) {
             return false;
@@ -100,18 +106,18 @@
         true
     }
 
-    fn take_snapshot(&mut self, snapshot: ReplicaSnapshot) {
+    fn handle_snapshot(&mut self, snapshot: ReplicaSnapshot) {
         let index = snapshot.version.index;
         if index > self.commit {
             self.restore(snapshot);
         }
-        self.verified = self.verified.max(index);
+        self.matched_index = self.matched_index.max(index);
         self.acknowledge();
     }
 
-    /// Tells the leader what matches and is synced.
+    /// Reports to the leader the last index that matches its log and is synced.
     pub(super) fn acknowledge(&mut self) {
-        let matched = self.verified.min(self.output.synced_index());
+        let matched = self.matched_index.min(self.output.synced_index());
         self.reply(Ok(matched));
     }
 
--- a/crates/core/src/agreement/leadership.rs
+++ b/crates/core/src/agreement/leadership.rs
@@ -1,141 +1,143 @@
-//! What a leader does: sends entries, counts acknowledgements and leases.
+//! Replication by the leader, its commit index and its lease.
 //!
-//! Load pattern: bursts of changes, and members that fall behind. Entries
-//! are sent without waiting for the answers to those before, up to a
-//! window, and many in one message; without that each change would wait
-//! for a round trip and two syncs of its own. A member that misses entries
-//! is asked once for what it holds, instead of being sent the whole window
-//! over and over.
+//! Load pattern: bursts of changes, and members that fall behind. Entries are
+//! pipelined up to a window and batched into messages; otherwise each change
+//! would wait for a round trip and two syncs of its own. A member that misses
+//! entries is probed with one message at a time until its log matches, instead
+//! of being sent the whole window again and again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::agreement::folder_watermarks::FolderWatermark;
 use crate::agreement::log_entry::EntryBody;
 use crate::agreement::log_entry::LogEntry;
 use crate::agreement::member::AgreementMember;
-use crate::agreement::member::MemberStage;
+use crate::agreement::member::ElectionState;
 use crate::agreement::member_list::MemberList;
 use crate::agreement::member_message::MemberMessage;
 use crate::agreement::member_message::MessageBody;
-use crate::agreement::peer_memory::PeerMark;
-use crate::agreement::timing::ELECTION_MIN;
-use crate::agreement::timing::HAND_OVER_PATIENCE;
-use crate::agreement::timing::HEARTBEAT;
-use crate::agreement::timing::INSTALL_PATIENCE;
-use crate::agreement::timing::LEASE;
-use crate::agreement::timing::PEER_LIVE;
-use crate::agreement::timing::STEP_DOWN;
+use crate::agreement::timing::ELECTION_TIMEOUT_MIN;
+use crate::agreement::timing::HAND_OVER_TIMEOUT;
+use crate::agreement::timing::HEARTBEAT_INTERVAL;
+use crate::agreement::timing::INSTALL_TIMEOUT;
+use crate::agreement::timing::LEASE_DURATION;
+use crate::agreement::timing::PEER_LIVE_TIMEOUT;
+use crate::agreement::timing::STEP_DOWN_TIMEOUT;
 use crate::version::ConfigVersion;
 
-/// Entries sent to a member ahead of its acknowledgements. A round trip
-/// with its sync takes some 10 ms, so that this carries bursts of 100,000
-/// changes a second, far above any disk.
+/// Maximum number of unacknowledged entries in flight to one member. A round
+/// trip with its sync takes about 10 ms, so the window allows 100,000 changes
+/// a second, far more than any disk can sync.
 const WINDOW_ENTRIES: u64 = 1_024;
 
-/// Rough size of the entries of one message, in bytes; one larger entry
-/// still goes alone. A sixteenth of the largest message.
+/// Approximate limit on the entries in one message, in bytes; a larger entry
+/// is sent alone. A sixteenth of the largest message.
 const APPEND_BYTES: usize = 1024 * 1024;
 
-/// Entries not committed yet, beyond which changes are refused: operators
-/// wait some seconds at most, and memory stays bounded.
+/// Maximum number of uncommitted entries; further changes are refused. Bounds
+/// memory, and the wait of operators to a few seconds.
 const UNCOMMITTED_MAX: u64 = 1_024;
 
-/// How far one other member has come.
+/// Replication progress of one other member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerProgress {
-    /// Data folder that this is about.
+    /// Data folder of the member.
     folder: u64,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     next: u64,
-    /// Last entry known to be synced there.
+    /// Index of the last entry known to be synced by the member.
     pub(super) matched: u64,
-    /// Latest own clock that came back.
-    echoed: Option<Duration>,
-    /// Last time anything came.
-    heard: Option<Duration>,
-    /// Index of a snapshot on its way, and until when it is waited for.
+    /// Latest send time, on the leader's clock, that the member acknowledged.
+    acked_sent_at: Option<Duration>,
+    /// Time of the last answer.
+    last_heard: Option<Duration>,
+    /// Index of an unacknowledged snapshot, and when its timeout ends.
     installing: Option<(u64, Duration)>,
-    /// Entries were missing there; one message at a time until it agrees.
+    /// Entries were missing: one message at a time is sent until the logs match.
     probing: bool,
-    probe_out: bool,
+    /// A probe was sent and neither answered nor superseded by a heartbeat.
+    probe_in_flight: bool,
     sent_commit: u64,
 }
 
 impl PeerProgress {
-    /// True where the member was heard of a short while ago.
+    /// True if the member answered within [`PEER_LIVE_TIMEOUT`].
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        self.heard.is_some_and(|at| now < at + PEER_LIVE)
+        self.last_heard
+            .is_some_and(|at| now < at + PEER_LIVE_TIMEOUT)
     }
 
-    /// Last time anything came from it.
-    pub(super) fn heard_at(&self) -> Option<Duration> {
-        self.heard
+    /// Time of the member's last answer.
+    pub(super) fn last_heard(&self) -> Option<Duration> {
+        self.last_heard
     }
 
-    /// True where a snapshot may go out: the member answers heartbeats, and
-    /// none is on its way. One sent to a member that is away would be lost
-    /// and waited for.
-    fn wants_snapshot(&self, now: Duration) -> bool {
+    /// True if a snapshot may be sent: the member answers heartbeats, and no
+    /// other snapshot is in flight. A snapshot to an unreachable member would
+    /// be lost and block others until its timeout.
+    fn may_send_snapshot(&self, now: Duration) -> bool {
         let waiting = self.installing.is_some_and(|(_, until)| now < until);
         self.is_live(now) && !waiting
     }
 
-    fn may_send(&self, last: u64) -> bool {
+    fn may_send_entries(&self, last: u64) -> bool {
         let window = self.next - self.matched.min(self.next) <= WINDOW_ENTRIES;
-        let open = !self.probing || !self.probe_out;
+        let open = !self.probing || !self.probe_in_flight;
         self.next <= last && window && open
     }
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
     since: Duration,
-    /// First entry of the own term: nothing is fresh before it commits.
+    /// Index of the first entry of the leader's term. The leader holds no lease
+    /// before this entry is committed.
     pub(super) first_index: u64,
     heartbeat_at: Duration,
     heartbeat_due: bool,
     pub(super) peers: BTreeMap<Arc<str>, PeerProgress>,
-    /// Set while a successor is waited for.
+    /// Set while leadership is being handed over: when the timeout ends.
     handing_over: Option<Duration>,
 }
 
 impl Leadership {
-    /// When this leadership began.
+    /// Time at which this member became leader.
     pub(super) fn since(&self) -> Duration {
         self.since
     }
 
-    /// Latest time at which a majority is known to have taken a heartbeat
-    /// that had left by then.
+    /// Latest time such that a majority has acknowledged a message sent at that
+    /// time or later.
     fn confirmed_at(&self, member: &AgreementMember, now: Duration) -> Option<Duration> {
         let own = &member.identity.instance;
-        let reached = member.log.members().reached(|voter| {
+        let reached = member.log.members().quorum_value(|voter| {
             if voter == own {
                 return Some(now);
             }
-            self.peers.get(voter).and_then(|peer| peer.echoed)
+            self.peers.get(voter).and_then(|peer| peer.acked_sent_at)
         });
         reached.flatten()
     }
 
-    /// True where no other leader can have been elected yet.
+    /// True if no other leader can have been elected yet.
     pub(super) fn is_confirmed(&self, member: &AgreementMember, now: Duration) -> bool {
         let at = self.confirmed_at(member, now);
-        at.is_some_and(|at| now < at + ELECTION_MIN)
+        at.is_some_and(|at| now < at + ELECTION_TIMEOUT_MIN)
     }
 
-    /// True where the leader may accept changes and answer as fresh.
+    /// True if the leader may accept changes and answer as fresh.
     ///
-    /// Guards against a leader on the far side of a silent partition. It
-    /// shows as old configurations handed out as current while a new
-    /// leader accepts changes; see [`crate::agreement::timing`].
+    /// Guards against a partitioned leader that serves old configurations as
+    /// current while a new leader accepts changes; see
+    /// [`crate::agreement::timing`].
     pub(super) fn is_fresh(&self, member: &AgreementMember, now: Duration) -> bool {
         self.lease_until(member, now).is_some()
     }
 
-    /// When the lease ends, where it holds now.
+    /// When the lease expires, or `None` if the leader does not hold it.
     pub(super) fn lease_until(
         &self,
         member: &AgreementMember,
@@ -144,39 +146,39 @@
         if member.commit < self.first_index || self.handing_over.is_some() {
             return None;
         }
-        let until = self.confirmed_at(member, now)? + LEASE;
+        let until = self.confirmed_at(member, now)? + LEASE_DURATION;
         (now < until).then_some(until)
     }
 }
 
 impl AgreementMember {
-    /// Takes up leadership of the current term.
-    pub(super) fn lead(&mut self, now: Duration) {
+    /// Becomes leader of the current term and appends its first entry.
+    pub(super) fn become_leader(&mut self, now: Duration) {
         self.begin_leadership(now);
-        self.append_own(EntryBody::Blank);
+        self.append_as_leader(EntryBody::Blank);
     }
 
     pub(super) fn begin_leadership(&mut self, now: Duration) {
         self.leader = None;
-        self.stage = MemberStage::Leader(Leadership {
+        self.election_state = ElectionState::Leader(Leadership {
             since: now,
             first_index: self.log.last().index + 1,
-            heartbeat_at: now + HEARTBEAT,
+            heartbeat_at: now + HEARTBEAT_INTERVAL,
             heartbeat_due: true,
             peers: BTreeMap::new(),
             handing_over: None,
         });
-        let shown = PeerMark {
+        let reported = FolderWatermark {
             start: self.identity.start,
             synced: self.output.synced_index(),
             term: self.hard.term,
         };
-        self.memory.meet(self.identity.folder, shown);
+        self.watermarks.observe(self.identity.folder, reported);
     }
 
-    pub(super) fn append_own(&mut self, body: EntryBody) -> ConfigVersion {
+    pub(super) fn append_as_leader(&mut self, body: EntryBody) -> ConfigVersion {
         if let EntryBody::Members(members) = &body {
-            self.forget_replaced(members);
+            self.drop_replaced_peers(members);
         }
         let index = self.log.last().index + 1;
         let version = ConfigVersion::new(self.hard.term, index);
@@ -184,47 +186,49 @@
         version
     }
 
-    /// Drops what was known of folders that are no member's any more.
+    /// Drops the progress of data folders that are no longer in `members`.
     ///
-    /// Guards against a repaired member that is counted by what its lost
-    /// folder had acknowledged, and sent entries from where that one stood.
-    fn forget_replaced(&mut self, members: &MemberList) {
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+    /// Guards against a repaired member that inherits the progress of its lost
+    /// folder: acknowledgements of that folder would count for the new one, and
+    /// the entries before them would not be sent.
+    fn drop_replaced_peers(&mut self, members: &MemberList) {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let peers = &mut leadership.peers;
-        peers.retain(|name, peer| members.holds(name, peer.folder));
+        peers.retain(|name, peer| members.contains(name, peer.folder));
     }
 
-    /// Adds an entry where this member leads and may accept.
+    /// Appends an entry and returns its version, or `None` if this member does
+    /// not hold the leader lease or has too many uncommitted entries.
     pub fn propose(&mut self, now: Duration, body: EntryBody) -> Option<ConfigVersion> {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return None;
         };
         let waiting = self.log.last().index - self.commit;
         if !leadership.is_fresh(self, now) || waiting >= UNCOMMITTED_MAX {
             return None;
         }
-        Some(self.append_own(body))
+        Some(self.append_as_leader(body))
     }
 
-    /// The leader's part of the passing of time.
-    pub(super) fn lead_on(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+    /// Runs the leader's timers that are due at `now`.
+    pub(super) fn tick_leader(&mut self, now: Duration) {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         if now >= leadership.heartbeat_at {
-            leadership.heartbeat_at = now + HEARTBEAT;
+            leadership.heartbeat_at = now + HEARTBEAT_INTERVAL;
             leadership.heartbeat_due = true;
         }
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let confirmed = leadership.confirmed_at(self, now);
         let since = confirmed.unwrap_or_default().max(leadership.since);
         let until = leadership.handing_over;
-        if now >= since + STEP_DOWN || until.is_some_and(|until| now >= until) {
-            self.follow(now, self.hard.term);
+        if now >= since + STEP_DOWN_TIMEOUT || until.is_some_and(|until| now >= until) {
+            self.become_follower(now, self.hard.term);
             return;
         }
         if until.is_some() {
@@ -232,25 +236,25 @@
             return;
         }
         self.promote_learner(now);
-        self.adopt_greeting(now);
+        self.maintain_voters(now);
     }
 
-    /// Gives leadership to a member that holds everything, for a planned
-    /// stop: the next leader then serves after one round trip.
+    /// Transfers leadership to a member that holds the whole log, before a
+    /// planned stop. The next leader then serves after one round trip.
     pub fn hand_over(&mut self, now: Duration) {
         let alone = self.log.members().voters().count() < 2;
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         if alone {
             return;
         }
-        leadership.handing_over = Some(now + HAND_OVER_PATIENCE);
+        leadership.handing_over = Some(now + HAND_OVER_TIMEOUT);
         self.finish_hand_over(now);
     }
 
     fn finish_hand_over(&mut self, now: Duration) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let last = self.log.last().index;
@@ -266,13 +270,13 @@
         let Some(successor) = successor else {
             return;
         };
-        // Stepping down first ends the lease for good: the successor's
-        // voters do not wait for it.
-        self.follow(now, self.hard.term);
+        // Stepping down first ends the lease, so that the successor's voters
+        // need not wait for it.
+        self.become_follower(now, self.hard.term);
         self.send(&successor, MessageBody::TakeOver);
     }
 
-    pub(super) fn take_answer(
+    pub(super) fn handle_append_answer(
         &mut self,
         now: Duration,
         message: &MemberMessage,
@@ -280,60 +284,61 @@
         sent_at: Duration,
     ) {
         if message.term > self.hard.term {
-            self.follow(now, message.term);
+            self.become_follower(now, message.term);
             return;
         }
         if message.term < self.hard.term || !self.is_listed(message) {
             return;
         }
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let Some(peer) = leadership.peers.get_mut(&message.from) else {
             return;
         };
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         if sent_at > Duration::ZERO {
-            peer.echoed = peer.echoed.max(Some(sent_at));
+            peer.acked_sent_at = peer.acked_sent_at.max(Some(sent_at));
         }
         match matched {
-            Ok(matched) => peer.take_match(matched),
-            Err(held) => peer.take_gap(held),
+            Ok(matched) => peer.record_match(matched),
+            Err(held) => peer.record_mismatch(held),
         }
         self.advance_commit();
     }
 
-    /// Commits what a majority has synced, through an entry of this term.
+    /// Advances the commit index to the last entry that a majority has synced,
+    /// if that entry is of the current term.
     ///
-    /// Guards against counting copies of an earlier term's entry: a later
-    /// leader without it could still be elected and undo the change.
+    /// Guards against committing an entry of an earlier term by counting its
+    /// copies: a member without it could still be elected and undo the change.
     pub(super) fn advance_commit(&mut self) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         let own = &self.identity.instance;
         let synced = self.output.synced_index();
-        let reached = self.log.members().reached(|voter| {
+        let quorum_index = self.log.members().quorum_value(|voter| {
             if voter == own {
                 return synced;
             }
             leadership.peers.get(voter).map_or(0, |peer| peer.matched)
         });
-        let reached = reached.unwrap_or(0);
-        let version = self.log.version_at(reached);
+        let quorum_index = quorum_index.unwrap_or(0);
+        let version = self.log.version_at(quorum_index);
         let own_term = version.is_some_and(|version| version.term == self.hard.term);
-        if reached > self.commit && own_term {
-            self.commit = reached;
+        if quorum_index > self.commit && own_term {
+            self.commit = quorum_index;
         }
-        self.remember_acknowledged(synced);
+        self.record_acknowledged(synced);
         if self.commit >= self.log.members_index() && !self.is_voter() {
-            // The last change that this leader committed removed it.
-            self.stage = MemberStage::Follower;
+            // The member list just committed removed this leader.
+            self.election_state = ElectionState::Follower;
         }
     }
 
-    fn remember_acknowledged(&mut self, synced: u64) {
-        let MemberStage::Leader(leadership) = &self.stage else {
+    fn record_acknowledged(&mut self, synced: u64) {
+        let ElectionState::Leader(leadership) = &self.election_state else {
             return;
         };
         for (name, record) in self.log.members().iter() {
@@ -343,20 +348,20 @@
                 leadership.peers.get(name).map_or(0, |peer| peer.matched)
             };
             let index = matched.min(self.commit);
-            self.memory.acknowledged(record.folder, index);
+            self.watermarks.record_acknowledged(record.folder, index);
         }
     }
 
-    /// Sends what each member needs now.
+    /// Sends due entries, snapshots and heartbeats to all other members.
     pub(super) fn replicate(&mut self, now: Duration) {
         let next = self.log.last().index;
-        let receivers = self.receivers();
-        let MemberStage::Leader(leadership) = &mut self.stage else {
+        let targets = self.replication_targets();
+        let ElectionState::Leader(leadership) = &mut self.election_state else {
             return;
         };
         let heartbeat = std::mem::take(&mut leadership.heartbeat_due);
-        for (peer, folder) in receivers {
-            let MemberStage::Leader(leadership) = &mut self.stage else {
+        for (peer, folder) in targets {
+            let ElectionState::Leader(leadership) = &mut self.election_state else {
                 return;
             };
             let known = leadership.peers.remove(&peer);
@@ -366,10 +371,10 @@
                 ..PeerProgress::default()
             });
             if heartbeat {
-                progress.probe_out = false;
+                progress.probe_in_flight = false;
             }
             let progress = self.replicate_to(now, &peer, progress, heartbeat);
-            if let MemberStage::Leader(leadership) = &mut self.stage {
+            if let ElectionState::Leader(leadership) = &mut self.election_state {
                 leadership.peers.insert(peer, progress);
             }
         }
@@ -382,7 +387,7 @@
         mut progress: PeerProgress,
         heartbeat: bool,
     ) -> PeerProgress {
-        if !self.holds_before(&progress) && !progress.wants_snapshot(now) {
+        if !self.can_append_to(&progress) && !progress.may_send_snapshot(now) {
             if heartbeat {
                 self.send_append(now, peer, ConfigVersion::ZERO, Vec::new(), heartbeat);
             }
@@ -391,7 +396,7 @@
         let last = self.log.last().index;
         let news = progress.sent_commit < self.commit;
         let mut due = heartbeat || news;
-        while due || progress.may_send(last) {
+        while due || progress.may_send_entries(last) {
             due = false;
             let previous = self.log.version_at(progress.next - 1);
             let Some(previous) = previous.filter(|_| progress.installing.is_none())
@@ -401,29 +406,30 @@
             };
             let entries = self.next_entries(&progress);
             progress.next += entries.len() as u64;
-            progress.probe_out = true;
+            progress.probe_in_flight = true;
             progress.sent_commit = self.commit;
             self.send_append(now, peer, previous, entries, heartbeat);
         }
         progress
     }
 
-    /// True where the log still holds what comes before the next entry.
-    fn holds_before(&self, progress: &PeerProgress) -> bool {
+    /// True if the log still holds the entry before the next one to send, and no
+    /// snapshot is in flight.
+    fn can_append_to(&self, progress: &PeerProgress) -> bool {
         let held = self.log.version_at(progress.next - 1).is_some();
         held && progress.installing.is_none()
     }
 
     fn next_entries(&self, progress: &PeerProgress) -> Vec<LogEntry> {
         let mut entries = Vec::new();
-        if !progress.may_send(self.log.last().index) {
+        if !progress.may_send_entries(self.log.last().index) {
             return entries;
         }
-        let mut weight = 0;
+        let mut bytes = 0;
         for entry in self.log.from(progress.next) {
-            weight += entry.weight();
+            bytes += entry.estimated_bytes();
             let full = entries.len() as u64 >= WINDOW_ENTRIES;
-            if full || (!entries.is_empty() && weight > APPEND_BYTES) {
+            if full || (!entries.is_empty() && bytes > APPEND_BYTES) {
                 break;
             }
             entries.push(entry.clone());
@@ -440,7 +446,7 @@
         heartbeat: bool,
     ) {
         let marks = if heartbeat {
-            self.memory.marks().clone()
+            self.watermarks.marks().clone()
         } else {
             BTreeMap::new()
         };
@@ -462,7 +468,7 @@
     ) {
         let snapshot = self.log.snapshot().clone();
         let index = snapshot.version.index;
-        progress.installing = Some((index, now + INSTALL_PATIENCE));
+        progress.installing = Some((index, now + INSTALL_TIMEOUT));
         progress.next = index + 1;
         let sent_at = now;
         self.send(peer, MessageBody::Install { snapshot, sent_at });
@@ -470,7 +476,7 @@
 }
 
 impl PeerProgress {
-    fn take_match(&mut self, matched: u64) {
+    fn record_match(&mut self, matched: u64) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(matched + 1);
         if matched > 0 {
@@ -481,14 +487,14 @@
         }
     }
 
-    fn take_gap(&mut self, held: u64) {
+    fn record_mismatch(&mut self, held: u64) {
         if held + 1 >= self.next {
             return;
         }
         self.next = held + 1;
         if !self.probing {
             self.probing = true;
-            self.probe_out = false;
+            self.probe_in_flight = false;
         }
     }
 }
