--- a/crates/core/benches/rollout_study.rs
+++ b/crates/core/benches/rollout_study.rs
@@ -1,10 +1,10 @@
 //! Prints the study of moves: for each behaviour, traffic level, test and
 //! plan what share was completed on time or taken back, and at what cost.
 
+#[path = "rollout_study_parts/alternatives.rs"]
+mod alternatives;
 #[path = "../tests/rollout_study/course.rs"]
 mod course;
-#[path = "rollout_study_parts/rivals.rs"]
-mod rivals;
 #[path = "../tests/rollout_study/traffic.rs"]
 mod traffic;
 
@@ -136,7 +136,7 @@
             row(name, case, StudyParts::default(), seeds);
         }
     }
-    for (title, parts) in rivals::all() {
+    for (title, parts) in alternatives::all() {
         head(title);
         for (name, behaviour) in KINDS {
             row(name, StudyCase { behaviour, ..base }, parts, SEEDS);
--- a/crates/core/benches/rollout_study_parts/rivals.rs
+++ b/crates/core/benches/rollout_study_parts/alternatives.rs
@@ -1,9 +1,9 @@
 //! Tests and plans that were weighed against those in use.
 
-use cowslip_core::rollout::rollout_judge::change_test;
-use cowslip_core::rollout::sequential_test::look_gain;
-use cowslip_core::rollout::sequential_test::TestLook;
-use cowslip_core::rollout::sequential_test::VerdictTest;
+use cowslip_core::rollout::rollout_judge::change_point_test;
+use cowslip_core::rollout::sequential_test::log_likelihood_ratio;
+use cowslip_core::rollout::sequential_test::SequentialTest;
+use cowslip_core::rollout::sequential_test::TestSample;
 use cowslip_core::rollout::share_plan::SharePlan;
 use cowslip_core::rollout::share_plan::HELD_SHARE;
 use cowslip_core::rollout::share_plan::LAST_SHARE;
@@ -16,9 +16,9 @@
     sum: f64,
 }
 
-impl VerdictTest for WaldTest {
-    fn look(&mut self, look: &TestLook) -> f64 {
-        self.sum += look_gain(look, 4.0);
+impl SequentialTest for WaldTest {
+    fn update(&mut self, sample: &TestSample) -> f64 {
+        self.sum += log_likelihood_ratio(sample, 4.0);
         self.sum
     }
 }
@@ -30,9 +30,9 @@
     events: [f64; 2],
 }
 
-impl VerdictTest for RepeatedTest {
-    fn look(&mut self, look: &TestLook) -> f64 {
-        let TestLook { old, new } = look;
+impl SequentialTest for RepeatedTest {
+    fn update(&mut self, sample: &TestSample) -> f64 {
+        let TestSample { old, new } = sample;
         for (at, counts) in [old, new].into_iter().enumerate() {
             self.calls[at] += counts.calls as f64;
             self.events[at] += counts.events as f64;
@@ -59,20 +59,20 @@
 }
 
 impl SharePlan for EvenPlan {
-    fn share_at(&self, part: f64) -> u16 {
-        if part >= 0.85 {
+    fn share_at(&self, fraction: f64) -> u16 {
+        if fraction >= 0.85 {
             return LAST_SHARE;
         }
-        let grown = f64::from(HELD_SHARE) * (part / 0.6).min(1.0);
+        let grown = f64::from(HELD_SHARE) * (fraction / 0.6).min(1.0);
         (grown as u16).max(self.first)
     }
 }
 
-/// The rivals, with their names.
+/// The alternatives, with their names.
 pub fn all() -> Vec<(&'static str, StudyParts)> {
     let own = StudyParts::default();
     let leader_only = StudyParts {
-        test: Some(change_test),
+        test: Some(change_point_test),
         ..own
     };
     let wald = StudyParts {
--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -75,7 +75,7 @@
 /// counts: a report costs a few tree steps, whatever waits.
 #[derive(Clone, Debug, Default)]
 pub struct MoveTracker {
-    nodes: BTreeMap<Arc<str>, HeardReport>,
+    nodes: BTreeMap<Arc<str>, ReceivedReport>,
     by_age: BTreeSet<(Duration, Arc<str>)>,
     applied: VersionCounts,
     refused: VersionCounts,
@@ -93,9 +93,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeardReport {
+struct ReceivedReport {
     report: NodeReport,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
 /// Number of nodes at each version.
@@ -133,22 +133,28 @@
 }
 
 impl MoveTracker {
-    /// Takes a node's report, heard at `heard_at`. A late one does not lower
+    /// Takes a node's report, received at `received_at`. A late one does not lower
     /// what the node is known to have applied.
-    pub fn record_report(&mut self, heard_at: Duration, mut report: NodeReport) {
-        if let Some(held) = self.forget(&report.node) {
+    pub fn record_report(&mut self, received_at: Duration, mut report: NodeReport) {
+        if let Some(held) = self.remove_node(&report.node) {
             report.applied = report.applied.max(held.report.applied);
         } else if self.nodes.len() >= NODES_MAX {
             self.overflow += 1;
             return;
         }
         let node = Arc::clone(&report.node);
-        self.by_age.insert((heard_at, Arc::clone(&node)));
+        self.by_age.insert((received_at, Arc::clone(&node)));
         self.applied.add(report.applied);
         if let Some(refused) = report.refused {
             self.refused.add(refused);
         }
-        self.nodes.insert(node, HeardReport { report, heard_at });
+        self.nodes.insert(
+            node,
+            ReceivedReport {
+                report,
+                received_at,
+            },
+        );
     }
 
     /// Sets how long nodes count as live.
@@ -156,20 +162,20 @@
         self.presence = presence;
     }
 
-    /// Drops the nodes that were last heard too long before `now`.
+    /// Drops the nodes that were last received too long before `now`.
     pub fn expire(&mut self, now: Duration) {
-        while let Some((heard_at, node)) = self.by_age.first() {
-            if now.saturating_sub(*heard_at) <= self.presence.live_for {
+        while let Some((received_at, node)) = self.by_age.first() {
+            if now.saturating_sub(*received_at) <= self.presence.live_for {
                 return;
             }
             let node = Arc::clone(node);
-            self.forget(&node);
+            self.remove_node(&node);
         }
     }
 
-    fn forget(&mut self, node: &Arc<str>) -> Option<HeardReport> {
+    fn remove_node(&mut self, node: &Arc<str>) -> Option<ReceivedReport> {
         let held = self.nodes.remove(node)?;
-        self.by_age.remove(&(held.heard_at, Arc::clone(node)));
+        self.by_age.remove(&(held.received_at, Arc::clone(node)));
         self.applied.remove(held.report.applied);
         if let Some(refused) = held.report.refused {
             self.refused.remove(refused);
@@ -179,9 +185,9 @@
 
     /// Live nodes' reports, with their age at `now`.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = (Duration, &NodeReport)> {
-        self.nodes
-            .values()
-            .map(move |heard| (now.saturating_sub(heard.heard_at), &heard.report))
+        self.nodes.values().map(move |received| {
+            (now.saturating_sub(received.received_at), &received.report)
+        })
     }
 
     /// Reports dropped because more nodes were named than the bound.
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -10,12 +10,12 @@
 //! an entry of the agreed log ([`rollout_registry`]).
 
 pub mod cold_start;
+pub mod driver_state;
 pub mod evidence;
 pub mod evidence_totals;
 pub mod fleet_snapshot;
 pub mod last_server;
 pub mod latency_sketch;
-pub mod move_pace;
 pub mod node_guard;
 pub mod rollout_change;
 pub mod rollout_driver;
--- a/crates/core/src/rollout/cold_start.rs
+++ b/crates/core/src/rollout/cold_start.rs
@@ -7,18 +7,18 @@
 /// Counts the calls of one start of a backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
-    granted: u32,
+    calls: u32,
 }
 
 impl ColdStart {
     /// Another backend server, or another start of it, has announced itself.
     pub fn restart(&mut self) {
-        self.granted = 0;
+        self.calls = 0;
     }
 
     /// Counts a call that goes to the server; true where it is warm.
     pub fn record_call(&mut self) -> bool {
-        self.granted = self.granted.saturating_add(1);
-        self.granted > COLD_CALLS
+        self.calls = self.calls.saturating_add(1);
+        self.calls > COLD_CALLS
     }
 }
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -12,7 +12,7 @@
 
 use crate::call_try::TryFailure;
 use crate::rollout::latency_sketch::LatencySketch;
-use crate::rollout::latency_sketch::SketchBands;
+use crate::rollout::latency_sketch::SketchBuckets;
 use crate::rollout::rollout_judge::BadnessCause;
 use crate::verdict::CallVerdict;
 use crate::version::ConfigVersion;
@@ -35,7 +35,7 @@
     /// Nothing ran, so nothing is known of the version: our own limits, a
     /// drain, a quarantined request, an instance that cannot be reached.
     NotRun,
-    /// Its caller left before any answer. It may have run, and tells nothing
+    /// Its caller abandoned before any answer. It may have run, and tells nothing
     /// of the version.
     Abandoned,
 }
@@ -49,7 +49,7 @@
         Self::Answered
     }
 
-    /// The end of a try that got no whole answer.
+    /// The end of a try that got no total answer.
     pub fn from_failure(failure: &TryFailure) -> Self {
         match failure.verdict {
             CallVerdict::NotRun => Self::NotRun,
@@ -78,8 +78,8 @@
     pub calls: u64,
     /// Those that failed by the backend server's fault.
     pub failures: u64,
-    /// Tries, besides, whose callers left before any answer.
-    pub left: u64,
+    /// Tries, besides, whose callers abandoned before any answer.
+    pub abandoned: u64,
     /// Time that all of them took together, in microseconds.
     pub busy_us: u64,
     /// Latencies of answered tries at servers past their cold start.
@@ -95,15 +95,15 @@
     /// Those that failed.
     #[serde(rename = "f")]
     pub failures: u64,
-    /// Those whose callers left, besides.
+    /// Those whose callers abandoned, besides.
     #[serde(rename = "g", default)]
-    pub left: u64,
+    pub abandoned: u64,
     /// Time they took together, in microseconds.
     #[serde(rename = "b")]
     pub busy_us: u64,
     /// Bands of the latency sketch.
     #[serde(rename = "l")]
-    pub latency: SketchBands,
+    pub latency: SketchBuckets,
 }
 
 impl VersionTally {
@@ -112,7 +112,7 @@
         match ended.end {
             TryOutcome::NotRun => return,
             TryOutcome::Abandoned => {
-                self.left += 1;
+                self.abandoned += 1;
                 return;
             }
             TryOutcome::Answered | TryOutcome::Failed => {}
@@ -131,19 +131,19 @@
         TallyReport {
             calls: self.calls,
             failures: self.failures,
-            left: self.left,
+            abandoned: self.abandoned,
             busy_us: self.busy_us,
-            latency: self.latency.bands(),
+            latency: self.latency.buckets(),
         }
     }
 
     /// Adds what `now` holds beyond `before`, two readings of one reporter.
-    pub fn add_growth(&mut self, before: &TallyReport, now: &TallyReport) {
+    pub fn add_increase(&mut self, before: &TallyReport, now: &TallyReport) {
         self.calls += now.calls.saturating_sub(before.calls);
         self.failures += now.failures.saturating_sub(before.failures);
-        self.left += now.left.saturating_sub(before.left);
+        self.abandoned += now.abandoned.saturating_sub(before.abandoned);
         self.busy_us += now.busy_us.saturating_sub(before.busy_us);
-        self.latency.add_growth(&before.latency, &now.latency);
+        self.latency.add_increase(&before.latency, &now.latency);
     }
 }
 
@@ -162,53 +162,53 @@
     /// Counts by the route's path.
     pub routes: BTreeMap<Arc<str>, RouteTally>,
     /// Counts of all routes together.
-    pub whole: RouteTally,
+    pub total: RouteTally,
 }
 
 impl RolloutTally {
     /// Counts one try of the new version, or of the old one.
     pub fn record(&mut self, route: &Arc<str>, new: bool, ended: &MeasuredTry) {
-        for tally in [route_of(&mut self.routes, route), &mut self.whole] {
+        for tally in [route_tally(&mut self.routes, route), &mut self.total] {
             let version = if new { &mut tally.new } else { &mut tally.old };
             version.record(ended);
         }
     }
 
     /// Adds what `now` holds beyond `before`, two readings of one reporter.
-    pub fn add_growth(&mut self, before: Option<&RouteEvidence>, now: &RouteEvidence) {
+    pub fn add_increase(&mut self, before: Option<&RouteEvidence>, now: &RouteEvidence) {
         let nothing = TallyReport::default();
         let old = before.map_or(&nothing, |before| &before.old);
         let new = before.map_or(&nothing, |before| &before.new);
-        for tally in [route_of(&mut self.routes, &now.route), &mut self.whole] {
-            tally.old.add_growth(old, &now.old);
-            tally.new.add_growth(new, &now.new);
+        for tally in [route_tally(&mut self.routes, &now.route), &mut self.total] {
+            tally.old.add_increase(old, &now.old);
+            tally.new.add_increase(new, &now.new);
         }
     }
 
     /// Tries of the new version that tell something of it: failed ones, and
     /// answered ones at servers past their cold start.
-    pub fn telling_calls(&self) -> u64 {
-        self.whole.new.failures + self.whole.new.latency.count()
+    pub fn informative_calls(&self) -> u64 {
+        self.total.new.failures + self.total.new.latency.count()
     }
 
-    /// Tries that the new version got, those included whose callers left.
+    /// Tries that the new version got, those included whose callers abandoned.
     pub fn new_calls(&self) -> u64 {
-        self.whole.new.calls + self.whole.new.left
+        self.total.new.calls + self.total.new.abandoned
     }
 
-    /// Tries that both versions got, those included whose callers left.
+    /// Tries that both versions got, those included whose callers abandoned.
     pub fn calls(&self) -> u64 {
-        self.whole.old.calls + self.whole.old.left + self.new_calls()
+        self.total.old.calls + self.total.old.abandoned + self.new_calls()
     }
 
     /// Time that tries of both versions took together, in microseconds.
     pub fn busy_us(&self) -> u64 {
-        self.whole.old.busy_us + self.whole.new.busy_us
+        self.total.old.busy_us + self.total.new.busy_us
     }
 }
 
 /// The counts of `route`, or of the last one where there are too many.
-fn route_of<'a>(
+fn route_tally<'a>(
     routes: &'a mut BTreeMap<Arc<str>, RouteTally>,
     route: &Arc<str>,
 ) -> &'a mut RouteTally {
--- a/crates/core/src/rollout/evidence_totals.rs
+++ b/crates/core/src/rollout/evidence_totals.rs
@@ -22,19 +22,19 @@
 /// Sums of all nodes' counts, by move.
 #[derive(Debug, Default)]
 pub struct EvidenceTotals {
-    nodes: BTreeMap<Arc<str>, HeardNode>,
+    nodes: BTreeMap<Arc<str>, ReportingNode>,
     totals: BTreeMap<ConfigVersion, RolloutTally>,
     stops: BTreeMap<ConfigVersion, NodeStop>,
 }
 
 #[derive(Debug)]
-struct HeardNode {
+struct ReportingNode {
     report: EvidenceReport,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
 impl EvidenceTotals {
-    /// Takes a report, heard at `now`. True where it was news.
+    /// Takes a report, entry at `now`. True where it was news.
     pub fn record_report(&mut self, now: Duration, report: EvidenceReport) -> bool {
         let order = (report.incarnation, report.sequence);
         let mut before = None;
@@ -50,9 +50,9 @@
             }
         }
         for evidence in &report.rollouts {
-            let held = before.and_then(|report| find(report, evidence.rollout));
+            let held = before.and_then(|report| find_rollout(report, evidence.rollout));
             let total = self.totals.entry(evidence.rollout).or_default();
-            add_growth(total, held, evidence);
+            add_increase(total, held, evidence);
             if let Some(cause) = &evidence.stop {
                 let stop = NodeStop {
                     node: Arc::clone(&report.node),
@@ -62,8 +62,14 @@
             }
         }
         let node = Arc::clone(&report.node);
-        let heard_at = now;
-        self.nodes.insert(node, HeardNode { report, heard_at });
+        let received_at = now;
+        self.nodes.insert(
+            node,
+            ReportingNode {
+                report,
+                received_at,
+            },
+        );
         true
     }
 
@@ -72,40 +78,43 @@
         self.totals.get(&rollout)
     }
 
-    /// The first node heard of that stopped this move's version by itself.
+    /// The first node entry of that stopped this move's version by itself.
     pub fn stop(&self, rollout: ConfigVersion) -> Option<&NodeStop> {
         self.stops.get(&rollout)
     }
 
-    /// When `node` was last heard of, if ever.
-    pub fn heard_at(&self, node: &str) -> Option<Duration> {
-        self.nodes.get(node).map(|heard| heard.heard_at)
+    /// When `node` was last entry of, if ever.
+    pub fn last_report_at(&self, node: &str) -> Option<Duration> {
+        self.nodes.get(node).map(|entry| entry.received_at)
     }
 
-    /// Forgets moves that are over and nodes not heard of since `before`.
+    /// Forgets moves that are over and nodes not entry of since `before`.
     pub fn retain(&mut self, before: Duration, running: impl Fn(ConfigVersion) -> bool) {
         self.totals.retain(|rollout, _| running(*rollout));
         self.stops.retain(|rollout, _| running(*rollout));
-        self.nodes.retain(|_, heard| {
-            let rollouts = &mut heard.report.rollouts;
+        self.nodes.retain(|_, entry| {
+            let rollouts = &mut entry.report.rollouts;
             rollouts.retain(|evidence| running(evidence.rollout));
-            heard.heard_at >= before || !rollouts.is_empty()
+            entry.received_at >= before || !rollouts.is_empty()
         });
     }
 }
 
-fn find(report: &EvidenceReport, rollout: ConfigVersion) -> Option<&RolloutEvidence> {
+fn find_rollout(
+    report: &EvidenceReport,
+    rollout: ConfigVersion,
+) -> Option<&RolloutEvidence> {
     let mut held = report.rollouts.iter();
     held.find(|evidence| evidence.rollout == rollout)
 }
 
-fn add_growth(
+fn add_increase(
     total: &mut RolloutTally,
     before: Option<&RolloutEvidence>,
     now: &RolloutEvidence,
 ) {
     for route in &now.routes {
         let mut held = before.into_iter().flat_map(|evidence| &evidence.routes);
-        total.add_growth(held.find(|held| held.route == route.route), route);
+        total.add_increase(held.find(|held| held.route == route.route), route);
     }
 }
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -66,31 +66,31 @@
         nodes: &[NodeReport],
         ledger: &EvidenceTotals,
     ) -> FleetSnapshot {
-        let mut sight = FleetSnapshot::default();
+        let mut snapshot = FleetSnapshot::default();
         for record in records {
             let serving = record.standing == EndpointStanding::Serving;
             if !serving || record.service != rollout.service {
                 continue;
             }
             if record.version == rollout.from {
-                sight.old_slots += record.slots;
+                snapshot.old_slots += record.slots;
             } else if record.version == rollout.to {
-                sight.new_slots += self.warm_slots(now, record);
+                snapshot.new_slots += self.warm_slots(now, record);
             }
         }
         let last = rollout.last_version();
         for node in nodes {
-            sight.nodes += 1;
+            snapshot.nodes += 1;
             if node.applied < last {
-                sight.nodes_behind += 1;
+                snapshot.nodes_behind += 1;
             }
-            let heard_at = ledger.heard_at(&node.node);
-            let age = heard_at.map(|heard_at| now.saturating_sub(heard_at));
+            let received_at = ledger.last_report_at(&node.node);
+            let age = received_at.map(|received_at| now.saturating_sub(received_at));
             if age.is_none_or(|age| age > REPORT_AGE_MAX) {
-                sight.nodes_silent += 1;
+                snapshot.nodes_silent += 1;
             }
         }
-        sight
+        snapshot
     }
 
     fn warm_slots(&self, now: Duration, record: &EndpointRecord) -> u32 {
--- a/crates/core/src/rollout/node_guard.rs
+++ b/crates/core/src/rollout/node_guard.rs
@@ -52,7 +52,7 @@
 pub struct NodeGuard {
     rollouts: BTreeMap<Arc<str>, GuardedRollout>,
     sequence: u64,
-    looked_at: Duration,
+    evaluated_at: Duration,
 }
 
 #[derive(Debug)]
@@ -66,7 +66,7 @@
 }
 
 impl GuardedRollout {
-    fn of(spec: &ServiceSpec) -> Option<Self> {
+    fn from_spec(spec: &ServiceSpec) -> Option<Self> {
         let candidate = spec.candidate.as_ref()?;
         Some(Self {
             rollout: candidate.rollout,
@@ -111,7 +111,7 @@
             })
         });
         for (service, spec) in &document.services {
-            let Some(fresh) = GuardedRollout::of(spec) else {
+            let Some(fresh) = GuardedRollout::from_spec(spec) else {
                 continue;
             };
             self.rollouts.entry(Arc::clone(service)).or_insert(fresh);
@@ -144,15 +144,15 @@
     /// Looks at the counts if it is time, and stops versions found bad.
     pub fn tick(&mut self, now: Duration) -> Vec<StoppedVersion> {
         let mut stopped = Vec::new();
-        if now.saturating_sub(self.looked_at) < EVALUATION_INTERVAL {
+        if now.saturating_sub(self.evaluated_at) < EVALUATION_INTERVAL {
             return stopped;
         }
-        self.looked_at = now;
+        self.evaluated_at = now;
         for (service, held) in &mut self.rollouts {
             if held.stop.is_some() {
                 continue;
             }
-            let Some(cause) = held.judge.look(&held.tally).cause else {
+            let Some(cause) = held.judge.evaluate(&held.tally).cause else {
                 continue;
             };
             held.stop = Some(cause.clone());
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -11,33 +11,33 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::rollout::driver_state::MoveTime;
+use crate::rollout::driver_state::OldFailureRate;
+use crate::rollout::driver_state::SlotDemand;
+use crate::rollout::driver_state::SuspicionTracker;
 use crate::rollout::evidence::RolloutTally;
 use crate::rollout::evidence_totals::EvidenceTotals;
 use crate::rollout::fleet_snapshot::FleetSnapshot;
-use crate::rollout::move_pace::FleetTrouble;
-use crate::rollout::move_pace::MoveTime;
-use crate::rollout::move_pace::SlotDemand;
-use crate::rollout::move_pace::SuspicionMark;
 use crate::rollout::rollout_change::MoveChange;
 use crate::rollout::rollout_change::MoveCounts;
 use crate::rollout::rollout_change::StepWait;
 use crate::rollout::rollout_change::TakeBackCause;
 use crate::rollout::rollout_judge::BadnessCause;
-use crate::rollout::rollout_judge::JudgeView;
+use crate::rollout::rollout_judge::JudgeResult;
 use crate::rollout::rollout_judge::RolloutJudge;
 use crate::rollout::rollout_judge::FALSE_ALARM_FLEET;
 use crate::rollout::rollout_record::RolloutRecord;
 use crate::rollout::sequential_test::EventCounts;
+use crate::rollout::share_plan::BoundedPlan;
 use crate::rollout::share_plan::DoublingPlan;
-use crate::rollout::share_plan::ProvingPlan;
 use crate::rollout::share_plan::QuietChoice;
 use crate::rollout::share_plan::SharePlan;
+use crate::rollout::share_plan::BOUNDED_STEP_FRACTION;
+use crate::rollout::share_plan::FULL_SHARE;
 use crate::rollout::share_plan::HELD_SHARE;
-use crate::rollout::share_plan::HOLD_PART;
-use crate::rollout::share_plan::LAST_CHECK_PART;
+use crate::rollout::share_plan::HOLD_FRACTION;
+use crate::rollout::share_plan::LAST_CHECK_FRACTION;
 use crate::rollout::share_plan::LAST_SHARE;
-use crate::rollout::share_plan::PROVED_STEP;
-use crate::rollout::share_plan::WHOLE;
 
 /// Pause between two looks of the leader. Three looks decide against gross
 /// badness, so each counts in what a bad version gets.
@@ -53,39 +53,39 @@
 
 /// How far the plan may be ahead, as a factor of the next share, before a
 /// step no longer waits for evidence where the operators chose to finish.
-const QUIET_LAG: u16 = 2;
+const QUIET_LAG_FACTOR: u16 = 2;
 
 /// Part of the move's time after which suspicion that has not grown is no
 /// longer waited for: evidence once gathered fades slowly where failures are
 /// rare, while a bad version would have given more.
-const SUSPICION_FRESH_PART: f64 = 0.05;
+const SUSPICION_FRESH_FRACTION: f64 = 0.05;
 
 /// Part of the move's time that growth waits on suspicion at most. Without
 /// a bound, chance alone could keep a good version from its set time.
-const SUSPICION_PART: f64 = 0.15;
+const SUSPICION_FRACTION: f64 = 0.15;
 
 /// Part of what a bad version may get from which suspicion is enough: calls
 /// on their way and those until the withdrawal reaches every node need the
 /// rest.
-const OVERSPENT_PART: f64 = 0.45;
+const EXPOSURE_HIGH_FRACTION: f64 = 0.45;
 
 /// Suspicion that is enough then: odds of some thirty to one.
-const OVERSPENT_SUSPICION: f64 = 0.4;
+const EXPOSURE_HIGH_SUSPICION: f64 = 0.4;
 
 /// Part from which less is enough: the rest is gone before a verdict.
-const NEARLY_SPENT_PART: f64 = 0.65;
+const EXPOSURE_CRITICAL_FRACTION: f64 = 0.65;
 
 /// Suspicion that is enough then: odds of some twelve to one.
-const NEARLY_SPENT_SUSPICION: f64 = 0.3;
+const EXPOSURE_CRITICAL_SUSPICION: f64 = 0.3;
 
 /// Part of the move's time from which a version that is still suspected, on a
 /// share that holds no load yet, is taken back: its last steps take the rest.
-const LAST_DECISION_PART: f64 = 0.85;
+const LAST_DECISION_FRACTION: f64 = 0.85;
 
 /// Part of its calls that the version in service fails from which one on trial
 /// gets no more of them: one that fails a third of its calls has less than
 /// three times the odds then, the least that counts as bad.
-const TROUBLED_PART: f64 = 0.15;
+const OLD_FAILURE_RATE_MAX: f64 = 0.15;
 
 /// Silent nodes that growth tolerates, as one in so many live ones. At the
 /// two-year size some of 5,200 nodes are always between two reports.
@@ -93,7 +93,7 @@
 
 /// Part of the new version's slots that a step may fill; the rest is for
 /// bursts and for servers that die during the step.
-const SLOTS_FILLED: f64 = 0.8;
+const SLOT_FILL_MAX: f64 = 0.8;
 
 /// A target counts as a step only this far above the share in force, so
 /// that a move costs tens of changes and not one each look.
@@ -127,21 +127,21 @@
 pub struct RolloutDriver {
     plan: Box<dyn SharePlan>,
     judge: RolloutJudge,
-    step: Option<StepMark>,
-    suspicion: SuspicionMark,
-    trouble: FleetTrouble,
+    step: Option<StepBaseline>,
+    suspicion: SuspicionTracker,
+    old_failure_rate: OldFailureRate,
     demand: SlotDemand,
     wait: Option<StepWait>,
     waited: BTreeMap<StepWait, Duration>,
-    looked_at: Option<Duration>,
+    evaluated_at: Option<Duration>,
     course: Vec<CoursePoint>,
 }
 
 /// What had been seen when the share in force was first looked at.
 #[derive(Clone, Copy, Debug)]
-struct StepMark {
+struct StepBaseline {
     share: u16,
-    telling: u64,
+    informative: u64,
 }
 
 impl RolloutDriver {
@@ -149,7 +149,7 @@
     pub fn new(record: &RolloutRecord) -> Self {
         let first = record.steps.first().map_or(1, |step| step.share_per_mille);
         let plan: Box<dyn SharePlan> = if record.exposure.is_some() {
-            Box::new(ProvingPlan { first })
+            Box::new(BoundedPlan { first })
         } else {
             Box::new(DoublingPlan { first })
         };
@@ -162,12 +162,12 @@
             plan,
             judge,
             step: None,
-            suspicion: SuspicionMark::default(),
-            trouble: FleetTrouble::default(),
+            suspicion: SuspicionTracker::default(),
+            old_failure_rate: OldFailureRate::default(),
             demand: SlotDemand::default(),
             wait: None,
             waited: BTreeMap::new(),
-            looked_at: None,
+            evaluated_at: None,
             course: Vec::new(),
         }
     }
@@ -189,34 +189,34 @@
         &mut self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSnapshot,
+        fleet: &FleetSnapshot,
         ledger: &EvidenceTotals,
     ) -> Option<MoveChange> {
-        let nothing = RolloutTally::default();
-        let tally = ledger.total(record.rollout).unwrap_or(&nothing);
-        let elapsed = now.saturating_sub(self.looked_at.unwrap_or(now));
-        self.looked_at = Some(now);
-        self.demand.look(elapsed, tally.busy_us());
-        let view = self.judge.look(tally);
-        self.suspicion.look(now, view.suspicion);
-        self.trouble.look(
+        let empty = RolloutTally::default();
+        let tally = ledger.total(record.rollout).unwrap_or(&empty);
+        let elapsed = now.saturating_sub(self.evaluated_at.unwrap_or(now));
+        self.evaluated_at = Some(now);
+        self.demand.update(elapsed, tally.busy_us());
+        let view = self.judge.evaluate(tally);
+        self.suspicion.update(now, view.suspicion);
+        self.old_failure_rate.update(
             now,
             EventCounts {
-                calls: tally.whole.old.calls,
-                events: tally.whole.old.failures,
+                calls: tally.total.old.calls,
+                events: tally.total.old.failures,
             },
         );
-        let counts = counts_of(tally);
-        let telling = tally.telling_calls();
-        self.mark(now, record, counts, telling);
+        let counts = move_counts(tally);
+        let informative = tally.informative_calls();
+        self.record_point(now, record, counts, informative);
         let cause = match (ledger.stop(record.rollout), view.cause.clone()) {
             (Some(stop), _) => Some(TakeBackCause::NodeEvidence {
                 node: stop.node.clone(),
                 cause: stop.cause.clone(),
             }),
             (None, cause) => cause
-                .or_else(|| self.overspent(now, record, counts, &view))
-                .or_else(|| out_of_time(now, record, &view))
+                .or_else(|| self.near_exposure_bound(now, record, counts, &view))
+                .or_else(|| too_late_to_finish(now, record, &view))
                 .map(TakeBackCause::FleetEvidence),
         };
         if let Some(cause) = cause {
@@ -226,7 +226,7 @@
                 counts,
             });
         }
-        let next = self.next_step(now, record, sight, counts, telling);
+        let next = self.next_step(now, record, fleet, counts, informative);
         self.wait = next.as_ref().err().copied().flatten();
         if let Some(wait) = self.wait {
             *self.waited.entry(wait).or_default() += elapsed;
@@ -241,47 +241,48 @@
     /// growth waits for a verdict that does not come, and what it gets
     /// meanwhile passes the bound. A sound version is suspected so strongly
     /// in fewer than one of fifty moves.
-    fn overspent(
+    fn near_exposure_bound(
         &self,
         now: Duration,
         record: &RolloutRecord,
         counts: MoveCounts,
-        view: &JudgeView,
+        view: &JudgeResult,
     ) -> Option<BadnessCause> {
         let bound = record.exposure?;
-        let part = MoveTime::of(now, record).part();
-        let spent = bound.spent(counts.new_calls, counts.calls, part);
+        let fraction = MoveTime::of(now, record).fraction();
+        let used_fraction = bound.used_fraction(counts.new_calls, counts.calls, fraction);
         // The share that holds load is on trial too: some badness shows only
         // there, and at four fifths of the calls the bound is soon passed.
         let on_trial = record.share() <= HELD_SHARE;
-        let enough = if spent >= NEARLY_SPENT_PART {
-            NEARLY_SPENT_SUSPICION
+        let enough = if used_fraction >= EXPOSURE_CRITICAL_FRACTION {
+            EXPOSURE_CRITICAL_SUSPICION
         } else {
-            OVERSPENT_SUSPICION
+            EXPOSURE_HIGH_SUSPICION
         };
-        if on_trial && spent >= OVERSPENT_PART && view.suspicion >= enough {
+        if on_trial && used_fraction >= EXPOSURE_HIGH_FRACTION && view.suspicion >= enough
+        {
             return view.strongest.clone();
         }
         None
     }
 
-    fn mark(
+    fn record_point(
         &mut self,
         now: Duration,
         record: &RolloutRecord,
         counts: MoveCounts,
-        telling: u64,
+        informative: u64,
     ) {
         let share = record.share();
         if self.step.is_none_or(|step| step.share != share) {
-            self.step = Some(StepMark { share, telling });
+            self.step = Some(StepBaseline { share, informative });
         }
         self.course.push(CoursePoint {
             at_ms: now.as_millis() as u64,
             share_per_mille: share,
             counts,
             suspicion: self.suspicion.level,
-            old_failing: self.trouble.part(now),
+            old_failing: self.old_failure_rate.rate(now),
         });
         if self.course.len() > POINTS_MAX {
             let mut at = 0;
@@ -292,26 +293,28 @@
         }
     }
 
-    /// The next step, or what it waits for; nothing where it is not due.
+    /// The next step, or what it waits for; empty where it is not due.
     fn next_step(
         &self,
         now: Duration,
         record: &RolloutRecord,
-        sight: &FleetSnapshot,
+        fleet: &FleetSnapshot,
         counts: MoveCounts,
-        telling: u64,
+        informative: u64,
     ) -> Result<MoveChange, Option<StepWait>> {
         let time = MoveTime::of(now, record);
         let share = record.share();
         if share >= LAST_SHARE {
-            return self.finish(&time, record, sight, counts);
+            return self.finish(&time, record, fleet, counts);
         }
-        let target = self.plan.share_at(time.part());
+        let target = self.plan.share_at(time.fraction());
         let next = next_share(share, target).ok_or(None)?;
         // Guards against a late move that catches up in one go: its share
         // went from 320 to 800 within 0.3 s, and a version that failed under
         // load had got a tenth more than it may before the verdict.
-        if record.exposure.is_some() && time.held < time.whole.mul_f64(PROVED_STEP) {
+        if record.exposure.is_some()
+            && time.since_step < time.total.mul_f64(BOUNDED_STEP_FRACTION)
+        {
             return Err(None);
         }
         let last = next == LAST_SHARE;
@@ -322,33 +325,33 @@
         };
         // On trial no suspicion is outwaited: it costs calls, not time alone.
         let on_trial = record.exposure.is_some() && share < HELD_SHARE;
-        self.check(&time, sight, level, on_trial)?;
+        self.check(&time, fleet, level, on_trial)?;
         // Guards against growth by chance: beside a version that fails many
         // calls itself, one that fails a few more looks sound for as long as
         // it takes to pass its bound.
-        if on_trial && self.trouble.part(now) >= TROUBLED_PART {
+        if on_trial && self.old_failure_rate.rate(now) >= OLD_FAILURE_RATE_MAX {
             return Err(Some(StepWait::TroubledFleet));
         }
-        if last && time.held < time.whole.mul_f64(HOLD_PART) {
+        if last && time.since_step < time.total.mul_f64(HOLD_FRACTION) {
             return Err(Some(StepWait::LastSteps));
         }
         let seen = self
             .step
-            .map_or(0, |step| telling.saturating_sub(step.telling));
+            .map_or(0, |step| informative.saturating_sub(step.informative));
         // Once the plan holds load, no step may wait: it would wait for ever.
-        let behind = next.saturating_mul(QUIET_LAG);
+        let behind = next.saturating_mul(QUIET_LAG_FACTOR);
         let lagging = target >= behind.min(HELD_SHARE);
         let forced = record.if_quiet == QuietChoice::Finish && lagging;
         if seen < record.step_calls && !forced {
             return Err(Some(StepWait::QuietTraffic));
         }
-        let carried = self.carried(sight);
-        if carried <= share {
+        let max_share_by_slots = self.max_share_by_slots(fleet);
+        if max_share_by_slots <= share {
             return Err(Some(StepWait::FewSlots));
         }
         Ok(MoveChange::Step {
             rollout: record.rollout,
-            share_per_mille: next.min(carried),
+            share_per_mille: next.min(max_share_by_slots),
         })
     }
 
@@ -356,17 +359,17 @@
         &self,
         time: &MoveTime,
         record: &RolloutRecord,
-        sight: &FleetSnapshot,
+        fleet: &FleetSnapshot,
         counts: MoveCounts,
     ) -> Result<MoveChange, Option<StepWait>> {
-        if !self.plan.is_over(time.elapsed, time.whole) {
+        if !self.plan.is_over(time.elapsed, time.total) {
             return Err(None);
         }
-        self.check(time, sight, LAST_SUSPICION_LEVEL, false)?;
-        if time.held < time.whole.mul_f64(LAST_CHECK_PART) {
+        self.check(time, fleet, LAST_SUSPICION_LEVEL, false)?;
+        if time.since_step < time.total.mul_f64(LAST_CHECK_FRACTION) {
             return Err(Some(StepWait::LastSteps));
         }
-        if sight.nodes_behind > 0 {
+        if fleet.nodes_behind > 0 {
             return Err(Some(StepWait::NodesBehind));
         }
         let longest = self.waited.iter().max_by_key(|(_, time)| **time);
@@ -382,7 +385,7 @@
     fn check(
         &self,
         time: &MoveTime,
-        sight: &FleetSnapshot,
+        fleet: &FleetSnapshot,
         level: f64,
         on_trial: bool,
     ) -> Result<(), Option<StepWait>> {
@@ -391,16 +394,16 @@
         // One node is always allowed to be silent: while a small fleet is
         // restarted node by node, one always is, and a good version would
         // never be done.
-        let silent = sight.nodes_silent.saturating_sub(1);
-        if sight.nodes == 0 || silent * SILENT_ONE_IN > sight.nodes {
+        let silent = fleet.nodes_silent.saturating_sub(1);
+        if fleet.nodes == 0 || silent * SILENT_ONE_IN > fleet.nodes {
             return Err(Some(StepWait::LostReporters));
         }
         let waited = self.waited.get(&StepWait::Suspicion);
         let waited = waited.copied().unwrap_or_default();
-        let bounded = waited < time.whole.mul_f64(SUSPICION_PART);
+        let bounded = waited < time.total.mul_f64(SUSPICION_FRACTION);
         let grown_at = self.suspicion.grown_at;
         let fresh = time.now.saturating_sub(grown_at);
-        let fresh = fresh < time.whole.mul_f64(SUSPICION_FRESH_PART);
+        let fresh = fresh < time.total.mul_f64(SUSPICION_FRESH_FRACTION);
         if self.suspicion.level >= level && (on_trial || fresh && bounded) {
             return Err(Some(StepWait::Suspicion));
         }
@@ -408,15 +411,15 @@
     }
 
     /// Greatest share that the new version's slots carry.
-    fn carried(&self, sight: &FleetSnapshot) -> u16 {
-        if sight.new_slots == 0 {
+    fn max_share_by_slots(&self, fleet: &FleetSnapshot) -> u16 {
+        if fleet.new_slots == 0 {
             return 0;
         }
-        let filled = SLOTS_FILLED * f64::from(sight.new_slots);
-        if sight.new_slots >= sight.old_slots || filled >= self.demand.slots {
-            return WHOLE;
+        let filled = SLOT_FILL_MAX * f64::from(fleet.new_slots);
+        if fleet.new_slots >= fleet.old_slots || filled >= self.demand.slots {
+            return FULL_SHARE;
         }
-        (filled / self.demand.slots * f64::from(WHOLE)) as u16
+        (filled / self.demand.slots * f64::from(FULL_SHARE)) as u16
     }
 }
 
@@ -424,14 +427,14 @@
 /// by the set time any more.
 ///
 /// Guards against a move that waits on for a verdict past its time: few calls
-/// go to a version whose growth waits, so that they decide nothing for long,
+/// go to a version whose growth waits, so that they decide empty for long,
 /// and its operators read neither done nor taken back.
-fn out_of_time(
+fn too_late_to_finish(
     now: Duration,
     record: &RolloutRecord,
-    view: &JudgeView,
+    view: &JudgeResult,
 ) -> Option<BadnessCause> {
-    let late = MoveTime::of(now, record).part() >= LAST_DECISION_PART;
+    let late = MoveTime::of(now, record).fraction() >= LAST_DECISION_FRACTION;
     let on_trial = record.exposure.is_some() && record.share() < HELD_SHARE;
     if late && on_trial && view.suspicion >= SUSPICION_LEVEL {
         return view.strongest.clone();
@@ -454,10 +457,10 @@
     Some(target.min(most.max(1)).min(HELD_SHARE))
 }
 
-fn counts_of(tally: &RolloutTally) -> MoveCounts {
+fn move_counts(tally: &RolloutTally) -> MoveCounts {
     MoveCounts {
         calls: tally.calls(),
         new_calls: tally.new_calls(),
-        new_failures: tally.whole.new.failures,
+        new_failures: tally.total.new.failures,
     }
 }
--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -16,15 +16,15 @@
 use crate::rollout::evidence::RolloutTally;
 use crate::rollout::evidence::RouteTally;
 use crate::rollout::evidence::VersionTally;
-use crate::rollout::sequential_test::ChangeTest;
+use crate::rollout::sequential_test::ChangePointTest;
 use crate::rollout::sequential_test::EventCounts;
-use crate::rollout::sequential_test::TestLook;
-use crate::rollout::sequential_test::VerdictTest;
-use crate::rollout::sequential_test::BAD_FAILURES;
-use crate::rollout::sequential_test::BAD_SLOWNESS;
+use crate::rollout::sequential_test::SequentialTest;
+use crate::rollout::sequential_test::TestSample;
+use crate::rollout::sequential_test::FAILURE_ODDS_RATIOS;
+use crate::rollout::sequential_test::SLOWNESS_ODDS_RATIOS;
 
 /// Chance that the leader ever takes back a version that is no worse than
-/// the old one, over a whole move.
+/// the old one, over a all_routes move.
 pub const FALSE_ALARM_FLEET: f64 = 1e-3;
 
 /// The same for one node, so that 5,200 nodes together stay within the
@@ -69,7 +69,7 @@
     }
 }
 
-/// Why a version was found bad, with the figures since the move's start.
+/// Why a version was strongest bad, with the figures since the move's start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BadnessCause {
     /// Route on which it showed.
@@ -99,7 +99,7 @@
 
 /// What a look came to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct JudgeView {
+pub struct JudgeResult {
     /// Set where the version is bad.
     pub cause: Option<BadnessCause>,
     /// Strongest evidence against it, from 0 for none to 1 for bad.
@@ -109,63 +109,65 @@
 }
 
 /// Makes the tests of a judge.
-pub type TestMaker = fn(BadSignal) -> Box<dyn VerdictTest>;
+pub type TestFactory = fn(BadSignal) -> Box<dyn SequentialTest>;
 
 /// The test in use.
-pub fn change_test(signal: BadSignal) -> Box<dyn VerdictTest> {
+pub fn change_point_test(signal: BadSignal) -> Box<dyn SequentialTest> {
     let ratios = match signal {
-        BadSignal::Failures => BAD_FAILURES,
-        BadSignal::Slowness => BAD_SLOWNESS,
+        BadSignal::Failures => FAILURE_ODDS_RATIOS,
+        BadSignal::Slowness => SLOWNESS_ODDS_RATIOS,
     };
-    Box::new(ChangeTest::new(ratios))
+    Box::new(ChangePointTest::new(ratios))
 }
 
 /// Judges the routes of one move.
 #[derive(Debug)]
 pub struct RolloutJudge {
     false_alarm: f64,
-    make_test: TestMaker,
-    whole: RouteJudge,
+    make_test: TestFactory,
+    all_routes: RouteJudge,
     routes: BTreeMap<Arc<str>, RouteJudge>,
 }
 
 impl RolloutJudge {
-    /// A judge whose chance of a false alarm over the whole move is at most
+    /// A judge whose chance of a false alarm over the all_routes move is at most
     /// `false_alarm`.
     pub fn new(false_alarm: f64) -> Self {
-        Self::with_test(false_alarm, change_test)
+        Self::with_test(false_alarm, change_point_test)
     }
 
     /// A judge with another test, for comparing tests.
-    pub fn with_test(false_alarm: f64, make_test: TestMaker) -> Self {
+    pub fn with_test(false_alarm: f64, make_test: TestFactory) -> Self {
         Self {
             false_alarm,
             make_test,
-            whole: RouteJudge::new(make_test),
+            all_routes: RouteJudge::new(make_test),
             routes: BTreeMap::new(),
         }
     }
 
-    /// Looks at the counts of the whole move as they stand now.
-    pub fn look(&mut self, tally: &RolloutTally) -> JudgeView {
+    /// Looks at the counts of the all_routes move as they stand now.
+    pub fn evaluate(&mut self, tally: &RolloutTally) -> JudgeResult {
         let tests = TESTS_PER_ROUTE * (tally.routes.len() + 1) as f64;
         let limit = (tests / self.false_alarm).ln();
-        let all = &tally.whole;
-        let mut view = JudgeView::default();
-        let whole = self.whole.look(all);
-        view.weigh(limit, whole, || self.whole.cause(ALL_ROUTES, whole.0, all));
+        let all = &tally.total;
+        let mut view = JudgeResult::default();
+        let all_routes = self.all_routes.evaluate(all);
+        view.consider(limit, all_routes, || {
+            self.all_routes.cause(ALL_ROUTES, all_routes.0, all)
+        });
         for (route, counts) in &tally.routes {
             let judge = self.routes.entry(Arc::clone(route));
             let judge = judge.or_insert_with(|| RouteJudge::new(self.make_test));
-            let found = judge.look(counts);
-            view.weigh(limit, found, || judge.cause(route, found.0, counts));
+            let strongest = judge.evaluate(counts);
+            view.consider(limit, strongest, || judge.cause(route, strongest.0, counts));
         }
         view
     }
 }
 
-impl JudgeView {
-    fn weigh(
+impl JudgeResult {
+    fn consider(
         &mut self,
         limit: f64,
         (_, evidence): (BadSignal, f64),
@@ -196,8 +198,8 @@
         self.old.calls + self.new.calls
     }
 
-    fn grown_to(&self, now: &Self) -> TestLook {
-        TestLook {
+    fn increase_to(&self, now: &Self) -> TestSample {
+        TestSample {
             old: grown(self.old, now.old),
             new: grown(self.new, now.new),
         }
@@ -206,17 +208,17 @@
 
 #[derive(Debug)]
 struct RouteJudge {
-    failures: Box<dyn VerdictTest>,
-    slowness: Box<dyn VerdictTest>,
+    failures: Box<dyn SequentialTest>,
+    slowness: Box<dyn SequentialTest>,
     failed: PairCounts,
     slow: PairCounts,
     bound_us: u64,
     bound_calls: u64,
-    found: (BadSignal, f64),
+    strongest: (BadSignal, f64),
 }
 
 impl RouteJudge {
-    fn new(make_test: TestMaker) -> Self {
+    fn new(make_test: TestFactory) -> Self {
         Self {
             failures: make_test(BadSignal::Failures),
             slowness: make_test(BadSignal::Slowness),
@@ -224,36 +226,36 @@
             slow: PairCounts::default(),
             bound_us: u64::MAX,
             bound_calls: 0,
-            found: (BadSignal::Failures, f64::NEG_INFINITY),
+            strongest: (BadSignal::Failures, f64::NEG_INFINITY),
         }
     }
 
-    fn look(&mut self, counts: &RouteTally) -> (BadSignal, f64) {
+    fn evaluate(&mut self, counts: &RouteTally) -> (BadSignal, f64) {
         let failed = failures(counts);
         if failed.calls() == self.failed.calls() {
-            return self.found;
+            return self.strongest;
         }
-        let failing = self.failures.look(&self.failed.grown_to(&failed));
+        let failure_evidence = self.failures.update(&self.failed.increase_to(&failed));
         self.failed = failed;
-        let mut slowing = f64::NEG_INFINITY;
+        let mut slowness_evidence = f64::NEG_INFINITY;
         if self.bound_calls >= SLOW_CALLS_MIN {
             let slow = slowness(counts, self.bound_us);
-            slowing = self.slowness.look(&self.slow.grown_to(&slow));
+            slowness_evidence = self.slowness.update(&self.slow.increase_to(&slow));
             self.slow = slow;
         }
-        self.renew_bound(counts);
-        self.found = if slowing > failing {
-            (BadSignal::Slowness, slowing)
+        self.update_slow_bound(counts);
+        self.strongest = if slowness_evidence > failure_evidence {
+            (BadSignal::Slowness, slowness_evidence)
         } else {
-            (BadSignal::Failures, failing)
+            (BadSignal::Failures, failure_evidence)
         };
-        self.found
+        self.strongest
     }
 
     /// Sets the latency above which a call is slow, for the looks to come:
     /// no look's own calls can move it. It is set anew each time the old
     /// version's calls have grown by a tenth.
-    fn renew_bound(&mut self, counts: &RouteTally) {
+    fn update_slow_bound(&mut self, counts: &RouteTally) {
         let calls = counts.old.latency.count();
         if calls <= self.bound_calls + self.bound_calls / 10 {
             return;
--- a/crates/core/src/rollout/rollout_record.rs
+++ b/crates/core/src/rollout/rollout_record.rs
@@ -9,7 +9,7 @@
 use crate::rollout::rollout_change::StepWait;
 use crate::rollout::rollout_change::TakeBackCause;
 use crate::rollout::share_plan::QuietChoice;
-use crate::rollout::share_plan::WHOLE;
+use crate::rollout::share_plan::FULL_SHARE;
 use crate::version::ConfigVersion;
 
 /// One step of a move's share.
@@ -23,7 +23,7 @@
     pub share_per_mille: u16,
 }
 
-/// What a bad version may get in all: a part of the service's calls over the
+/// What a bad version may get in all: a elapsed_fraction of the service's calls over the
 /// whole time of the move, and some more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExposureBound {
@@ -34,12 +34,17 @@
 }
 
 impl ExposureBound {
-    /// Part of what is allowed that `got` calls are, where the service has
-    /// had `calls` in `part` of the move's time.
-    pub fn spent(&self, got: u64, calls: u64, part: f64) -> f64 {
-        let whole = calls as f64 / part.max(f64::MIN_POSITIVE);
+    /// Part of what is allowed that `new_calls` calls are, where the service has
+    /// had `calls` in `elapsed_fraction` of the move's time.
+    pub fn used_fraction(
+        &self,
+        new_calls: u64,
+        calls: u64,
+        elapsed_fraction: f64,
+    ) -> f64 {
+        let whole = calls as f64 / elapsed_fraction.max(f64::MIN_POSITIVE);
         let allowed = whole * self.percent as f64 / 100.0 + self.calls as f64;
-        got as f64 / allowed.max(1.0)
+        new_calls as f64 / allowed.max(1.0)
     }
 }
 
@@ -97,7 +102,7 @@
     pub fn share(&self) -> u16 {
         match self.end {
             None => self.steps.last().map_or(0, |step| step.share_per_mille),
-            Some(RolloutEnd::Finished { .. }) => WHOLE,
+            Some(RolloutEnd::Finished { .. }) => FULL_SHARE,
             Some(RolloutEnd::TakenBack { .. }) => 0,
         }
     }
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -22,8 +22,8 @@
 use crate::rollout::rollout_record::RolloutEnd;
 use crate::rollout::rollout_record::RolloutRecord;
 use crate::rollout::rollout_record::ShareStep;
+use crate::rollout::share_plan::FULL_SHARE;
 use crate::rollout::share_plan::LAST_SHARE;
-use crate::rollout::share_plan::WHOLE;
 use crate::tuning::TuningKey;
 use crate::version::ConfigVersion;
 
@@ -42,7 +42,7 @@
     over: VecDeque<RolloutRecord>,
 }
 
-type Edited = Result<FleetDocument, Vec<DocumentFault>>;
+type EditResult = Result<FleetDocument, Vec<DocumentFault>>;
 
 fn refuse<T>(problem: String) -> Result<T, Vec<DocumentFault>> {
     let path = "move".to_owned();
@@ -68,7 +68,7 @@
         at_ms: u64,
         document: &FleetDocument,
         change: &MoveChange,
-    ) -> Edited {
+    ) -> EditResult {
         match change {
             MoveChange::Start { .. } => self.start(version, at_ms, document, change),
             MoveChange::Step {
@@ -109,7 +109,7 @@
         at_ms: u64,
         document: &FleetDocument,
         change: &MoveChange,
-    ) -> Edited {
+    ) -> EditResult {
         let MoveChange::Start {
             service,
             to,
@@ -120,7 +120,7 @@
         else {
             return Ok(document.clone());
         };
-        let spec = self.startable(service, to, document)?;
+        let spec = self.check_startable(service, to, document)?;
         let place = CallPlace {
             service,
             route: "",
@@ -168,7 +168,7 @@
         Ok(edited)
     }
 
-    fn startable<'a>(
+    fn check_startable<'a>(
         &self,
         service: &str,
         to: &str,
@@ -195,7 +195,7 @@
         Ok(spec)
     }
 
-    fn running_at(
+    fn find_running(
         &mut self,
         rollout: ConfigVersion,
     ) -> Result<&mut RolloutRecord, Vec<DocumentFault>> {
@@ -214,14 +214,14 @@
         rollout: ConfigVersion,
         step: ShareStep,
         document: &FleetDocument,
-    ) -> Edited {
-        let held = self.running_at(rollout)?;
+    ) -> EditResult {
+        let held = self.find_running(rollout)?;
         let share = step.share_per_mille;
         // Guards against a late step of a leader that has been replaced,
         // which would take the share down again.
-        if share <= held.share() || share > WHOLE {
+        if share <= held.share() || share > FULL_SHARE {
             return refuse(format!(
-                "move {rollout} is at share {} of {WHOLE}; a step goes above it",
+                "move {rollout} is at share {} of {FULL_SHARE}; a step goes above it",
                 held.share()
             ));
         }
@@ -236,12 +236,12 @@
         end: RolloutEnd,
         counts: MoveCounts,
         document: &FleetDocument,
-    ) -> Edited {
-        let held = self.running_at(rollout)?;
+    ) -> EditResult {
+        let held = self.find_running(rollout)?;
         let finished = matches!(end, RolloutEnd::Finished { .. });
         if finished && held.share() < LAST_SHARE {
             return refuse(format!(
-                "move {rollout} is at share {} of {WHOLE}; it finishes at {LAST_SHARE}",
+                "move {rollout} is at share {} of {FULL_SHARE}; it finishes at {LAST_SHARE}",
                 held.share()
             ));
         }
@@ -262,7 +262,7 @@
     /// Settles an operator's direct edit with the moves that run: a service
     /// under a move keeps its candidate, and an edit that would change it
     /// otherwise is refused.
-    pub fn reconcile_edit(&self, mut edited: FleetDocument) -> Edited {
+    pub fn reconcile_edit(&self, mut edited: FleetDocument) -> EditResult {
         let mut faults = self.stale_candidates(&edited);
         for held in self.running.values() {
             let path = format!("services.{}", held.service);
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -1,6 +1,6 @@
 //! Sequential tests that tell a bad version from chance.
 //!
-//! Load pattern: counts come in small looks for as long as the move lasts,
+//! Load pattern: counts come in small samples for as long as the move lasts,
 //! failures are rare, and the version may turn bad at any moment. A test
 //! with a fixed sample, looked at again and again, raises false alarms; one
 //! that sums since the start has gathered so much credit that it answers
@@ -15,18 +15,18 @@
 /// have if it is bad. Three is the least that counts as bad: below a ratio
 /// of about 1.8, which is `2 / ln 3`, evidence for it shrinks. Sixteen finds
 /// gross failure soonest.
-pub const BAD_FAILURES: [f64; 3] = [3.0, 6.0, 16.0];
+pub const FAILURE_ODDS_RATIOS: [f64; 3] = [3.0, 6.0, 16.0];
 
 /// The same for slow calls. Six, because a version a tenth slower has up
 /// to 1.6 times as many calls beyond a high quantile and is not bad; the
 /// bound is then 2.8, and half as slow again shows as four times as many.
-pub const BAD_SLOWNESS: [f64; 3] = [6.0, 10.0, 16.0];
+pub const SLOWNESS_ODDS_RATIOS: [f64; 3] = [6.0, 10.0, 16.0];
 
 /// Most evidence that one look gives, as a natural logarithm. Guards
 /// against bursts, such as a crash of one server that breaks ten calls at
 /// once: they show as one look and are no ten independent failures. Three
-/// looks at least are needed for the usual limits.
-const LOOK_GAIN_MAX: f64 = 3.0;
+/// samples at least are needed for the usual limits.
+const SAMPLE_EVIDENCE_MAX: f64 = 3.0;
 
 /// Sums are scaled down from here on, far below the greatest float.
 const SCALE_AT: f64 = 1e100;
@@ -49,18 +49,18 @@
 
 /// What one look offers to a test: both versions over the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TestLook {
+pub struct TestSample {
     /// The version in service.
     pub old: EventCounts,
     /// The version that is taking over.
     pub new: EventCounts,
 }
 
-/// A test that is fed looks and tells how strong the evidence is.
-pub trait VerdictTest: fmt::Debug {
+/// A test that is fed samples and tells how strong the evidence is.
+pub trait SequentialTest: fmt::Debug {
     /// Takes one look; the natural logarithm of the evidence that the new
     /// version is bad. A limit of `ln(1/a)` holds false alarms to `a`.
-    fn look(&mut self, look: &TestLook) -> f64;
+    fn update(&mut self, sample: &TestSample) -> f64;
 }
 
 /// Logarithm of the likelihood ratio of one look, for a version whose odds of
@@ -72,20 +72,20 @@
 /// 45 of 100 calls while the old one fails 15 is hardly told from it, since
 /// nearly all events stay with the many calls of the old one. Whatever the
 /// common rate, its mean under "no worse" is one.
-pub fn look_gain(look: &TestLook, ratio: f64) -> f64 {
-    let TestLook { old, new } = look;
+pub fn log_likelihood_ratio(sample: &TestSample, ratio: f64) -> f64 {
+    let TestSample { old, new } = sample;
     let events = old.events + new.events;
     if old.calls == 0 || new.calls == 0 || events == 0 {
         return 0.0;
     }
-    new.events as f64 * ratio.ln() - ln_mean_ratio(look, events, ratio)
+    new.events as f64 * ratio.ln() - ln_mean_ratio(sample, events, ratio)
 }
 
 /// Logarithm of the mean of `ratio` to the power of the events that fall on
 /// the new version where `events` fall on all calls alike.
-fn ln_mean_ratio(look: &TestLook, events: u64, ratio: f64) -> f64 {
-    let (old, new) = (look.old.calls as f64, look.new.calls as f64);
-    let events = events.min(look.old.calls + look.new.calls) as f64;
+fn ln_mean_ratio(sample: &TestSample, events: u64, ratio: f64) -> f64 {
+    let (old, new) = (sample.old.calls as f64, sample.new.calls as f64);
+    let events = events.min(sample.old.calls + sample.new.calls) as f64;
     let least = (events - old).max(0.0);
     let most = events.min(new);
     // Weights of the hypergeometric distribution beside the least count's,
@@ -147,30 +147,30 @@
 /// however long and often it is looked at. A version that turns bad at the
 /// n-th look costs `ln(n(n+1))` more evidence than one bad from the start.
 #[derive(Clone, Debug)]
-pub struct ChangeTest {
+pub struct ChangePointTest {
     ratios: [f64; 3],
     sums: [f64; 3],
-    looks: f64,
+    samples: f64,
 }
 
-impl ChangeTest {
+impl ChangePointTest {
     /// A test against versions with these ratios.
     pub fn new(ratios: [f64; 3]) -> Self {
         Self {
             ratios,
             sums: [0.0; 3],
-            looks: 0.0,
+            samples: 0.0,
         }
     }
 }
 
-impl VerdictTest for ChangeTest {
-    fn look(&mut self, look: &TestLook) -> f64 {
-        if look.old.events + look.new.events > 0 {
-            self.looks += 1.0;
-            let weight = 1.0 / (self.looks * (self.looks + 1.0));
+impl SequentialTest for ChangePointTest {
+    fn update(&mut self, sample: &TestSample) -> f64 {
+        if sample.old.events + sample.new.events > 0 {
+            self.samples += 1.0;
+            let weight = 1.0 / (self.samples * (self.samples + 1.0));
             for (sum, ratio) in self.sums.iter_mut().zip(self.ratios) {
-                let gain = look_gain(look, ratio).min(LOOK_GAIN_MAX);
+                let gain = log_likelihood_ratio(sample, ratio).min(SAMPLE_EVIDENCE_MAX);
                 *sum = (*sum + weight) * gain.exp();
             }
         }
--- a/crates/core/src/rollout/share_plan.rs
+++ b/crates/core/src/rollout/share_plan.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 /// Whole traffic, in thousandths.
-pub const WHOLE: u16 = 1_000;
+pub const FULL_SHARE: u16 = 1_000;
 
 /// Share held under real load for a quarter of the time. The rest stays with
 /// the old version, so that both are seen over the same time: with a fifth
@@ -28,20 +28,20 @@
 
 /// Part of the time for which [`HELD_SHARE`] is held at least, also by a move
 /// that is late: badness that shows only under load needs load to show.
-pub const HOLD_PART: f64 = 0.10;
+pub const HOLD_FRACTION: f64 = 0.10;
 
 /// Part of the time for which [`LAST_SHARE`] is held at least.
-pub const LAST_CHECK_PART: f64 = 0.03;
+pub const LAST_CHECK_FRACTION: f64 = 0.03;
 
 /// Part of the time in which the share grows.
-const GROWTH_PART: f64 = 0.60;
+const GROWTH_FRACTION: f64 = 0.60;
 
 /// Part of the time at which the last check begins.
-const LAST_PART: f64 = 0.85;
+const LAST_FRACTION: f64 = 0.85;
 
 /// Part of the time at which the move is finished. The rest is for the last
 /// change to reach every node: ten seconds of a move of 150 s.
-const FINISH_PART: f64 = 0.93;
+const FINISH_FRACTION: f64 = 0.93;
 
 /// Time kept for the last change at least.
 const FINISH_SLACK: Duration = Duration::from_secs(2);
@@ -60,34 +60,34 @@
 /// Which share belongs to which time.
 pub trait SharePlan: fmt::Debug {
     /// Share in thousandths at `part` of the move's time, from 0 to 1.
-    fn share_at(&self, part: f64) -> u16;
+    fn share_at(&self, fraction: f64) -> u16;
 
     /// True once the move should be finished.
     fn is_over(&self, elapsed: Duration, whole: Duration) -> bool {
-        let by_part = whole.mul_f64(FINISH_PART);
+        let by_part = whole.mul_f64(FINISH_FRACTION);
         elapsed >= by_part.min(whole.saturating_sub(FINISH_SLACK))
     }
 }
 
-/// Part of the time at which the growth beyond [`PROVING_SHARE`] begins where
+/// Part of the time at which the growth beyond [`CANARY_SHARE`] begins where
 /// what a bad version may get is bounded.
-const PROVED_PART: f64 = 0.36;
+const CANARY_FRACTION: f64 = 0.36;
 
 /// Share until then, in thousandths: enough for a verdict on what shows at
 /// once or soon, and a tenth of what is allowed in all.
-const PROVING_SHARE: f64 = 32.0;
+const CANARY_SHARE: f64 = 32.0;
 
 /// Length of each doubling after it, as a part of the time, also of a move
 /// that is late: a second of a move of 14 s, in which a verdict comes.
-pub const PROVED_STEP: f64 = 0.065;
+pub const BOUNDED_STEP_FRACTION: f64 = 0.065;
 
 /// Share until the last check of such a move. Of all shares a half tells most
 /// of a version for each call that it gets: above it few calls are left to
 /// compare it with.
-const PROVED_SHARE: u16 = 512;
+const BOUNDED_SHARE: u16 = 512;
 
 /// Part of the time at which the last check of such a move begins.
-const PROVED_LAST_PART: f64 = 0.74;
+const BOUNDED_LAST_FRACTION: f64 = 0.74;
 
 /// Small until much of the time is over, then doubles.
 ///
@@ -97,26 +97,26 @@
 /// when it was withdrawn; what it gets in each later step here is what a
 /// verdict takes, and all of them together stay below a tenth.
 #[derive(Clone, Copy, Debug)]
-pub struct ProvingPlan {
+pub struct BoundedPlan {
     /// Share of the first step, in thousandths.
     pub first: u16,
 }
 
-impl SharePlan for ProvingPlan {
-    fn share_at(&self, part: f64) -> u16 {
-        if part >= PROVED_LAST_PART {
+impl SharePlan for BoundedPlan {
+    fn share_at(&self, fraction: f64) -> u16 {
+        if fraction >= BOUNDED_LAST_FRACTION {
             return LAST_SHARE;
         }
-        if part < PROVED_PART {
+        if fraction < CANARY_FRACTION {
             let first = f64::from(self.first.max(1));
-            let doublings = (PROVING_SHARE / first).log2().ceil().max(0.0);
+            let doublings = (CANARY_SHARE / first).log2().ceil().max(0.0);
             // All of them within the first half of the proving time.
-            let step = (part / PROVED_PART * 2.0 * (doublings + 1.0)).floor();
-            return (first * step.exp2()).min(PROVING_SHARE) as u16;
+            let step = (fraction / CANARY_FRACTION * 2.0 * (doublings + 1.0)).floor();
+            return (first * step.exp2()).min(CANARY_SHARE) as u16;
         }
-        let step = ((part - PROVED_PART) / PROVED_STEP).floor() + 1.0;
-        let share = PROVING_SHARE * step.exp2();
-        share.min(f64::from(PROVED_SHARE)) as u16
+        let step = ((fraction - CANARY_FRACTION) / BOUNDED_STEP_FRACTION).floor() + 1.0;
+        let share = CANARY_SHARE * step.exp2();
+        share.min(f64::from(BOUNDED_SHARE)) as u16
     }
 }
 
@@ -128,16 +128,16 @@
 }
 
 impl SharePlan for DoublingPlan {
-    fn share_at(&self, part: f64) -> u16 {
-        if part >= LAST_PART {
+    fn share_at(&self, fraction: f64) -> u16 {
+        if fraction >= LAST_FRACTION {
             return LAST_SHARE;
         }
-        if part >= GROWTH_PART {
+        if fraction >= GROWTH_FRACTION {
             return HELD_SHARE;
         }
         let first = f64::from(self.first.clamp(1, HELD_SHARE));
         let doublings = (f64::from(HELD_SHARE) / first).log2().ceil();
-        let step = (part / GROWTH_PART * (doublings + 1.0)).floor();
+        let step = (fraction / GROWTH_FRACTION * (doublings + 1.0)).floor();
         let share = first * step.exp2();
         share.min(f64::from(HELD_SHARE)) as u16
     }
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -122,14 +122,14 @@
         }
         let total = ledger.total(MOVE).expect("reports arrived");
         for (got, wanted) in [
-            (&total.whole.old, &naive.whole.old),
-            (&total.whole.new, &naive.whole.new),
+            (&total.total.old, &naive.total.old),
+            (&total.total.new, &naive.total.new),
         ] {
             prop_assert_eq!(got.calls, wanted.calls);
             prop_assert_eq!(got.failures, wanted.failures);
-            prop_assert_eq!(got.left, wanted.left);
+            prop_assert_eq!(got.abandoned, wanted.abandoned);
             prop_assert_eq!(got.busy_us, wanted.busy_us);
-            prop_assert_eq!(got.latency.bands(), wanted.latency.bands());
+            prop_assert_eq!(got.latency.buckets(), wanted.latency.buckets());
         }
     }
 
@@ -150,7 +150,7 @@
             };
             tally.record(&route, true, &measured);
         }
-        let above = tally.whole.new.latency.count_above(bound);
+        let above = tally.total.new.latency.count_above(bound);
         let least = micros.iter().filter(|took| **took > bound + bound / 8 + 64).count();
         let most = micros.iter().filter(|took| **took > bound).count();
         prop_assert!((least as u64..=most as u64).contains(&above));
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -8,7 +8,7 @@
 use cowslip_core::rollout::evidence::TallyReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
-use cowslip_core::rollout::latency_sketch::SketchBands;
+use cowslip_core::rollout::latency_sketch::SketchBuckets;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_change::StepWait;
@@ -17,7 +17,7 @@
 use cowslip_core::rollout::rollout_record::ExposureBound;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
 use cowslip_core::rollout::rollout_record::ShareStep;
-use cowslip_core::rollout::share_plan::ProvingPlan;
+use cowslip_core::rollout::share_plan::BoundedPlan;
 use cowslip_core::rollout::share_plan::QuietChoice;
 use cowslip_core::rollout::share_plan::SharePlan;
 use cowslip_core::version::ConfigVersion;
@@ -64,9 +64,9 @@
     let tally = |calls: u64| TallyReport {
         calls,
         failures: 0,
-        left: 0,
+        abandoned: 0,
         busy_us: calls * 10_000,
-        latency: SketchBands(vec![(10_000, calls as u32)]),
+        latency: SketchBuckets(vec![(10_000, calls as u32)]),
     };
     EvidenceReport {
         node: "node-1".into(),
@@ -225,7 +225,7 @@
 // check: more would tell less of it for each call.
 #[test]
 fn a_version_on_trial_gets_little_before_each_doubling() {
-    let plan = ProvingPlan { first: 5 };
+    let plan = BoundedPlan { first: 5 };
     let (whole, verdict) = (14_000_u64, 1_000_u64);
     let mut got = 0.0;
     let mut before = 0;
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -18,7 +18,7 @@
 use cowslip_core::rollout::evidence::TallyReport;
 use cowslip_core::rollout::evidence_totals::EvidenceTotals;
 use cowslip_core::rollout::fleet_snapshot::FleetSnapshot;
-use cowslip_core::rollout::latency_sketch::SketchBands;
+use cowslip_core::rollout::latency_sketch::SketchBuckets;
 use cowslip_core::rollout::rollout_change::MoveChange;
 use cowslip_core::rollout::rollout_change::MoveCounts;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
@@ -115,9 +115,9 @@
     let tally = |calls: f64, failures: f64, left: f64| TallyReport {
         calls: calls as u64,
         failures: failures as u64,
-        left: left as u64,
+        abandoned: left as u64,
         busy_us: calls as u64 * 250_000,
-        latency: SketchBands(vec![(250_000, (calls - failures) as u32)]),
+        latency: SketchBuckets(vec![(250_000, (calls - failures) as u32)]),
     };
     EvidenceReport {
         node: "node-1".into(),
--- a/crates/core/tests/rollout_study.rs
+++ b/crates/core/tests/rollout_study.rs
@@ -90,7 +90,7 @@
     let outcomes = outcomes(&bad, 7);
     assert_share(&outcomes, |_, outcome| outcome.taken_back_after.is_some());
     for (case, outcome) in &outcomes {
-        assert!(outcome.late_calls <= STOP_BOUND, "{case:?}: {outcome:?}");
+        assert!(outcome.stop_lag <= STOP_BOUND, "{case:?}: {outcome:?}");
     }
 }
 
@@ -190,7 +190,7 @@
     };
     let outcome = run(busy(Behaviour::FailsLate), parts);
     assert_eq!(outcome.nodes_stopped, course::NODES, "{outcome:?}");
-    assert!(outcome.late_calls <= STOP_BOUND, "{outcome:?}");
+    assert!(outcome.stop_lag <= STOP_BOUND, "{outcome:?}");
     let began = outcome.first_harm.expect("it turned bad");
     let withdrawal = outcome.last_new_call - began;
     assert!(withdrawal <= Duration::from_secs(10), "{withdrawal:?}");
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -29,7 +29,7 @@
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
 use cowslip_core::rollout::rollout_judge::RolloutJudge;
-use cowslip_core::rollout::rollout_judge::TestMaker;
+use cowslip_core::rollout::rollout_judge::TestFactory;
 use cowslip_core::rollout::rollout_judge::FALSE_ALARM_FLEET;
 use cowslip_core::rollout::rollout_record::RolloutEnd;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
@@ -79,7 +79,7 @@
     /// Plan, made from the first share; the driver's own otherwise.
     pub plan: Option<fn(u16) -> Box<dyn SharePlan>>,
     /// Test of the leader; then the nodes do not judge for themselves.
-    pub test: Option<TestMaker>,
+    pub test: Option<TestFactory>,
     /// Time at which the leader is lost and another begins.
     pub leader_lost_s: Option<u64>,
     /// Time from which on no control instance is reachable.
@@ -101,7 +101,7 @@
     pub last_new_call: Duration,
     /// Greatest time between a node's own stop and its last call of the
     /// new version.
-    pub late_calls: Duration,
+    pub stop_lag: Duration,
     /// Nodes that stopped the version by themselves.
     pub nodes_stopped: usize,
     /// Calls of the service, all and harmed.
@@ -123,7 +123,7 @@
     guard: NodeGuard,
     document: Arc<FleetDocument>,
     version: ConfigVersion,
-    coming: VecDeque<(Duration, ConfigVersion, Arc<FleetDocument>)>,
+    pending_documents: VecDeque<(Duration, ConfigVersion, Arc<FleetDocument>)>,
     due_calls: f64,
     stopped_at: Option<Duration>,
 }
@@ -224,7 +224,7 @@
                 guard: NodeGuard::default(),
                 document: Arc::default(),
                 version: ConfigVersion::ZERO,
-                coming: VecDeque::new(),
+                pending_documents: VecDeque::new(),
                 due_calls: 0.0,
                 stopped_at: None,
             });
@@ -267,13 +267,16 @@
         for node in &mut self.nodes {
             let jitter = SPREAD_TIME.mul_f64(self.rng.random::<f64>());
             let news = (now + jitter, snapshot.version, snapshot.document.clone());
-            node.coming.push_back(news);
+            node.pending_documents.push_back(news);
         }
     }
 
     fn is_over(&mut self) -> bool {
         if self.outcome.taken_back_after.is_some() {
-            return self.nodes.iter().all(|node| node.coming.is_empty());
+            return self
+                .nodes
+                .iter()
+                .all(|node| node.pending_documents.is_empty());
         }
         self.outcome.done_after.is_some()
     }
@@ -291,14 +294,18 @@
             }
         }
         if !away {
-            self.lead(now);
+            self.run_leader(now);
         }
     }
 
     fn install(&mut self, now: Duration, at: usize) {
         let node = &mut self.nodes[at];
-        while node.coming.front().is_some_and(|(due, _, _)| *due <= now) {
-            let Some((_, version, document)) = node.coming.pop_front() else {
+        while node
+            .pending_documents
+            .front()
+            .is_some_and(|(due, _, _)| *due <= now)
+        {
+            let Some((_, version, document)) = node.pending_documents.pop_front() else {
                 continue;
             };
             if version > node.version {
@@ -318,8 +325,9 @@
         let share = candidate.map_or(0, |candidate| candidate.share_per_mille);
         let share = f64::from(share) / 1_000.0;
         let spread = 0.5 + self.rng.random::<f64>();
-        let a_look = self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
-        node.due_calls += a_look * spread;
+        let calls_per_tick =
+            self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
+        node.due_calls += calls_per_tick * spread;
         while node.due_calls >= 1.0 {
             node.due_calls -= 1.0;
             let drawn = self.rng.random::<f64>() < share;
@@ -356,7 +364,7 @@
             self.outcome.last_new_call = now;
             if let Some(stopped_at) = node.stopped_at {
                 let late = now - stopped_at;
-                self.outcome.late_calls = self.outcome.late_calls.max(late);
+                self.outcome.stop_lag = self.outcome.stop_lag.max(late);
             }
             if call.harmed {
                 self.outcome.harmed += 1;
@@ -394,7 +402,7 @@
         }
     }
 
-    fn lead(&mut self, now: Duration) {
+    fn run_leader(&mut self, now: Duration) {
         if self.parts.leader_lost_s.map(Duration::from_secs) == Some(now) {
             self.change_leader();
         }
@@ -407,7 +415,7 @@
         }
         self.accept(now);
         if now.subsec_millis().is_multiple_of(500) {
-            self.look(now);
+            self.evaluate_move(now);
         }
     }
 
@@ -441,7 +449,7 @@
         }
     }
 
-    fn look(&mut self, now: Duration) {
+    fn evaluate_move(&mut self, now: Duration) {
         let wall = EPOCH + now;
         self.watch.record_servers(wall, self.servers.iter());
         let mut nodes = Vec::new();
@@ -455,10 +463,10 @@
         }
         if let Some(record) = self.state.rollouts().running().next() {
             let servers = self.servers.iter();
-            let sight = self
-                .watch
-                .snapshot(wall, record, servers, &nodes, &self.ledger);
-            let change = self.driver.evaluate(wall, record, &sight, &self.ledger);
+            let snapshot =
+                self.watch
+                    .snapshot(wall, record, servers, &nodes, &self.ledger);
+            let change = self.driver.evaluate(wall, record, &snapshot, &self.ledger);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
             }
