--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -1,4 +1,5 @@
-//! Which nodes have applied which version, and so whether a move is done.
+//! Tracks which configuration version each node has applied, and so whether a
+//! change has reached all live nodes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,39 +12,41 @@
 use crate::node_presence::NodePresence;
 use crate::version::ConfigVersion;
 
-/// Names held at once: three times the fleet of 5,200, so that a faulty
-/// sender of ever new names cannot take the memory; about 4 MB.
+/// Maximum number of node names held: three times the fleet of 5,200 nodes,
+/// about 4 MB. The bound protects the memory from a faulty sender that keeps
+/// inventing names.
 const NODES_MAX: usize = 16_384;
 
-/// Moves kept, waiting and done each: as many as the history keeps.
+/// Maximum number of pending and of done versions kept: the length of the
+/// change history.
 const MOVES_KEPT: usize = 1_000;
 
-/// What a node says of itself whenever it asks for news.
+/// Status that a node sends with every request for updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
     /// Name of the node's instance.
     pub node: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub failure_domain: Arc<str>,
-    /// Version it routes by.
+    /// Configuration version that the node routes by.
     pub applied: ConfigVersion,
-    /// Version it refused as invalid, if it did.
+    /// Configuration version that the node refused as invalid, if any.
     pub refused: Option<ConfigVersion>,
 }
 
-/// What a move reads back as.
+/// State of a change as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MoveState {
     /// Some live node has not applied it yet.
     InProgress,
     /// Every live node has applied it, or a later version.
     Done,
-    /// Withdrawn; a later version undoes it.
+    /// Withdrawn; a later version reverts it.
     TakenBack,
 }
 
 impl MoveState {
-    /// The words operators read.
+    /// Text shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InProgress => "in progress",
@@ -53,26 +56,26 @@
     }
 }
 
-/// How far a version has come among the live nodes.
+/// How many live nodes have applied a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveProgress {
-    /// State now.
+    /// Current state of the change.
     pub state: MoveState,
     /// Live nodes that have applied it or a later version.
     pub nodes_applied: u32,
-    /// Live nodes in all.
+    /// Number of live nodes.
     pub nodes_live: u32,
     /// Live nodes that refused it.
     pub nodes_refused: u32,
 }
 
-/// Last report of each node, and the moves that wait for them.
+/// Last report of each node, and the versions not yet applied everywhere.
 ///
-/// Load pattern: at 5,200 nodes the leader hears some thousand reports a
-/// second while a version spreads. Walking every node for every move in
-/// progress at each of them would take the leader's whole processor, so the
-/// board counts nodes by version as reports arrive and looks only at those
-/// counts: a report costs a few tree steps, whatever waits.
+/// With 5,200 nodes the leader receives some thousand reports per second while
+/// a version spreads. Iterating over all nodes for each pending version on
+/// every report would use up the leader's processor. The tracker therefore
+/// maintains the number of nodes per version and reads only those counts: a
+/// report costs a few tree operations, however many versions are pending.
 #[derive(Clone, Debug, Default)]
 pub struct MoveTracker {
     nodes: BTreeMap<Arc<str>, ReceivedReport>,
@@ -85,7 +88,7 @@
     presence: NodePresence,
 }
 
-/// How a finished move stood when it was done.
+/// Progress of a version at the time it was done.
 #[derive(Clone, Copy, Debug)]
 struct DoneMove {
     after: Duration,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Nodes at `version` exactly.
+    /// Nodes at exactly `version`.
     fn at(&self, version: ConfigVersion) -> u32 {
         self.0.get(&version).copied().unwrap_or(0)
     }
@@ -133,8 +136,8 @@
 }
 
 impl MoveTracker {
-    /// Takes a node's report, received at `received_at`. A late one does not lower
-    /// what the node is known to have applied.
+    /// Records a node's report, received at `received_at`. A late report does
+    /// not lower the version that the node is known to have applied.
     pub fn record_report(&mut self, received_at: Duration, mut report: NodeReport) {
         if let Some(held) = self.remove_node(&report.node) {
             report.applied = report.applied.max(held.report.applied);
@@ -157,12 +160,12 @@
         );
     }
 
-    /// Sets how long nodes count as live.
+    /// Sets how long a node counts as live after its last report.
     pub fn set_presence(&mut self, presence: NodePresence) {
         self.presence = presence;
     }
 
-    /// Drops the nodes that were last received too long before `now`.
+    /// Removes the nodes whose last report has expired at `now`.
     pub fn expire(&mut self, now: Duration) {
         while let Some((received_at, node)) = self.by_age.first() {
             if now.saturating_sub(*received_at) <= self.presence.live_for {
@@ -183,19 +186,20 @@
         Some(held)
     }
 
-    /// Live nodes' reports, with their age at `now`.
+    /// Reports of the live nodes, with their age at `now`.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = (Duration, &NodeReport)> {
         self.nodes.values().map(move |received| {
             (now.saturating_sub(received.received_at), &received.report)
         })
     }
 
-    /// Reports dropped because more nodes were named than the bound.
+    /// Number of reports dropped because the limit of node names was reached.
     pub fn overflow(&self) -> u64 {
         self.overflow
     }
 
-    /// Waits for `version`, accepted at `now`, to be applied everywhere.
+    /// Starts tracking `version`, accepted at `now`, until all live nodes have
+    /// applied it.
     pub fn await_version(&mut self, now: Duration, version: ConfigVersion) {
         self.pending.insert(version, now);
         if self.pending.len() > MOVES_KEPT {
@@ -203,8 +207,8 @@
         }
     }
 
-    /// Drops dead nodes and marks as done every awaited version that all
-    /// live nodes have applied.
+    /// Removes expired nodes and marks every pending version that all live
+    /// nodes have applied as done.
     pub fn mark_done(&mut self, now: Duration) {
         self.expire(now);
         let Some(lowest) = self.applied.lowest() else {
@@ -225,13 +229,13 @@
         }
     }
 
-    /// Time from acceptance until done; `None` while it is not.
+    /// Time from acceptance until done; `None` if the version is not done.
     pub fn done_after(&self, version: ConfigVersion) -> Option<Duration> {
         self.done.get(&version).map(|done| done.after)
     }
 
-    /// How far `version` has come; a finished move reads back as it stood
-    /// when it finished.
+    /// Progress of `version`. A done version keeps the progress it had when it
+    /// was done.
     pub fn progress(&self, version: ConfigVersion) -> MoveProgress {
         if let Some(done) = self.done.get(&version) {
             return done.progress;
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,13 +1,14 @@
-//! Moves of backend server versions: a new version takes over by a set time
-//! or is taken back.
+//! Version moves: a service moves to a new backend server version by a
+//! deadline, or the move is taken back.
 //!
-//! Nodes count what every try of a moving service came to, for the old and
-//! the new version and each route ([`evidence`]). The same comparison runs
-//! at two places: on each node over its own counts ([`node_guard`]), which
-//! stops the new version there at once, and at the leader over the sum of
-//! all nodes ([`rollout_driver`]), which steps the share along a plan
-//! ([`share_plan`]), takes the move back or finishes it. Every such step is
-//! an entry of the agreed log ([`rollout_registry`]).
+//! Each node counts the outcomes of the calls it sends to a moving service,
+//! separately for the old and the new version and for each route
+//! ([`evidence`]). The counts are judged in two places. Each node judges its
+//! own counts and stops the new version locally at once ([`node_guard`]). The
+//! leader judges the sum over all nodes ([`rollout_driver`]); it raises the
+//! traffic share of the new version along a plan ([`share_plan`]), takes the
+//! move back or finishes it. Every such decision is an entry of the replicated
+//! log ([`rollout_registry`]).
 
 pub mod cold_start;
 pub mod driver_state;
--- a/crates/core/src/rollout/driver_state.rs
+++ b/crates/core/src/rollout/driver_state.rs
@@ -1,5 +1,5 @@
-//! What the leader remembers of one move between two looks, and where the
-//! move stands in its time.
+//! State that the leader keeps for one move between two evaluations, and the
+//! position of the move within its time window.
 
 use std::time::Duration;
 
@@ -7,23 +7,24 @@
 use crate::rollout::rollout_record::RolloutRecord;
 use crate::rollout::sequential_test::EventCounts;
 
-/// Least growth of suspicion that counts.
+/// Smallest increase of suspicion that counts as growth.
 const SUSPICION_GROWTH_MIN: f64 = 0.02;
 
-/// Time over which the service's use of slots is averaged.
+/// Averaging time of the service's slot usage.
 const DEMAND_AVERAGING_TIME: Duration = Duration::from_secs(10);
 
-/// Suspicion now, and when it last grew.
+/// Current suspicion, and when it last grew.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspicionTracker {
-    /// Evidence against the version, 1 where it is bad.
+    /// Strength of the evidence against the new version; 1 is enough to take
+    /// the move back.
     pub level: f64,
-    /// When it last grew.
+    /// Time at which the level last grew.
     pub grown_at: Duration,
 }
 
 impl SuspicionTracker {
-    /// Takes the evidence found by a update.
+    /// Records the suspicion found by an evaluation.
     pub fn update(&mut self, now: Duration, level: f64) {
         if level >= self.level + SUSPICION_GROWTH_MIN {
             self.level = level;
@@ -33,14 +34,15 @@
     }
 }
 
-/// Half-life of what is remembered of the version in service: a few steps'
-/// worth of calls, and soon forgotten once the trouble is over.
+/// Half-life of the old version's recent failure rate: long enough for the
+/// calls of a few steps, short enough to recover soon after a fleet-wide
+/// problem ends.
 const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Calls of the version in service within it that tell anything.
+/// Minimum number of recent calls of the old version for a meaningful rate.
 const FAILURE_RATE_CALLS_MIN: f64 = 10.0;
 
-/// Which fraction of its calls the version in service fails lately.
+/// Recent failure rate of the old version, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OldFailureRate {
     seen: EventCounts,
@@ -49,7 +51,7 @@
 }
 
 impl OldFailureRate {
-    /// Takes what the version in service has had so far.
+    /// Records the old version's cumulative counts.
     pub fn update(&mut self, now: Duration, old: EventCounts) {
         let calls = old.calls.saturating_sub(self.seen.calls);
         let failures = old.events.saturating_sub(self.seen.events);
@@ -59,7 +61,7 @@
             .add(now, FAILURE_RATE_HALF_LIFE, failures as f64);
     }
 
-    /// The fraction that failed; zero where hardly any calls came.
+    /// Recent failure rate, from 0 to 1; 0 if there are too few recent calls.
     pub fn rate(&self, now: Duration) -> f64 {
         let calls = self.calls.get(now, FAILURE_RATE_HALF_LIFE);
         if calls < FAILURE_RATE_CALLS_MIN {
@@ -69,16 +71,17 @@
     }
 }
 
-/// Slots in use by the total service, averaged.
+/// Slots in use by the service, averaged over both versions' calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlotDemand {
     busy_us: u64,
-    /// Slots in use, averaged.
+    /// Average number of slots in use.
     pub slots: f64,
 }
 
 impl SlotDemand {
-    /// Takes the time that all calls have taken so far.
+    /// Records the cumulative duration of all calls, `elapsed` after the
+    /// previous update.
     pub fn update(&mut self, elapsed: Duration, busy_us: u64) {
         let grown = busy_us.saturating_sub(self.busy_us) as f64;
         self.busy_us = busy_us;
@@ -92,21 +95,21 @@
     }
 }
 
-/// Where a move stands in its time.
+/// Position of a move within its time window.
 #[derive(Clone, Copy, Debug)]
 pub struct MoveTime {
-    /// Wall clock.
+    /// Wall clock, as time since the Unix epoch.
     pub now: Duration,
-    /// Time since the start.
+    /// Time since the start of the move.
     pub elapsed: Duration,
-    /// Time given.
+    /// Time from the start to the deadline of the move.
     pub total: Duration,
     /// Time since the last step.
     pub since_step: Duration,
 }
 
 impl MoveTime {
-    /// Where the move of `record` stands at wall clock `now`.
+    /// Position of the move of `record` at wall clock `now`.
     pub fn of(now: Duration, record: &RolloutRecord) -> Self {
         let started = Duration::from_millis(record.started_ms);
         let due = Duration::from_millis(record.due_ms);
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Part of the time given that has passed.
+    /// Elapsed fraction of the time window; 1 is the deadline.
     pub fn fraction(&self) -> f64 {
         self.elapsed.as_secs_f64() / self.total.as_secs_f64().max(f64::MIN_POSITIVE)
     }
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -1,7 +1,8 @@
-//! What nodes count of a service under a move, and how they report it.
+//! Counts that nodes collect for a service under a move, and the reports that
+//! carry them to the leader.
 //!
-//! Counts are cumulative since the node's start, so a report that is lost
-//! is made good by the next, and one that comes twice adds nothing.
+//! Counts are cumulative since the node started, so a later report makes up for
+//! a lost one and a duplicate adds nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,31 +18,34 @@
 use crate::verdict::CallVerdict;
 use crate::version::ConfigVersion;
 
-/// Routes counted apart for one service on one node. A service has about
-/// ten; calls on further routes are counted under the last.
+/// Maximum number of routes counted separately per service and node. A service
+/// has about ten routes; calls on routes beyond the limit are added to the last
+/// one.
 const ROUTES_MAX: usize = 32;
 
-/// First status that is held against a backend server.
+/// Lowest HTTP status that counts as a failure of the backend server.
 const SERVER_FAULT_STATUS: u16 = 500;
 
-/// How a try ended, as far as the version is concerned.
+/// Outcome of one call attempt, as far as it concerns the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// The backend server answered, be it that the caller was at fault.
+    /// The backend server answered, possibly with an error that is the caller's
+    /// fault.
     Answered,
-    /// The backend server failed the call: it answered with a fault of its
-    /// own, broke the connection or gave no answer in time.
+    /// The backend server failed the call: it answered with a server error,
+    /// broke the connection or did not answer in time.
     Failed,
-    /// Nothing ran, so nothing is known of the version: our own limits, a
-    /// drain, a quarantined request, an instance that cannot be reached.
+    /// The call did not run, so the attempt says nothing about the version: a
+    /// limit of the platform, a drain, a quarantined request or an unreachable
+    /// instance.
     NotRun,
-    /// Its caller abandoned before any answer. It may have run, and tells nothing
-    /// of the version.
+    /// The caller disconnected before any answer. The call may have run, but
+    /// the attempt says nothing about the version.
     Abandoned,
 }
 
 impl TryOutcome {
-    /// The end of a try that a backend server answered with `status`.
+    /// Outcome of an attempt that the backend server answered with `status`.
     pub fn from_status(status: u16) -> Self {
         if status >= SERVER_FAULT_STATUS {
             return Self::Failed;
@@ -49,7 +53,7 @@
         Self::Answered
     }
 
-    /// The end of a try that got no total answer.
+    /// Outcome of an attempt without a complete answer.
     pub fn from_failure(failure: &TryFailure) -> Self {
         match failure.verdict {
             CallVerdict::NotRun => Self::NotRun,
@@ -58,56 +62,58 @@
     }
 }
 
-/// What one try came to.
+/// Outcome and duration of one call attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeasuredTry {
-    /// Time from sending the request until the answer, or the failure.
+    /// Time from sending the request until the answer or the failure.
     pub took: Duration,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub end: TryOutcome,
-    /// True where its node says that the server is past its cold start.
-    /// Latencies of cold servers do not count: by them every new version
-    /// would be a slow one.
+    /// Whether the server's node reports the server as past its cold start.
+    /// Latencies of cold servers are ignored, because every new version starts
+    /// cold and would look slow.
     pub warm: bool,
 }
 
 /// Counts of one version on one route.
 #[derive(Clone, Debug, Default)]
 pub struct VersionTally {
-    /// Tries that ran.
+    /// Attempts that ran, without the abandoned ones.
     pub calls: u64,
-    /// Those that failed by the backend server's fault.
+    /// Attempts that failed through the backend server's fault.
     pub failures: u64,
-    /// Tries, besides, whose callers abandoned before any answer.
+    /// Attempts whose callers disconnected before any answer; not part of
+    /// `calls`.
     pub abandoned: u64,
-    /// Time that all of them took together, in microseconds.
+    /// Total duration of all `calls`, in microseconds.
     pub busy_us: u64,
-    /// Latencies of answered tries at servers past their cold start.
+    /// Latencies of answered attempts at warm servers.
     pub latency: LatencySketch,
 }
 
-/// A tally as it travels.
+/// Encoded form of a [`VersionTally`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TallyReport {
-    /// Tries that ran.
+    /// Attempts that ran, without the abandoned ones.
     #[serde(rename = "c")]
     pub calls: u64,
-    /// Those that failed.
+    /// Attempts that failed.
     #[serde(rename = "f")]
     pub failures: u64,
-    /// Those whose callers abandoned, besides.
+    /// Attempts whose callers disconnected before any answer; not part of
+    /// `calls`.
     #[serde(rename = "g", default)]
     pub abandoned: u64,
-    /// Time they took together, in microseconds.
+    /// Total duration of all `calls`, in microseconds.
     #[serde(rename = "b")]
     pub busy_us: u64,
-    /// Bands of the latency sketch.
+    /// Occupied buckets of the latency sketch.
     #[serde(rename = "l")]
     pub latency: SketchBuckets,
 }
 
 impl VersionTally {
-    /// Counts one try.
+    /// Counts one attempt.
     pub fn record(&mut self, ended: &MeasuredTry) {
         match ended.end {
             TryOutcome::NotRun => return,
@@ -126,7 +132,7 @@
         }
     }
 
-    /// The tally as it travels.
+    /// Returns the encoded form of the tally.
     pub fn report(&self) -> TallyReport {
         TallyReport {
             calls: self.calls,
@@ -137,7 +143,8 @@
         }
     }
 
-    /// Adds what `now` holds beyond `before`, two readings of one reporter.
+    /// Adds the difference between two cumulative readings of the same
+    /// reporter, `before` and `now`.
     pub fn add_increase(&mut self, before: &TallyReport, now: &TallyReport) {
         self.calls += now.calls.saturating_sub(before.calls);
         self.failures += now.failures.saturating_sub(before.failures);
@@ -147,26 +154,27 @@
     }
 }
 
-/// Counts of the old and the new version on one route, over the same time.
+/// Counts of the old and the new version on one route, over the same period.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTally {
     /// The version in service.
     pub old: VersionTally,
-    /// The version that is taking over.
+    /// The version that the service moves to.
     pub new: VersionTally,
 }
 
-/// Counts of one move, by route and over all routes.
+/// Counts of one move, per route and in total.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutTally {
-    /// Counts by the route's path.
+    /// Counts by route path.
     pub routes: BTreeMap<Arc<str>, RouteTally>,
     /// Counts of all routes together.
     pub total: RouteTally,
 }
 
 impl RolloutTally {
-    /// Counts one try of the new version, or of the old one.
+    /// Counts one attempt of the new version if `new` is true, else of the old
+    /// version.
     pub fn record(&mut self, route: &Arc<str>, new: bool, ended: &MeasuredTry) {
         for tally in [route_tally(&mut self.routes, route), &mut self.total] {
             let version = if new { &mut tally.new } else { &mut tally.old };
@@ -174,7 +182,8 @@
         }
     }
 
-    /// Adds what `now` holds beyond `before`, two readings of one reporter.
+    /// Adds the difference between two cumulative readings of the same
+    /// reporter, `before` and `now`.
     pub fn add_increase(&mut self, before: Option<&RouteEvidence>, now: &RouteEvidence) {
         let nothing = TallyReport::default();
         let old = before.map_or(&nothing, |before| &before.old);
@@ -185,29 +194,30 @@
         }
     }
 
-    /// Tries of the new version that tell something of it: failed ones, and
-    /// answered ones at servers past their cold start.
+    /// Attempts of the new version that are evidence for or against it: failed
+    /// ones, and answered ones at warm servers.
     pub fn informative_calls(&self) -> u64 {
         self.total.new.failures + self.total.new.latency.count()
     }
 
-    /// Tries that the new version got, those included whose callers abandoned.
+    /// Attempts sent to the new version, including abandoned ones.
     pub fn new_calls(&self) -> u64 {
         self.total.new.calls + self.total.new.abandoned
     }
 
-    /// Tries that both versions got, those included whose callers abandoned.
+    /// Attempts sent to both versions, including abandoned ones.
     pub fn calls(&self) -> u64 {
         self.total.old.calls + self.total.old.abandoned + self.new_calls()
     }
 
-    /// Time that tries of both versions took together, in microseconds.
+    /// Total duration of the attempts of both versions, in microseconds.
     pub fn busy_us(&self) -> u64 {
         self.total.old.busy_us + self.total.new.busy_us
     }
 }
 
-/// The counts of `route`, or of the last one where there are too many.
+/// Returns the counts of `route`, or of the last known route if the limit is
+/// reached.
 fn route_tally<'a>(
     routes: &'a mut BTreeMap<Arc<str>, RouteTally>,
     route: &Arc<str>,
@@ -218,7 +228,7 @@
     routes.entry(key).or_default()
 }
 
-/// One route's counts as they travel.
+/// Encoded counts of one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// The route's path.
@@ -227,7 +237,7 @@
     /// The version in service.
     #[serde(rename = "o")]
     pub old: TallyReport,
-    /// The version that is taking over.
+    /// The version that the service moves to.
     #[serde(rename = "n")]
     pub new: TallyReport,
 }
@@ -235,23 +245,24 @@
 /// One node's counts of one move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutEvidence {
-    /// Version that started the move; names it.
+    /// Configuration version that started the move; identifies it.
     pub rollout: ConfigVersion,
     /// Counts by route.
     pub routes: Vec<RouteEvidence>,
-    /// Why this node stopped the new version by itself, if it did.
+    /// Why this node stopped the new version on its own evidence; `None` if it
+    /// did not.
     pub stop: Option<BadnessCause>,
 }
 
-/// All that one node has counted since its start.
+/// All counts of one node since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceReport {
     /// Name of the node's instance.
     pub node: Arc<str>,
-    /// Grows with every start of the node process.
+    /// Increases with every start of the node process.
     pub incarnation: u64,
-    /// Grows with every report of an incarnation.
+    /// Increases with every report of an incarnation.
     pub sequence: u64,
-    /// Moves that the node knows of.
+    /// Moves known to the node.
     pub rollouts: Vec<RolloutEvidence>,
 }
--- a/crates/core/src/rollout/evidence_totals.rs
+++ b/crates/core/src/rollout/evidence_totals.rs
@@ -1,4 +1,4 @@
-//! The leader's sum of what nodes report, each count once.
+//! The leader's totals over the reports of all nodes. Each attempt counts once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::rollout::rollout_judge::BadnessCause;
 use crate::version::ConfigVersion;
 
-/// A node that stopped the new version by itself.
+/// A node that stopped the new version on its own evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeStop {
-    /// The node.
+    /// Name of the node's instance.
     pub node: Arc<str>,
-    /// What it saw.
+    /// Evidence on which it stopped the version.
     pub cause: BadnessCause,
 }
 
-/// Sums of all nodes' counts, by move.
+/// Counts of all nodes, summed by move.
 #[derive(Debug, Default)]
 pub struct EvidenceTotals {
     nodes: BTreeMap<Arc<str>, ReportingNode>,
@@ -34,25 +34,28 @@
 }
 
 impl EvidenceTotals {
-    /// Takes a report, entry at `now`. True where it was news.
+    /// Adds a report received at `now`. Returns false for a stale or duplicate
+    /// report, which is ignored.
     pub fn record_report(&mut self, now: Duration, report: EvidenceReport) -> bool {
         let order = (report.incarnation, report.sequence);
         let mut before = None;
-        if let Some(held) = self.nodes.get(&report.node) {
-            // Guards against late, repeated and crossed reports, which would
-            // count calls twice or take counts back: a node's own numbers
-            // order its reports, and the newest holds all that was before.
-            if (held.report.incarnation, held.report.sequence) >= order {
+        if let Some(previous) = self.nodes.get(&report.node) {
+            // Late, duplicate and reordered reports would count calls twice or
+            // lower the counts. The node's own incarnation and sequence numbers
+            // order its reports, and the newest report contains all earlier
+            // counts.
+            if (previous.report.incarnation, previous.report.sequence) >= order {
                 return false;
             }
-            if held.report.incarnation == report.incarnation {
-                before = Some(&held.report);
+            if previous.report.incarnation == report.incarnation {
+                before = Some(&previous.report);
             }
         }
         for evidence in &report.rollouts {
-            let held = before.and_then(|report| find_rollout(report, evidence.rollout));
+            let previous =
+                before.and_then(|report| find_rollout(report, evidence.rollout));
             let total = self.totals.entry(evidence.rollout).or_default();
-            add_increase(total, held, evidence);
+            add_increase(total, previous, evidence);
             if let Some(cause) = &evidence.stop {
                 let stop = NodeStop {
                     node: Arc::clone(&report.node),
@@ -73,22 +76,25 @@
         true
     }
 
-    /// The sum for a move; `None` before the first report of it.
+    /// Total counts of a move; `None` before the first report about it.
     pub fn total(&self, rollout: ConfigVersion) -> Option<&RolloutTally> {
         self.totals.get(&rollout)
     }
 
-    /// The first node entry of that stopped this move's version by itself.
+    /// The first node reported to have stopped this move's new version on its
+    /// own evidence.
     pub fn stop(&self, rollout: ConfigVersion) -> Option<&NodeStop> {
         self.stops.get(&rollout)
     }
 
-    /// When `node` was last entry of, if ever.
+    /// Time at which the last report of `node` was received; `None` if there is
+    /// none.
     pub fn last_report_at(&self, node: &str) -> Option<Duration> {
         self.nodes.get(node).map(|entry| entry.received_at)
     }
 
-    /// Forgets moves that are over and nodes not entry of since `before`.
+    /// Removes moves that are no longer `running`, and nodes without a report
+    /// since `before` that report no running move.
     pub fn retain(&mut self, before: Duration, running: impl Fn(ConfigVersion) -> bool) {
         self.totals.retain(|rollout, _| running(*rollout));
         self.stops.retain(|rollout, _| running(*rollout));
@@ -104,8 +110,8 @@
     report: &EvidenceReport,
     rollout: ConfigVersion,
 ) -> Option<&RolloutEvidence> {
-    let mut held = report.rollouts.iter();
-    held.find(|evidence| evidence.rollout == rollout)
+    let mut previous = report.rollouts.iter();
+    previous.find(|evidence| evidence.rollout == rollout)
 }
 
 fn add_increase(
@@ -114,7 +120,10 @@
     now: &RolloutEvidence,
 ) {
     for route in &now.routes {
-        let mut held = before.into_iter().flat_map(|evidence| &evidence.routes);
-        total.add_increase(held.find(|held| held.route == route.route), route);
+        let mut previous = before.into_iter().flat_map(|evidence| &evidence.routes);
+        total.add_increase(
+            previous.find(|previous| previous.route == route.route),
+            route,
+        );
     }
 }
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -1,5 +1,5 @@
-//! What the leader knows of the fleet besides the counts: servers of the
-//! two versions and nodes that do not report.
+//! Fleet state that the leader considers besides the counts: servers of both
+//! versions, and nodes that do not report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,37 +11,38 @@
 use crate::rollout::evidence_totals::EvidenceTotals;
 use crate::rollout::rollout_record::RolloutRecord;
 
-/// A server counts half its slots for this long after it was first seen:
-/// while it is cold its calls take longer and hold their slots longer.
+/// A server counts with half its slots for this long after it was first seen:
+/// while it is cold, its calls take longer and occupy their slots longer.
 const COLD_TIME: Duration = Duration::from_secs(10);
 
-/// A live node whose counts are older than this is a lost reporter. Nodes
-/// report every second, so four reports in a row are missing.
+/// A live node whose last report is older than this counts as silent. Nodes
+/// report every second, so four consecutive reports are missing.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(4);
 
-/// What one look of the leader sees of one move's fleet.
+/// State of the fleet during one evaluation of a move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSnapshot {
     /// Slots of the old version's serving servers.
     pub old_slots: u32,
-    /// Slots of the new version's, cold ones by half.
+    /// Slots of the new version's serving servers; cold servers count half.
     pub new_slots: u32,
     /// Live nodes.
     pub nodes: u32,
-    /// Live nodes whose counts do not arrive.
+    /// Live nodes whose reports are missing.
     pub nodes_silent: u32,
     /// Live nodes that have not applied the move's last step.
     pub nodes_behind: u32,
 }
 
-/// When each server was first seen, by its node's incarnation.
+/// Remembers when each server, identified by instance and incarnation, was
+/// first seen.
 #[derive(Debug, Default)]
 pub struct FleetMonitor {
     first_seen: BTreeMap<Arc<str>, (u64, Duration)>,
 }
 
 impl FleetMonitor {
-    /// Takes note of the servers known at `now`.
+    /// Records the servers known at `now`.
     pub fn record_servers<'a>(
         &mut self,
         now: Duration,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// The fleet of one move, from what is known at `now`.
+    /// Returns the state of the fleet for one move at `now`.
     pub fn snapshot<'a>(
         &self,
         now: Duration,
         rollout: &RolloutRecord,
         records: impl Iterator<Item = &'a EndpointRecord>,
         nodes: &[NodeReport],
-        ledger: &EvidenceTotals,
+        totals: &EvidenceTotals,
     ) -> FleetSnapshot {
         let mut snapshot = FleetSnapshot::default();
         for record in records {
@@ -84,7 +85,7 @@
             if node.applied < last {
                 snapshot.nodes_behind += 1;
             }
-            let received_at = ledger.last_report_at(&node.node);
+            let received_at = totals.last_report_at(&node.node);
             let age = received_at.map(|received_at| now.saturating_sub(received_at));
             if age.is_none_or(|age| age > REPORT_AGE_MAX) {
                 snapshot.nodes_silent += 1;
--- a/crates/core/src/rollout/last_server.rs
+++ b/crates/core/src/rollout/last_server.rs
@@ -1,15 +1,15 @@
-//! Keeps the old version's servers until a move is done.
+//! Protects the last server of the old version while a move is in progress.
 
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointStanding;
 use crate::document::FleetDocument;
 
-/// True where `instance` is the last serving backend server of a version in
-/// service from which a move is on its way.
+/// Returns whether `instance` is the last serving backend server of the old
+/// version of a service under a move.
 ///
-/// Guards against operators who drain the old servers when most traffic has
-/// moved: a new version found bad then would leave callers without any
-/// server, because there is nothing to take the move back to.
+/// Operators may drain the old servers once most traffic has moved. If the new
+/// version is then found bad, the move cannot be taken back and callers are
+/// left without any server.
 pub fn is_last_old_server(
     document: &FleetDocument,
     directory: &EndpointDirectory,
--- a/crates/core/src/rollout/latency_sketch.rs
+++ b/crates/core/src/rollout/latency_sketch.rs
@@ -1,4 +1,4 @@
-//! A mergeable sketch of latencies, bounded in memory and on the wire.
+//! A mergeable latency histogram of bounded size, in memory and encoded.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Least latency told apart, in microseconds: a tenth of the 0.78 ms that
-/// a call may gain by the mesh.
+/// Lowest distinguishable latency, in microseconds: about a tenth of the 0.78
+/// ms that the platform may add to a call.
 const MIN_US: u64 = 64;
 
-/// Greatest latency told apart, in microseconds: the longest deadline.
+/// Highest distinguishable latency, in microseconds: the longest deadline.
 const MAX_US: u64 = 600_000_000;
 
-/// Significant digits. One keeps values within 6 %, far finer than the
-/// slow-downs judged, and about 350 counters a sketch.
+/// Significant decimal digits. One digit keeps values within 6 %, far finer
+/// than the slow-downs to detect, at about 350 counters per sketch.
 const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// Counts per latency bucket.
+/// Histogram of latencies.
 #[derive(Clone)]
 pub struct LatencySketch {
     buckets: Histogram<u64>,
 }
 
-/// The occupied buckets of a sketch, as they travel and as they are stored
-/// for each reporter: (latency in microseconds, count), ascending.
+/// Occupied buckets of a sketch, as encoded in reports and stored per reporter:
+/// (latency in microseconds, count), ascending.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SketchBuckets(pub Vec<(u32, u32)>);
@@ -52,17 +52,17 @@
         self.buckets.saturating_record(micros);
     }
 
-    /// Latencies counted.
+    /// Number of latencies counted.
     pub fn count(&self) -> u64 {
         self.buckets.len()
     }
 
-    /// Upper end, in microseconds, of the bucket that holds the quantile.
+    /// Upper end of the bucket that contains the quantile, in microseconds.
     pub fn quantile_us(&self, quantile: f64) -> u64 {
         self.buckets.value_at_quantile(quantile)
     }
 
-    /// Latencies in buckets above the one that holds `bound_us`.
+    /// Number of latencies in buckets above the one that contains `bound_us`.
     pub fn count_above(&self, bound_us: u64) -> u64 {
         let above = self.buckets.next_non_equivalent(bound_us);
         if above > MAX_US {
@@ -71,7 +71,7 @@
         self.buckets.count_between(above, MAX_US)
     }
 
-    /// The occupied buckets.
+    /// Returns the occupied buckets.
     pub fn buckets(&self) -> SketchBuckets {
         let mut buckets = Vec::new();
         for bucket in self.buckets.iter_recorded() {
@@ -82,13 +82,14 @@
         SketchBuckets(buckets)
     }
 
-    /// Adds what `now` holds beyond `before`, two readings of one reporter.
+    /// Adds the difference between two cumulative readings of the same
+    /// reporter, `before` and `now`.
     pub fn add_increase(&mut self, before: &SketchBuckets, now: &SketchBuckets) {
-        let mut held = before.0.iter().peekable();
+        let mut previous = before.0.iter().peekable();
         for (latency, count) in &now.0 {
-            while held.next_if(|(at, _)| at < latency).is_some() {}
-            let held = held.next_if(|(at, _)| at == latency);
-            let grown = count.saturating_sub(held.map_or(0, |(_, count)| *count));
+            while previous.next_if(|(at, _)| at < latency).is_some() {}
+            let previous = previous.next_if(|(at, _)| at == latency);
+            let grown = count.saturating_sub(previous.map_or(0, |(_, count)| *count));
             if grown > 0 {
                 let latency = u64::from(*latency);
                 self.buckets.saturating_record_n(latency, u64::from(grown));
--- a/crates/core/src/rollout/node_guard.rs
+++ b/crates/core/src/rollout/node_guard.rs
@@ -1,7 +1,7 @@
-//! One node's counts of the services under a move, and its own verdict.
+//! Counts and local verdicts of one node for services under a move.
 //!
-//! A node does not wait for the leader: what its own calls show stops the
-//! new version here, also with every control instance away.
+//! A node does not wait for the leader: evidence from its own calls stops the
+//! new version locally, even while no control instance is reachable.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,35 +19,35 @@
 use crate::rollout::rollout_judge::FALSE_ALARM_NODE;
 use crate::version::ConfigVersion;
 
-/// Pause between two looks at the counts. Seven looks decide against gross
-/// badness, so a node stops within two seconds of seeing it.
+/// Interval between two evaluations of the counts. A grossly bad version is
+/// detected after seven evaluations, so a node stops it within two seconds.
 pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One try that ended.
+/// A finished call attempt.
 #[derive(Clone, Debug)]
 pub struct EndedTry {
     /// Service called.
     pub service: Arc<str>,
     /// Path of the route.
     pub route: Arc<str>,
-    /// Version that the backend server runs.
+    /// Version of the backend server that was called.
     pub version: Arc<str>,
-    /// What it came to.
+    /// Outcome and duration of the attempt.
     pub measured: MeasuredTry,
 }
 
-/// A version that this node has just stopped by itself.
+/// A version that this node has just stopped on its own evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoppedVersion {
-    /// Service.
+    /// Service that is under a move.
     pub service: Arc<str>,
     /// The stopped version.
     pub version: Arc<str>,
-    /// What it showed.
+    /// Evidence against the version.
     pub cause: BadnessCause,
 }
 
-/// Counts and verdicts of one node.
+/// Counts and verdicts of one node, by service.
 #[derive(Debug, Default)]
 pub struct NodeGuard {
     rollouts: BTreeMap<Arc<str>, GuardedRollout>,
@@ -96,18 +96,18 @@
 }
 
 impl NodeGuard {
-    /// Takes the document in use after a swap: forgets moves that are over
-    /// and begins to count for new ones.
+    /// Applies a new document: drops moves that are over and starts counting
+    /// for new ones.
     pub fn install(&mut self, document: &FleetDocument) {
-        // Guards against a version that this node stopped coming back with
-        // a late or repeated step of the same move, which shows as a share
-        // above zero. Only the end of the move, or another move that the
-        // operators started since, has another number.
-        self.rollouts.retain(|service, held| {
+        // A late or repeated step of the same move, which shows as a share
+        // above zero, must not readmit a version that this node stopped. Only
+        // the end of the move, or another move started later, has a different
+        // rollout version.
+        self.rollouts.retain(|service, guarded| {
             let spec = document.services.get(service);
             let candidate = spec.and_then(|spec| spec.candidate.as_ref());
             candidate.is_some_and(|candidate| {
-                candidate.rollout == held.rollout && candidate.version == held.new
+                candidate.rollout == guarded.rollout && candidate.version == guarded.new
             })
         });
         for (service, spec) in &document.services {
@@ -118,54 +118,55 @@
         }
     }
 
-    /// Whether tries of `service` are to be recorded.
+    /// Returns whether attempts of `service` must be recorded.
     pub fn measures(&self, service: &str) -> bool {
         self.rollouts.contains_key(service)
     }
 
-    /// Whether calls of `service` may go to `version`: false once this node
-    /// has stopped it.
+    /// Returns whether calls of `service` may be sent to `version`: false once
+    /// this node has stopped it.
     pub fn admits(&self, service: &str, version: &str) -> bool {
-        let held = self.rollouts.get(service);
-        !held.is_some_and(|held| held.stop.is_some() && *held.new == *version)
+        let guarded = self.rollouts.get(service);
+        !guarded.is_some_and(|guarded| guarded.stop.is_some() && *guarded.new == *version)
     }
 
-    /// Counts a try.
+    /// Counts one attempt, if it belongs to a service under a move.
     pub fn record(&mut self, ended: &EndedTry) {
-        let Some(held) = self.rollouts.get_mut(&ended.service) else {
+        let Some(guarded) = self.rollouts.get_mut(&ended.service) else {
             return;
         };
-        let new = ended.version == held.new;
-        if new || ended.version == held.old {
-            held.tally.record(&ended.route, new, &ended.measured);
+        let new = ended.version == guarded.new;
+        if new || ended.version == guarded.old {
+            guarded.tally.record(&ended.route, new, &ended.measured);
         }
     }
 
-    /// Looks at the counts if it is time, and stops versions found bad.
+    /// Evaluates the counts if the interval has passed. Returns the versions
+    /// that are newly stopped.
     pub fn tick(&mut self, now: Duration) -> Vec<StoppedVersion> {
         let mut stopped = Vec::new();
         if now.saturating_sub(self.evaluated_at) < EVALUATION_INTERVAL {
             return stopped;
         }
         self.evaluated_at = now;
-        for (service, held) in &mut self.rollouts {
-            if held.stop.is_some() {
+        for (service, guarded) in &mut self.rollouts {
+            if guarded.stop.is_some() {
                 continue;
             }
-            let Some(cause) = held.judge.evaluate(&held.tally).cause else {
+            let Some(cause) = guarded.judge.evaluate(&guarded.tally).cause else {
                 continue;
             };
-            held.stop = Some(cause.clone());
+            guarded.stop = Some(cause.clone());
             stopped.push(StoppedVersion {
                 service: Arc::clone(service),
-                version: Arc::clone(&held.new),
+                version: Arc::clone(&guarded.new),
                 cause,
             });
         }
         stopped
     }
 
-    /// All counts so far; `None` where no service is under a move.
+    /// Returns all counts so far; `None` if no service is under a move.
     pub fn report(
         &mut self,
         node: &Arc<str>,
@@ -176,8 +177,8 @@
         }
         self.sequence += 1;
         let mut rollouts = Vec::new();
-        for held in self.rollouts.values() {
-            rollouts.push(held.evidence());
+        for guarded in self.rollouts.values() {
+            rollouts.push(guarded.evidence());
         }
         Some(EvidenceReport {
             node: Arc::clone(node),
--- a/crates/core/src/rollout/rollout_change.rs
+++ b/crates/core/src/rollout/rollout_change.rs
@@ -1,4 +1,4 @@
-//! Changes that begin, step and end moves, as they stand in the log.
+//! Log entries that start, step and end moves.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,17 +10,18 @@
 use crate::rollout::share_plan::QuietChoice;
 use crate::version::ConfigVersion;
 
-/// When a new version must have taken over.
+/// Deadline by which the new version must be in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveDue {
-    /// At this wall clock, in milliseconds since 1970.
+    /// Wall clock, in milliseconds since the Unix epoch.
     At(u64),
-    /// So many milliseconds after acceptance.
+    /// Milliseconds after the change is accepted.
     Within(u64),
 }
 
 impl MoveDue {
-    /// The wall clock meant, for a change accepted at `at_ms`.
+    /// Wall clock of the deadline in milliseconds since the Unix epoch, for a
+    /// change accepted at `at_ms`.
     pub fn due_ms(self, at_ms: u64) -> u64 {
         match self {
             Self::At(due_ms) => due_ms,
@@ -32,18 +33,18 @@
 /// Why a move is taken back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TakeBackCause {
-    /// The new version is bad by the evidence of all nodes.
+    /// The new version is bad by the combined counts of all nodes.
     FleetEvidence(BadnessCause),
-    /// A node found it bad by its own evidence.
+    /// A node found the new version bad by its own counts.
     NodeEvidence {
-        /// The node.
+        /// Name of the node's instance.
         node: Arc<str>,
-        /// What it saw.
+        /// Evidence on which the node decided.
         cause: BadnessCause,
     },
-    /// An operator asked for it.
+    /// An operator requested it.
     Operator {
-        /// Why.
+        /// Reason given by the operator.
         reason: String,
     },
 }
@@ -58,30 +59,30 @@
     }
 }
 
-/// What kept a move from its next step.
+/// What delays the next step of a move.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum StepWait {
-    /// Too few calls came for evidence, and the operators chose to hold.
+    /// Too few calls for evidence, and the operators chose to hold.
     QuietTraffic,
-    /// Evidence against the version is gathering.
+    /// Evidence against the new version is accumulating.
     Suspicion,
-    /// The version in service fails so many calls that the other one cannot be
-    /// told from it.
+    /// The old version itself fails so many calls that a bad new version cannot
+    /// be distinguished from it.
     TroubledFleet,
-    /// The new version's servers have too few slots for more.
+    /// The new version's servers have too few slots for a larger share.
     FewSlots,
     /// Live nodes do not report their counts.
     LostReporters,
     /// Live nodes have not applied the last step.
     NodesBehind,
-    /// The move came late to its last steps and held them for their time.
+    /// The move reached its last steps late and kept each for its minimum time.
     LastSteps,
 }
 
 impl StepWait {
-    /// The words that operators read.
+    /// Text shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::QuietTraffic => "too few calls for evidence",
@@ -90,7 +91,9 @@
             Self::FewSlots => "the new version's servers have too few slots",
             Self::LostReporters => "live nodes do not report their counts",
             Self::NodesBehind => "live nodes have not applied the last step",
-            Self::LastSteps => "the last steps were reached late and held their time",
+            Self::LastSteps => {
+                "the last steps were reached late and kept their minimum time"
+            }
         }
     }
 }
@@ -102,58 +105,60 @@
     pub calls: u64,
     /// Calls of the new version.
     pub new_calls: u64,
-    /// Those that failed.
+    /// Failed calls of the new version.
     pub new_failures: u64,
 }
 
-/// One change of a move.
+/// A change that starts, advances or ends a move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveChange {
-    /// Begin to move a service to a new version.
+    /// Starts the move of a service to a new version.
     Start {
-        /// Service.
+        /// Service to move.
         service: Arc<str>,
         /// The new version.
         to: Arc<str>,
-        /// When it must have taken over.
+        /// Deadline of the move.
         due: MoveDue,
-        /// Why it is moved, if said.
+        /// Reason for the move; may be empty.
         reason: String,
-        /// What to do where too few calls come for evidence.
+        /// What to do if there are too few calls for evidence.
         if_quiet: QuietChoice,
     },
-    /// Give the new version a greater share.
+    /// Raises the traffic share of the new version.
     Step {
-        /// Version that started the move.
+        /// Configuration version that started the move.
         rollout: ConfigVersion,
         /// New share, in thousandths.
         share_per_mille: u16,
     },
-    /// Take the new version out of service.
+    /// Takes the new version out of service.
     TakeBack {
-        /// Version that started the move.
+        /// Configuration version that started the move.
         rollout: ConfigVersion,
-        /// Why.
+        /// Why the move is taken back.
         cause: TakeBackCause,
-        /// Calls until then.
+        /// Calls so far.
         counts: MoveCounts,
     },
-    /// The new version alone is in service.
+    /// Puts the new version in service alone.
     Finish {
-        /// Version that started the move.
+        /// Configuration version that started the move.
         rollout: ConfigVersion,
-        /// What held the move back longest, if anything did.
+        /// What delayed the move longest, if anything.
         waited: Option<StepWait>,
-        /// Calls until then.
+        /// Calls so far.
         counts: MoveCounts,
     },
 }
 
 impl MoveChange {
-    /// A short description for the list of changes.
+    /// Short description for the list of changes.
     pub fn summary(&self) -> String {
         match self {
-            Self::Start { service, to, .. } => format!("move of {service} to {to} began"),
+            Self::Start { service, to, .. } => {
+                format!("move of {service} to {to} began")
+            }
             Self::Step {
                 rollout,
                 share_per_mille,
@@ -165,9 +170,12 @@
         }
     }
 
-    /// The request identifier of a step that the leader itself proposes.
-    /// Guards against a change of leader in mid-step, which would take the
-    /// step twice: both leaders name it alike, so the log takes it once.
+    /// Request identifier of a change that the leader itself proposes; `None`
+    /// for a start, which an operator requests.
+    ///
+    /// If the leader changes in the middle of a step, both leaders propose the
+    /// step. The identifier depends only on the change, so the log accepts it
+    /// once.
     pub fn request_id(&self) -> Option<Arc<str>> {
         let id = match self {
             Self::Start { .. } => return None,
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -1,9 +1,10 @@
 //! The leader's decisions on one move: step, wait, take back or finish.
 //!
-//! Load pattern: the set time presses for large early shares, evidence and
-//! capacity press against them. The plan says which share belongs to the
-//! time; here each step also needs evidence, slots and reporters, and the
-//! last steps get their time under load even where the move is late.
+//! A step has to balance three demands: the deadline calls for large shares
+//! early, while evidence and server capacity call for small ones. The plan
+//! gives the share for the elapsed time. On top of that each step requires
+//! evidence, free slots and reporting nodes, and the last steps keep their
+//! minimum time under load even if the move is late.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,90 +40,94 @@
 use crate::rollout::share_plan::LAST_CHECK_FRACTION;
 use crate::rollout::share_plan::LAST_SHARE;
 
-/// Pause between two looks of the leader. Three looks decide against gross
-/// badness, so each counts in what a bad version gets.
+/// Interval between two evaluations by the leader. A grossly bad version is
+/// detected after three evaluations, so each one adds to the calls that the
+/// version gets.
 pub const DRIVER_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Part of the evidence needed for a verdict at which growth waits: about
-/// two failures where the share is small.
+/// Suspicion from which the share stops growing, relative to a verdict: about
+/// two failures while the share is small.
 const SUSPICION_LEVEL: f64 = 0.3;
 
-/// The same for the last check, where waiting costs the set time. A sound
-/// version comes that far in fewer than one of a hundred moves.
+/// The same for the last check, where waiting endangers the deadline. A sound
+/// version reaches this level in fewer than one of a hundred moves.
 const LAST_SUSPICION_LEVEL: f64 = 0.6;
 
-/// How far the plan may be ahead, as a factor of the next share, before a
-/// step no longer waits for evidence where the operators chose to finish.
+/// With [`QuietChoice::Finish`], a step no longer waits for evidence once the
+/// planned share is this many times the next share.
 const QUIET_LAG_FACTOR: u16 = 2;
 
-/// Part of the move's time after which suspicion that has not grown is no
-/// longer waited for: evidence once gathered fades slowly where failures are
-/// rare, while a bad version would have given more.
+/// Fraction of the move's time after which suspicion that has not grown no
+/// longer delays a step. Suspicion decays slowly where failures are rare, while
+/// a bad version would have produced more evidence by then.
 const SUSPICION_FRESH_FRACTION: f64 = 0.05;
 
-/// Part of the move's time that growth waits on suspicion at most. Without
-/// a bound, chance alone could keep a good version from its set time.
+/// Maximum fraction of the move's time for which suspicion may delay steps.
+/// Without a bound, chance alone could make a sound version miss its deadline.
 const SUSPICION_FRACTION: f64 = 0.15;
 
-/// Part of what a bad version may get from which suspicion is enough: calls
-/// on their way and those until the withdrawal reaches every node need the
-/// rest.
+/// Fraction of the exposure bound from which suspicion alone takes the move
+/// back. The rest of the bound is needed for calls in flight and for calls
+/// until the withdrawal reaches every node.
 const EXPOSURE_HIGH_FRACTION: f64 = 0.45;
 
-/// Suspicion that is enough then: odds of some thirty to one.
+/// Suspicion that is then sufficient: odds of about thirty to one.
 const EXPOSURE_HIGH_SUSPICION: f64 = 0.4;
 
-/// Part from which less is enough: the rest is gone before a verdict.
+/// Fraction of the exposure bound from which less suspicion is sufficient,
+/// because the rest would be used up before a verdict.
 const EXPOSURE_CRITICAL_FRACTION: f64 = 0.65;
 
-/// Suspicion that is enough then: odds of some twelve to one.
+/// Suspicion that is then sufficient: odds of about twelve to one.
 const EXPOSURE_CRITICAL_SUSPICION: f64 = 0.3;
 
-/// Part of the move's time from which a version that is still suspected, on a
-/// share that holds no load yet, is taken back: its last steps take the rest.
+/// Fraction of the move's time from which a version that is still suspected, at
+/// a share below [`HELD_SHARE`], is taken back: the last steps need the
+/// remaining time.
 const LAST_DECISION_FRACTION: f64 = 0.85;
 
-/// Part of its calls that the version in service fails from which one on trial
-/// gets no more of them: one that fails a third of its calls has less than
-/// three times the odds then, the least that counts as bad.
+/// Failure rate of the old version from which the share of a version on trial
+/// does not grow. Beyond it, a new version that fails a third of its calls has
+/// less than three times the odds of failure, the least that counts as bad.
 const OLD_FAILURE_RATE_MAX: f64 = 0.15;
 
-/// Silent nodes that growth tolerates, as one in so many live ones. At the
-/// two-year size some of 5,200 nodes are always between two reports.
+/// One in this many live nodes may be silent without delaying a step. In the
+/// planned fleet of 5,200 nodes some are always between two reports.
 const SILENT_ONE_IN: u32 = 10;
 
-/// Part of the new version's slots that a step may fill; the rest is for
-/// bursts and for servers that die during the step.
+/// Fraction of the new version's slots that a step may fill. The rest is for
+/// bursts and for servers that fail during the step.
 const SLOT_FILL_MAX: f64 = 0.8;
 
-/// A target counts as a step only this far above the share in force, so
-/// that a move costs tens of changes and not one each look.
+/// Minimum growth factor of a step, so that a move takes tens of changes
+/// instead of one per evaluation.
 const STEP_GROWTH_MIN: f64 = 1.25;
 
-/// A step multiplies the share by this at most, however late the move is.
+/// Maximum growth factor of a step, however late the move is.
 const STEP_GROWTH_MAX: f64 = 2.0;
 
-/// Points kept for the plot of a move; older ones are thinned out.
+/// Maximum number of points kept for the plot of a move; beyond it every second
+/// point is dropped.
 const POINTS_MAX: usize = 512;
 
-/// One point of a move's course.
+/// One point of the recorded history of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CoursePoint {
-    /// Wall clock, milliseconds since 1970.
+    /// Wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Share of the new version in force, in thousandths.
+    /// Share of the new version, in thousandths.
     pub share_per_mille: u16,
-    /// Calls until then.
+    /// Calls so far.
     pub counts: MoveCounts,
-    /// Evidence against the version, 1 where it is bad.
+    /// Strength of the evidence against the new version; 1 is a verdict.
     pub suspicion: f64,
-    /// Part of the calls that the version in service fails lately.
+    /// Recent failure rate of the old version, from 0 to 1.
     #[serde(default)]
     pub old_failing: f64,
 }
 
-/// Decides on one move. All that must survive a change of leader is in the
-/// record; the rest is found anew from the nodes' cumulative counts.
+/// Decides on one move. State that must survive a change of leader is in the
+/// record; the rest is rebuilt from the nodes' cumulative counts.
 #[derive(Debug)]
 pub struct RolloutDriver {
     plan: Box<dyn SharePlan>,
@@ -137,7 +142,7 @@
     course: Vec<CoursePoint>,
 }
 
-/// What had been seen when the share in force was first looked at.
+/// Informative calls at the first evaluation of the current share.
 #[derive(Clone, Copy, Debug)]
 struct StepBaseline {
     share: u16,
@@ -145,7 +150,7 @@
 }
 
 impl RolloutDriver {
-    /// A driver for a move with this record.
+    /// Creates a driver for the move of `record`.
     pub fn new(record: &RolloutRecord) -> Self {
         let first = record.steps.first().map_or(1, |step| step.share_per_mille);
         let plan: Box<dyn SharePlan> = if record.exposure.is_some() {
@@ -156,7 +161,7 @@
         Self::with_parts(plan, RolloutJudge::new(FALSE_ALARM_FLEET))
     }
 
-    /// A driver with another plan or judge, for comparing them.
+    /// Creates a driver with the given plan and judge, to compare alternatives.
     pub fn with_parts(plan: Box<dyn SharePlan>, judge: RolloutJudge) -> Self {
         Self {
             plan,
@@ -172,33 +177,33 @@
         }
     }
 
-    /// What keeps the move from its next step, if anything does.
+    /// What delays the next step, if anything.
     pub fn wait(&self) -> Option<StepWait> {
         self.wait
     }
 
-    /// The move's course as this leader has seen it.
+    /// History of the move, as recorded by this leader.
     pub fn course(&self) -> &[CoursePoint] {
         &self.course
     }
 
-    /// Looks at the move at wall clock `now`; the change to propose, if any.
-    /// The same change may come again until the record shows it; its request
-    /// identifier makes that harmless.
+    /// Evaluates the move at wall clock `now`. Returns the change to propose,
+    /// if any. The same change may be returned again until the record contains
+    /// it; its request identifier makes duplicates harmless.
     pub fn evaluate(
         &mut self,
         now: Duration,
         record: &RolloutRecord,
         fleet: &FleetSnapshot,
-        ledger: &EvidenceTotals,
+        totals: &EvidenceTotals,
     ) -> Option<MoveChange> {
         let empty = RolloutTally::default();
-        let tally = ledger.total(record.rollout).unwrap_or(&empty);
+        let tally = totals.total(record.rollout).unwrap_or(&empty);
         let elapsed = now.saturating_sub(self.evaluated_at.unwrap_or(now));
         self.evaluated_at = Some(now);
         self.demand.update(elapsed, tally.busy_us());
-        let view = self.judge.evaluate(tally);
-        self.suspicion.update(now, view.suspicion);
+        let result = self.judge.evaluate(tally);
+        self.suspicion.update(now, result.suspicion);
         self.old_failure_rate.update(
             now,
             EventCounts {
@@ -209,14 +214,14 @@
         let counts = move_counts(tally);
         let informative = tally.informative_calls();
         self.record_point(now, record, counts, informative);
-        let cause = match (ledger.stop(record.rollout), view.cause.clone()) {
+        let cause = match (totals.stop(record.rollout), result.cause.clone()) {
             (Some(stop), _) => Some(TakeBackCause::NodeEvidence {
                 node: stop.node.clone(),
                 cause: stop.cause.clone(),
             }),
             (None, cause) => cause
-                .or_else(|| self.near_exposure_bound(now, record, counts, &view))
-                .or_else(|| too_late_to_finish(now, record, &view))
+                .or_else(|| self.near_exposure_bound(now, record, counts, &result))
+                .or_else(|| too_late_to_finish(now, record, &result))
                 .map(TakeBackCause::FleetEvidence),
         };
         if let Some(cause) = cause {
@@ -234,34 +239,36 @@
         next.ok()
     }
 
-    /// The evidence so far, where a version that is suspected has got most of
-    /// what a bad one may get.
+    /// Returns the strongest evidence if a suspected version has used most of
+    /// its exposure bound.
     ///
-    /// Guards against a version that fails a little more under each load: the
-    /// growth waits for a verdict that does not come, and what it gets
-    /// meanwhile passes the bound. A sound version is suspected so strongly
-    /// in fewer than one of fifty moves.
+    /// A version that fails a little more at each load level stops the growth
+    /// without ever reaching a verdict, and the calls it gets meanwhile exceed
+    /// the bound. A sound version reaches the required suspicion in fewer than
+    /// one of fifty moves.
     fn near_exposure_bound(
         &self,
         now: Duration,
         record: &RolloutRecord,
         counts: MoveCounts,
-        view: &JudgeResult,
+        result: &JudgeResult,
     ) -> Option<BadnessCause> {
         let bound = record.exposure?;
         let fraction = MoveTime::of(now, record).fraction();
         let used_fraction = bound.used_fraction(counts.new_calls, counts.calls, fraction);
-        // The share that holds load is on trial too: some badness shows only
-        // there, and at four fifths of the calls the bound is soon passed.
+        // [`HELD_SHARE`] is still on trial: some faults appear only there, and
+        // at four fifths of the calls the bound is soon exceeded.
         let on_trial = record.share() <= HELD_SHARE;
         let enough = if used_fraction >= EXPOSURE_CRITICAL_FRACTION {
             EXPOSURE_CRITICAL_SUSPICION
         } else {
             EXPOSURE_HIGH_SUSPICION
         };
-        if on_trial && used_fraction >= EXPOSURE_HIGH_FRACTION && view.suspicion >= enough
+        if on_trial
+            && used_fraction >= EXPOSURE_HIGH_FRACTION
+            && result.suspicion >= enough
         {
-            return view.strongest.clone();
+            return result.strongest.clone();
         }
         None
     }
@@ -293,7 +300,8 @@
         }
     }
 
-    /// The next step, or what it waits for; empty where it is not due.
+    /// Returns the next step, or what it waits for; `Err(None)` if no step is
+    /// due.
     fn next_step(
         &self,
         now: Duration,
@@ -309,9 +317,9 @@
         }
         let target = self.plan.share_at(time.fraction());
         let next = next_share(share, target).ok_or(None)?;
-        // Guards against a late move that catches up in one go: its share
-        // went from 320 to 800 within 0.3 s, and a version that failed under
-        // load had got a tenth more than it may before the verdict.
+        // A late move must not catch up in one jump: raising the share from 320
+        // to 800 within 0.3 s gave a version that fails under load a tenth more
+        // calls than its bound before the verdict.
         if record.exposure.is_some()
             && time.since_step < time.total.mul_f64(BOUNDED_STEP_FRACTION)
         {
@@ -323,12 +331,13 @@
         } else {
             SUSPICION_LEVEL
         };
-        // On trial no suspicion is outwaited: it costs calls, not time alone.
+        // On trial, suspicion delays the step without a time limit, because a
+        // larger share costs failed calls and not only time.
         let on_trial = record.exposure.is_some() && share < HELD_SHARE;
         self.check(&time, fleet, level, on_trial)?;
-        // Guards against growth by chance: beside a version that fails many
-        // calls itself, one that fails a few more looks sound for as long as
-        // it takes to pass its bound.
+        // The share must not grow by chance: next to an old version that fails
+        // many calls, a new version that fails slightly more looks sound for
+        // long enough to exceed its bound.
         if on_trial && self.old_failure_rate.rate(now) >= OLD_FAILURE_RATE_MAX {
             return Err(Some(StepWait::TroubledFleet));
         }
@@ -338,7 +347,9 @@
         let seen = self
             .step
             .map_or(0, |step| informative.saturating_sub(step.informative));
-        // Once the plan holds load, no step may wait: it would wait for ever.
+        // Once the target reaches [`HELD_SHARE`], no step may wait for evidence:
+        // twice the next share may be above every later target, and the step
+        // would wait forever.
         let behind = next.saturating_mul(QUIET_LAG_FACTOR);
         let lagging = target >= behind.min(HELD_SHARE);
         let forced = record.if_quiet == QuietChoice::Finish && lagging;
@@ -380,8 +391,9 @@
         })
     }
 
-    /// What every step needs: reporters that report, and no fresh suspicion
-    /// of `level` or more, nor a stale one where the version is `on_trial`.
+    /// Checks the preconditions of every step: the nodes report, and there is
+    /// no recent suspicion of `level` or more. For a version `on_trial`, older
+    /// suspicion counts too.
     fn check(
         &self,
         time: &MoveTime,
@@ -389,11 +401,10 @@
         level: f64,
         on_trial: bool,
     ) -> Result<(), Option<StepWait>> {
-        // Guards against counts that look clean because those who would
-        // count the failures are not heard.
-        // One node is always allowed to be silent: while a small fleet is
-        // restarted node by node, one always is, and a good version would
-        // never be done.
+        // Counts can look clean because the nodes that see the failures do not
+        // report. One silent node is always allowed: while a small fleet is
+        // restarted node by node, one node is always silent, and a sound
+        // version would never finish.
         let silent = fleet.nodes_silent.saturating_sub(1);
         if fleet.nodes == 0 || silent * SILENT_ONE_IN > fleet.nodes {
             return Err(Some(StepWait::LostReporters));
@@ -410,7 +421,7 @@
         Ok(())
     }
 
-    /// Greatest share that the new version's slots carry.
+    /// Largest share, in thousandths, that the new version's slots can serve.
     fn max_share_by_slots(&self, fleet: &FleetSnapshot) -> u16 {
         if fleet.new_slots == 0 {
             return 0;
@@ -423,27 +434,27 @@
     }
 }
 
-/// The evidence so far, where a version that is suspected cannot be in service
-/// by the set time any more.
+/// Returns the strongest evidence if a suspected version can no longer be in
+/// service by the deadline.
 ///
-/// Guards against a move that waits on for a verdict past its time: few calls
-/// go to a version whose growth waits, so that they decide empty for long,
-/// and its operators read neither done nor taken back.
+/// A version whose growth waits gets few calls, so a verdict may take longer
+/// than the move has. Without this rule the move would pass its deadline
+/// neither done nor taken back.
 fn too_late_to_finish(
     now: Duration,
     record: &RolloutRecord,
-    view: &JudgeResult,
+    result: &JudgeResult,
 ) -> Option<BadnessCause> {
     let late = MoveTime::of(now, record).fraction() >= LAST_DECISION_FRACTION;
     let on_trial = record.exposure.is_some() && record.share() < HELD_SHARE;
-    if late && on_trial && view.suspicion >= SUSPICION_LEVEL {
-        return view.strongest.clone();
+    if late && on_trial && result.suspicion >= SUSPICION_LEVEL {
+        return result.strongest.clone();
     }
     None
 }
 
-/// The share after the next step towards `target`; `None` where it is not
-/// worth a step yet.
+/// Returns the share after the next step towards `target`; `None` if the target
+/// is not far enough above `share` yet.
 fn next_share(share: u16, target: u16) -> Option<u16> {
     let far = f64::from(target) >= f64::from(share) * STEP_GROWTH_MIN;
     let milestone = target == HELD_SHARE || target == LAST_SHARE;
--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -1,10 +1,11 @@
-//! Judges one move by the counts of its old and new version, by route.
+//! Judges one move by the counts of its old and new version on each route.
 //!
-//! Load pattern: a version may fail or slow down, from the start or later,
-//! on one route or under load only; the fleet may have a trouble of its own
-//! meanwhile. Without routes kept apart a fault of a rare route drowns in
-//! the calls of a busy one; without the old version over the same time
-//! every fleet-wide trouble takes a good version back.
+//! A version may fail calls or be slow, from the start or later, on one route
+//! or only under load, while the whole fleet may have a problem of its own.
+//! Routes are judged separately, because a fault of a rarely used route would
+//! be hidden by the calls of a busy one. The new version is compared with the
+//! old one over the same period, because otherwise every fleet-wide problem
+//! would take a sound version back.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,44 +24,45 @@
 use crate::rollout::sequential_test::FAILURE_ODDS_RATIOS;
 use crate::rollout::sequential_test::SLOWNESS_ODDS_RATIOS;
 
-/// Chance that the leader ever takes back a version that is no worse than
-/// the old one, over a all_routes move.
+/// Probability that the leader takes back a version that is no worse than the
+/// old one, over a whole move.
 pub const FALSE_ALARM_FLEET: f64 = 1e-3;
 
-/// The same for one node, so that 5,200 nodes together stay within the
-/// leader's chance.
+/// The same for one node, so that 5,200 nodes together stay within the leader's
+/// probability.
 pub const FALSE_ALARM_NODE: f64 = FALSE_ALARM_FLEET / 5_200.0;
 
-/// Tests of each route; they share the chance of a false alarm.
+/// Tests per route; they share the false alarm probability.
 const TESTS_PER_ROUTE: f64 = 2.0;
 
-/// Stands for all routes together. Where a version is bad on every route,
-/// the sum shows it from the fewest calls.
+/// Route name that stands for all routes together. A version that is bad on
+/// every route is detected in the sum after the fewest calls.
 pub const ALL_ROUTES: &str = "*";
 
-/// A call is slow above this quantile of the old version, times the margin.
-/// Half as slow again shows as four times as many slow calls, and a tenth
-/// slower as less than twice as many, which no test takes for bad.
+/// A call is slow if it takes longer than this quantile of the old version
+/// times [`SLOW_MARGIN`]. A version half as slow again then has four times as
+/// many slow calls, and one a tenth slower less than twice as many, which no
+/// test counts as bad.
 const SLOW_QUANTILE: f64 = 0.9;
 
-/// Slowness that is tolerated, as a factor. Without it a service of even
-/// latencies would have versions taken back for a few parts in a hundred.
+/// Tolerated slow-down, as a factor. Without it, a version of a service with
+/// very even latencies would be taken back for being a few per cent slower.
 const SLOW_MARGIN: f64 = 1.25;
 
-/// Latencies of the old version needed before that quantile is used.
+/// Minimum number of the old version's latencies for a usable quantile.
 const SLOW_CALLS_MIN: u64 = 100;
 
-/// In what way a version is bad.
+/// Kind of badness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BadSignal {
-    /// It fails calls.
+    /// The version fails calls.
     Failures,
-    /// It answers slowly.
+    /// The version answers slowly.
     Slowness,
 }
 
 impl BadSignal {
-    /// The word that operators read.
+    /// Text shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Failures => "failures",
@@ -69,16 +71,17 @@
     }
 }
 
-/// Why a version was strongest bad, with the figures since the move's start.
+/// Evidence on which a version was found bad, counted since the start of the
+/// move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BadnessCause {
-    /// Route on which it showed.
+    /// Route on which the evidence was found.
     pub route: Arc<str>,
-    /// In what way.
+    /// Kind of badness.
     pub signal: BadSignal,
-    /// Calls of the old version, and those failed or slow.
+    /// Calls of the old version, and the failed or slow ones among them.
     pub old: EventCounts,
-    /// Calls of the new version, and those failed or slow.
+    /// Calls of the new version, and the failed or slow ones among them.
     pub new: EventCounts,
 }
 
@@ -97,21 +100,22 @@
     }
 }
 
-/// What a look came to.
+/// Result of one evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JudgeResult {
-    /// Set where the version is bad.
+    /// Set if the version is bad.
     pub cause: Option<BadnessCause>,
-    /// Strongest evidence against it, from 0 for none to 1 for bad.
+    /// Strongest evidence against the version, from 0 for none; 1 or more is a
+    /// verdict.
     pub suspicion: f64,
-    /// What that evidence is, whether it suffices or not.
+    /// The strongest evidence, whether or not it is sufficient.
     pub strongest: Option<BadnessCause>,
 }
 
-/// Makes the tests of a judge.
+/// Creates the sequential test for a signal.
 pub type TestFactory = fn(BadSignal) -> Box<dyn SequentialTest>;
 
-/// The test in use.
+/// The test used in production.
 pub fn change_point_test(signal: BadSignal) -> Box<dyn SequentialTest> {
     let ratios = match signal {
         BadSignal::Failures => FAILURE_ODDS_RATIOS,
@@ -120,7 +124,7 @@
     Box::new(ChangePointTest::new(ratios))
 }
 
-/// Judges the routes of one move.
+/// Judges all routes of one move.
 #[derive(Debug)]
 pub struct RolloutJudge {
     false_alarm: f64,
@@ -130,13 +134,13 @@
 }
 
 impl RolloutJudge {
-    /// A judge whose chance of a false alarm over the all_routes move is at most
-    /// `false_alarm`.
+    /// Creates a judge whose false alarm probability over the whole move is at
+    /// most `false_alarm`.
     pub fn new(false_alarm: f64) -> Self {
         Self::with_test(false_alarm, change_point_test)
     }
 
-    /// A judge with another test, for comparing tests.
+    /// Creates a judge with another test, to compare tests.
     pub fn with_test(false_alarm: f64, make_test: TestFactory) -> Self {
         Self {
             false_alarm,
@@ -146,23 +150,23 @@
         }
     }
 
-    /// Looks at the counts of the all_routes move as they stand now.
+    /// Evaluates the current cumulative counts of the move.
     pub fn evaluate(&mut self, tally: &RolloutTally) -> JudgeResult {
         let tests = TESTS_PER_ROUTE * (tally.routes.len() + 1) as f64;
         let limit = (tests / self.false_alarm).ln();
         let all = &tally.total;
-        let mut view = JudgeResult::default();
+        let mut result = JudgeResult::default();
         let all_routes = self.all_routes.evaluate(all);
-        view.consider(limit, all_routes, || {
+        result.consider(limit, all_routes, || {
             self.all_routes.cause(ALL_ROUTES, all_routes.0, all)
         });
         for (route, counts) in &tally.routes {
             let judge = self.routes.entry(Arc::clone(route));
             let judge = judge.or_insert_with(|| RouteJudge::new(self.make_test));
             let strongest = judge.evaluate(counts);
-            view.consider(limit, strongest, || judge.cause(route, strongest.0, counts));
+            result.consider(limit, strongest, || judge.cause(route, strongest.0, counts));
         }
-        view
+        result
     }
 }
 
@@ -186,7 +190,7 @@
     }
 }
 
-/// Counts of both versions.
+/// Calls and events of both versions.
 #[derive(Clone, Copy, Debug, Default)]
 struct PairCounts {
     old: EventCounts,
@@ -252,9 +256,9 @@
         self.strongest
     }
 
-    /// Sets the latency above which a call is slow, for the looks to come:
-    /// no look's own calls can move it. It is set anew each time the old
-    /// version's calls have grown by a tenth.
+    /// Updates the latency above which a call is slow. The bound applies only
+    /// to later evaluations, so no evaluation's own calls can move it. It is
+    /// updated each time the old version's calls have grown by a tenth.
     fn update_slow_bound(&mut self, counts: &RouteTally) {
         let calls = counts.old.latency.count();
         if calls <= self.bound_calls + self.bound_calls / 10 {
--- a/crates/core/src/rollout/rollout_record.rs
+++ b/crates/core/src/rollout/rollout_record.rs
@@ -1,4 +1,4 @@
-//! One move as the agreed log makes it.
+//! Replicated record of one move.
 
 use std::sync::Arc;
 
@@ -12,30 +12,31 @@
 use crate::rollout::share_plan::FULL_SHARE;
 use crate::version::ConfigVersion;
 
-/// One step of a move's share.
+/// One step of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareStep {
-    /// Version that made it.
+    /// Configuration version that made the step.
     pub version: ConfigVersion,
-    /// Wall clock of the change, milliseconds since 1970.
+    /// Wall clock of the step, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Share of the new version from then on, in thousandths.
+    /// Share of the new version from this step on, in thousandths.
     pub share_per_mille: u16,
 }
 
-/// What a bad version may get in all: a elapsed_fraction of the service's calls over the
-/// whole time of the move, and some more.
+/// Maximum number of calls that a bad version may get: a percentage of the
+/// service's calls over the whole time window of the move, plus a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExposureBound {
-    /// Hundredths of all calls.
+    /// Percentage of all calls.
     pub percent: u64,
-    /// Calls besides.
+    /// Additional calls.
     pub calls: u64,
 }
 
 impl ExposureBound {
-    /// Part of what is allowed that `new_calls` calls are, where the service has
-    /// had `calls` in `elapsed_fraction` of the move's time.
+    /// Used fraction of the bound after `new_calls` calls of the new version,
+    /// if the service has had `calls` calls in `elapsed_fraction` of the move's
+    /// time.
     pub fn used_fraction(
         &self,
         new_calls: u64,
@@ -53,12 +54,12 @@
 pub enum RolloutEnd {
     /// The new version is in service alone.
     Finished {
-        /// What held the move back longest.
+        /// What delayed the move longest, if anything.
         waited: Option<StepWait>,
     },
     /// The new version was withdrawn.
     TakenBack {
-        /// Why.
+        /// Why the move was taken back.
         cause: TakeBackCause,
     },
 }
@@ -66,39 +67,40 @@
 /// One move of a service to a new version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Version that started the move; names it.
+    /// Configuration version that started the move; identifies it.
     pub rollout: ConfigVersion,
-    /// Service.
+    /// Service under the move.
     pub service: Arc<str>,
-    /// Version in service before.
+    /// The old version, in service before the move.
     pub from: Arc<str>,
     /// The new version.
     pub to: Arc<str>,
-    /// Why it is moved, if said.
+    /// Reason for the move; may be empty.
     pub reason: String,
-    /// What to do where too few calls come for evidence.
+    /// What to do if there are too few calls for evidence.
     pub if_quiet: QuietChoice,
-    /// Calls of the new version wanted before each step.
+    /// Calls of the new version required before each step.
     pub step_calls: u64,
-    /// What a bad version may get in all, where that is bounded.
+    /// Exposure bound of a bad version; `None` if there is no bound.
     #[serde(default)]
     pub exposure: Option<ExposureBound>,
-    /// Wall clock of the start, milliseconds since 1970.
+    /// Wall clock of the start, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Wall clock by which it must be done.
+    /// Wall clock of the deadline, in milliseconds since the Unix epoch.
     pub due_ms: u64,
-    /// Steps of the share, the first included.
+    /// Steps so far, including the first share.
     pub steps: Vec<ShareStep>,
-    /// How it ended; `None` while it runs.
+    /// How the move ended; `None` while it is running.
     pub end: Option<RolloutEnd>,
-    /// Version and wall clock of the end.
+    /// Configuration version and wall clock of the end, in milliseconds since
+    /// the Unix epoch.
     pub ended: Option<(ConfigVersion, u64)>,
     /// Calls until the end.
     pub counts: MoveCounts,
 }
 
 impl RolloutRecord {
-    /// Share of the new version now, in thousandths.
+    /// Current share of the new version, in thousandths.
     pub fn share(&self) -> u16 {
         match self.end {
             None => self.steps.last().map_or(0, |step| step.share_per_mille),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The change that the record's state stands on.
+    /// Configuration version of the last change to the move.
     pub fn last_version(&self) -> ConfigVersion {
         let step = self.steps.last().map_or(self.rollout, |step| step.version);
         self.ended.map_or(step, |(version, _)| version)
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -1,7 +1,7 @@
-//! All moves as the agreed log makes them: part of the replicated state.
+//! All moves, as part of the replicated state.
 //!
-//! Every control instance holds the same records, so a new leader goes on
-//! from where the last one's decisions ended.
+//! Every control instance holds the same records, so a new leader continues
+//! from the last committed decision.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -27,15 +27,15 @@
 use crate::tuning::TuningKey;
 use crate::version::ConfigVersion;
 
-/// Moves that are over, kept for reading back: a week of them at 440
+/// Maximum number of ended moves kept for display: a week's worth for 440
 /// services that each move once or twice.
 const OVER_KEPT: usize = 512;
 
-/// Longest time a move may be given: a week. Longer ones are taken to be a
-/// slip of the operator's hand.
+/// Maximum time window of a move: a week. A longer one is assumed to be a
+/// typing mistake.
 const MOVE_MS_MAX: u64 = 7 * 24 * 3_600 * 1_000;
 
-/// All moves that run, and the last ones that are over.
+/// All running moves, and the most recent ended ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRegistry {
     running: BTreeMap<Arc<str>, RolloutRecord>,
@@ -50,18 +50,18 @@
 }
 
 impl RolloutRegistry {
-    /// Moves that run, by service.
+    /// Running moves, ordered by service.
     pub fn running(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.running.values()
     }
 
-    /// Every move kept, those that are over first.
+    /// All moves kept, ended ones first.
     pub fn all(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.over.iter().chain(self.running.values())
     }
 
-    /// Takes a change of a move, accepted as `version` at `at_ms`: the
-    /// document after it, or why it is refused.
+    /// Applies a change of a move, accepted as `version` at `at_ms`. Returns
+    /// the resulting document, or the faults for which the change is refused.
     pub fn apply_change(
         &mut self,
         version: ConfigVersion,
@@ -131,8 +131,8 @@
         let given_ms = due_ms.saturating_sub(at_ms);
         if !(least_ms..=MOVE_MS_MAX).contains(&given_ms) {
             return refuse(format!(
-                "the set time cannot be met: it gives {} s, and a move needs {} s at least \
-                 and {} s at most",
+                "the deadline cannot be met: it leaves {} s, but a move takes at least {} s \
+                 and at most {} s",
                 given_ms / 1_000,
                 least_ms / 1_000,
                 MOVE_MS_MAX / 1_000
@@ -174,17 +174,17 @@
         to: &str,
         document: &'a FleetDocument,
     ) -> Result<&'a ServiceSpec, Vec<DocumentFault>> {
-        if let Some(held) = self.running.get(service) {
+        if let Some(running) = self.running.get(service) {
             return refuse(format!(
                 "move {} of {service} to {} is in progress; wait for it or take it back",
-                held.rollout, held.to
+                running.rollout, running.to
             ));
         }
         let Some(spec) = document.services.get(service) else {
             return refuse(format!("no service {service:?} in the document"));
         };
         if *spec.version == *to {
-            return refuse(format!("{service} is at version {to} already"));
+            return refuse(format!("{service} is already at version {to}"));
         }
         if let Some(candidate) = &spec.candidate {
             return refuse(format!(
@@ -199,12 +199,12 @@
         &mut self,
         rollout: ConfigVersion,
     ) -> Result<&mut RolloutRecord, Vec<DocumentFault>> {
-        let held = self
+        let running = self
             .running
             .values_mut()
-            .find(|held| held.rollout == rollout);
-        match held {
-            Some(held) => Ok(held),
+            .find(|running| running.rollout == rollout);
+        match running {
+            Some(running) => Ok(running),
             None => refuse(format!("no move {rollout} is in progress")),
         }
     }
@@ -215,18 +215,17 @@
         step: ShareStep,
         document: &FleetDocument,
     ) -> EditResult {
-        let held = self.find_running(rollout)?;
+        let running = self.find_running(rollout)?;
         let share = step.share_per_mille;
-        // Guards against a late step of a leader that has been replaced,
-        // which would take the share down again.
-        if share <= held.share() || share > FULL_SHARE {
+        // A late step from a replaced leader would lower the share again.
+        if share <= running.share() || share > FULL_SHARE {
             return refuse(format!(
-                "move {rollout} is at share {} of {FULL_SHARE}; a step goes above it",
-                held.share()
+                "move {rollout} is at share {} of {FULL_SHARE}; a step must go above it",
+                running.share()
             ));
         }
-        held.steps.push(step);
-        Ok(with_record(document, held))
+        running.steps.push(step);
+        Ok(with_record(document, running))
     }
 
     fn end(
@@ -237,19 +236,19 @@
         counts: MoveCounts,
         document: &FleetDocument,
     ) -> EditResult {
-        let held = self.find_running(rollout)?;
+        let running = self.find_running(rollout)?;
         let finished = matches!(end, RolloutEnd::Finished { .. });
-        if finished && held.share() < LAST_SHARE {
+        if finished && running.share() < LAST_SHARE {
             return refuse(format!(
                 "move {rollout} is at share {} of {FULL_SHARE}; it finishes at {LAST_SHARE}",
-                held.share()
+                running.share()
             ));
         }
-        held.end = Some(end);
-        held.ended = Some(ended);
-        held.counts = counts;
-        let edited = with_record(document, held);
-        let service = Arc::clone(&held.service);
+        running.end = Some(end);
+        running.ended = Some(ended);
+        running.counts = counts;
+        let edited = with_record(document, running);
+        let service = Arc::clone(&running.service);
         if let Some(record) = self.running.remove(&service) {
             self.over.push_back(record);
         }
@@ -259,31 +258,31 @@
         Ok(edited)
     }
 
-    /// Settles an operator's direct edit with the moves that run: a service
-    /// under a move keeps its candidate, and an edit that would change it
-    /// otherwise is refused.
+    /// Reconciles an operator's direct edit with the running moves. A service
+    /// under a move keeps its candidate; an edit that conflicts with the move
+    /// is refused.
     pub fn reconcile_edit(&self, mut edited: FleetDocument) -> EditResult {
         let mut faults = self.stale_candidates(&edited);
-        for held in self.running.values() {
-            let path = format!("services.{}", held.service);
-            let Some(spec) = edited.services.get(&held.service) else {
+        for running in self.running.values() {
+            let path = format!("services.{}", running.service);
+            let Some(spec) = edited.services.get(&running.service) else {
                 faults.push(DocumentFault {
                     path,
-                    problem: format!("move {} needs this service", held.rollout),
+                    problem: format!("move {} needs this service", running.rollout),
                 });
                 continue;
             };
             let candidate = spec.candidate.as_ref();
-            let same = candidate.is_none_or(|candidate| candidate.version == held.to);
-            if spec.version != held.from || !same {
+            let same = candidate.is_none_or(|candidate| candidate.version == running.to);
+            if spec.version != running.from || !same {
                 let problem = format!(
                     "move {} to {} is in progress; wait for it or take it back",
-                    held.rollout, held.to
+                    running.rollout, running.to
                 );
                 faults.push(DocumentFault { path, problem });
                 continue;
             }
-            edited = with_record(&edited, held);
+            edited = with_record(&edited, running);
         }
         if faults.is_empty() {
             Ok(edited)
@@ -294,8 +293,9 @@
 }
 
 impl RolloutRegistry {
-    /// Guards against a file printed during a move and applied after it,
-    /// which would put a version that was taken back into service again.
+    /// Returns a fault for each candidate of a move that is over. A file
+    /// printed during a move and applied after it would otherwise put a
+    /// withdrawn version back into service.
     fn stale_candidates(&self, edited: &FleetDocument) -> Vec<DocumentFault> {
         let mut faults = Vec::new();
         for (service, spec) in &edited.services {
@@ -308,7 +308,7 @@
             faults.push(DocumentFault {
                 path: format!("services.{service}.candidate"),
                 problem: format!(
-                    "move {} is over; leave the candidate out, or start another move",
+                    "move {} is over; remove the candidate, or start another move",
                     candidate.rollout
                 ),
             });
@@ -326,18 +326,18 @@
     (percent > 0).then_some(ExposureBound { percent, calls })
 }
 
-fn withdrawn(held: &ServiceSpec, version: &Arc<str>) -> Vec<Arc<str>> {
-    let mut withdrawn = held.withdrawn.clone();
+fn withdrawn(spec: &ServiceSpec, version: &Arc<str>) -> Vec<Arc<str>> {
+    let mut withdrawn = spec.withdrawn.clone();
     if !withdrawn.contains(version) {
         withdrawn.push(Arc::clone(version));
     }
     withdrawn
 }
 
-/// The document with the service as `record` says.
+/// Returns the document with the service set to the state of `record`.
 fn with_record(document: &FleetDocument, record: &RolloutRecord) -> FleetDocument {
     let mut edited = document.clone();
-    let held = edited.services.remove(&record.service).unwrap_or_default();
+    let before = edited.services.remove(&record.service).unwrap_or_default();
     let candidate = CandidateShare {
         version: Arc::clone(&record.to),
         share_per_mille: record.share(),
@@ -347,19 +347,19 @@
         None => ServiceSpec {
             version: Arc::clone(&record.from),
             candidate: Some(candidate),
-            ..held
+            ..before
         },
         Some(RolloutEnd::Finished { .. }) => ServiceSpec {
             version: Arc::clone(&record.to),
             candidate: None,
             withdrawn: Vec::new(),
-            ..held
+            ..before
         },
         Some(RolloutEnd::TakenBack { .. }) => ServiceSpec {
             version: Arc::clone(&record.from),
             candidate: None,
-            withdrawn: withdrawn(&held, &record.to),
-            ..held
+            withdrawn: withdrawn(&before, &record.to),
+            ..before
         },
     };
     edited.services.insert(Arc::clone(&record.service), spec);
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -1,77 +1,79 @@
-//! Sequential tests that tell a bad version from chance.
+//! Sequential tests that distinguish a bad version from chance.
 //!
-//! Load pattern: counts come in small samples for as long as the move lasts,
-//! failures are rare, and the version may turn bad at any moment. A test
-//! with a fixed sample, looked at again and again, raises false alarms; one
-//! that sums since the start has gathered so much credit that it answers
-//! late when a version turns bad late.
+//! Counts arrive in small samples for as long as the move lasts, failures are
+//! rare, and the version may turn bad at any time. A fixed-sample test that is
+//! repeated raises false alarms. A test that sums from the start accumulates so
+//! much evidence in favour of the version that it reacts late when the version
+//! turns bad late.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many times the old rate of failures the new version is supposed to
-/// have if it is bad. Three is the least that counts as bad: below a ratio
-/// of about 1.8, which is `2 / ln 3`, evidence for it shrinks. Sixteen finds
-/// gross failure soonest.
+/// Odds ratios of failure, new version to old, that the test looks for. Three
+/// is the least that counts as bad: for a true ratio below about 1.8, which is
+/// `2 / ln 3`, the evidence decreases. Sixteen detects gross failure soonest.
 pub const FAILURE_ODDS_RATIOS: [f64; 3] = [3.0, 6.0, 16.0];
 
-/// The same for slow calls. Six, because a version a tenth slower has up
-/// to 1.6 times as many calls beyond a high quantile and is not bad; the
-/// bound is then 2.8, and half as slow again shows as four times as many.
+/// The same for slow calls. The least is six, because a version a tenth slower
+/// has up to 1.6 times as many calls beyond a high quantile and is not bad. The
+/// evidence then decreases below a ratio of 2.8, while a version half as slow
+/// again has four times as many slow calls.
 pub const SLOWNESS_ODDS_RATIOS: [f64; 3] = [6.0, 10.0, 16.0];
 
-/// Most evidence that one look gives, as a natural logarithm. Guards
-/// against bursts, such as a crash of one server that breaks ten calls at
-/// once: they show as one look and are no ten independent failures. Three
-/// samples at least are needed for the usual limits.
+/// Maximum evidence from one sample, as a natural logarithm. A burst, such as
+/// the crash of one server that breaks ten calls at once, arrives in one sample
+/// and is not ten independent failures. With this cap a verdict at the usual
+/// limits takes at least three samples.
 const SAMPLE_EVIDENCE_MAX: f64 = 3.0;
 
-/// Sums are scaled down from here on, far below the greatest float.
+/// Sums are scaled down above this value, which is far below the largest float.
 const SCALE_AT: f64 = 1e100;
 
-/// Calls of one version in one look, and those with the event.
+/// Calls of one version, and the calls with the event among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventCounts {
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls with the event.
+    /// Number of calls with the event.
     pub events: u64,
 }
 
 impl EventCounts {
-    /// Share of calls with the event.
+    /// Fraction of calls with the event.
     pub fn rate(&self) -> f64 {
         self.events as f64 / self.calls.max(1) as f64
     }
 }
 
-/// What one look offers to a test: both versions over the same time.
+/// Counts of both versions over the same period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TestSample {
     /// The version in service.
     pub old: EventCounts,
-    /// The version that is taking over.
+    /// The version that the service moves to.
     pub new: EventCounts,
 }
 
-/// A test that is fed samples and tells how strong the evidence is.
+/// A sequential test, which updates its evidence with each sample.
 pub trait SequentialTest: fmt::Debug {
-    /// Takes one look; the natural logarithm of the evidence that the new
-    /// version is bad. A limit of `ln(1/a)` holds false alarms to `a`.
+    /// Adds one sample. Returns the natural logarithm of the evidence that the
+    /// new version is bad; a limit of `ln(1/a)` bounds the false alarm
+    /// probability by `a`.
     fn update(&mut self, sample: &TestSample) -> f64;
 }
 
-/// Logarithm of the likelihood ratio of one look, for a version whose odds of
-/// the event are `ratio` times the old ones against one with the same odds.
+/// Log-likelihood ratio of one sample: odds of the event that are `ratio` times
+/// the old version's odds, against equal odds.
 ///
-/// It is that of the split of all events between the two versions given their
-/// sum: a trouble that hits both alike changes the sum and not the split. The
-/// calls without the event count as well. Without them a version that fails
-/// 45 of 100 calls while the old one fails 15 is hardly told from it, since
-/// nearly all events stay with the many calls of the old one. Whatever the
-/// common rate, its mean under "no worse" is one.
+/// The likelihood is conditional on the total number of events: only their
+/// split between the versions counts, so a problem that affects both versions
+/// alike changes the total but not the evidence. Calls without the event count
+/// as well. Without them a version that fails 45 of 100 calls could hardly be
+/// distinguished from an old one that fails 15, since nearly all events fall on
+/// the many calls of the old version. Whatever the common rate, the likelihood
+/// ratio has mean one if the new version is no worse.
 pub fn log_likelihood_ratio(sample: &TestSample, ratio: f64) -> f64 {
     let TestSample { old, new } = sample;
     let events = old.events + new.events;
@@ -81,15 +83,15 @@
     new.events as f64 * ratio.ln() - ln_mean_ratio(sample, events, ratio)
 }
 
-/// Logarithm of the mean of `ratio` to the power of the events that fall on
-/// the new version where `events` fall on all calls alike.
+/// Logarithm of the mean of `ratio` to the power of the number of events on the
+/// new version, if `events` events are distributed over all calls at random.
 fn ln_mean_ratio(sample: &TestSample, events: u64, ratio: f64) -> f64 {
     let (old, new) = (sample.old.calls as f64, sample.new.calls as f64);
     let events = events.min(sample.old.calls + sample.new.calls) as f64;
     let least = (events - old).max(0.0);
     let most = events.min(new);
-    // Weights of the hypergeometric distribution beside the least count's,
-    // each from the one before.
+    // Weights of the hypergeometric distribution relative to the weight of the
+    // smallest possible count, each computed from the previous one.
     let mut fair = ScaledSum::default();
     let mut tilted = ScaledSum::default();
     let mut count = least;
@@ -103,8 +105,8 @@
     least * ratio.ln() + tilted.ln() - fair.ln()
 }
 
-/// A sum of terms, each a multiple of the one before, that may grow beyond
-/// any float.
+/// A sum whose terms are multiples of their predecessors, scaled so that it may
+/// exceed the range of floats.
 struct ScaledSum {
     term: f64,
     sum: f64,
@@ -112,7 +114,7 @@
 }
 
 impl Default for ScaledSum {
-    /// The first term alone, which is one.
+    /// Starts with the first term, which is one.
     fn default() -> Self {
         Self {
             term: 1.0,
@@ -138,14 +140,15 @@
     }
 }
 
-/// Likelihood ratios summed over every look at which the version may have
-/// turned bad (a Shiryaev–Roberts sum), each start weighted so that all
-/// weights sum to one.
+/// Weighted sum of likelihood ratios over all samples at which the version may
+/// have turned bad (a Shiryaev–Roberts statistic). The weights of all possible
+/// starts sum to one.
 ///
-/// The weighted sum's mean under "no worse" is at most one at any time, so
-/// by Ville's inequality it ever passes `1/a` with a chance of at most `a`,
-/// however long and often it is looked at. A version that turns bad at the
-/// n-th look costs `ln(n(n+1))` more evidence than one bad from the start.
+/// If the version is no worse, the mean of the sum is at most one at any time.
+/// By Ville's inequality the probability that it ever exceeds `1/a` is
+/// therefore at most `a`, however often it is evaluated. A version that turns
+/// bad at the n-th sample takes `ln(n(n+1))` more evidence than one that is bad
+/// from the start.
 #[derive(Clone, Debug)]
 pub struct ChangePointTest {
     ratios: [f64; 3],
@@ -154,7 +157,7 @@
 }
 
 impl ChangePointTest {
-    /// A test against versions with these ratios.
+    /// Creates a test against these odds ratios.
     pub fn new(ratios: [f64; 3]) -> Self {
         Self {
             ratios,
--- a/crates/core/src/rollout/share_plan.rs
+++ b/crates/core/src/rollout/share_plan.rs
@@ -1,10 +1,11 @@
-//! The share of traffic that a new version should have at a time.
+//! Plans for the traffic share of a new version over the time of a move.
 //!
-//! Load pattern: some badness shows at the first calls, some only late or
-//! only under load, and the set time must be kept. Growing evenly with time
-//! sends many calls to a bad version before the first verdict; waiting for
-//! evidence alone misses the set time. Here the share doubles in steps of
-//! equal length, and the last third of the time holds nearly all traffic.
+//! Some faults appear with the first calls, some only later or only under load,
+//! and the deadline must be met. Linear growth sends many calls to a bad
+//! version before the first verdict; growth by evidence alone misses the
+//! deadline. The plans here double the share in steps of equal length;
+//! [`DoublingPlan`] then holds nearly all traffic for the last third of the
+//! time.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,90 +13,91 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whole traffic, in thousandths.
+/// All traffic, in thousandths.
 pub const FULL_SHARE: u16 = 1_000;
 
 /// Share held under real load for a quarter of the time. The rest stays with
-/// the old version, so that both are seen over the same time: with a fifth
-/// left a failure of the new version says four times as much as with a
-/// twentieth.
+/// the old version so that both are observed over the same period: with a fifth
+/// of the traffic left to the old version, a failure of the new one is four
+/// times as much evidence as with a twentieth left.
 pub const HELD_SHARE: u16 = 800;
 
-/// Share of the last check. As much load as all of it, and still a few calls
-/// of the old version, without which a trouble of the whole fleet in the
-/// last moments would look like a bad version.
+/// Share of the last check: practically full load, but still a few calls of the
+/// old version. Without those a late fleet-wide problem would look like a bad
+/// version.
 pub const LAST_SHARE: u16 = 950;
 
-/// Part of the time for which [`HELD_SHARE`] is held at least, also by a move
-/// that is late: badness that shows only under load needs load to show.
+/// Minimum fraction of the time for which [`HELD_SHARE`] is held, even if the
+/// move is late: faults that appear only under load need load to appear.
 pub const HOLD_FRACTION: f64 = 0.10;
 
-/// Part of the time for which [`LAST_SHARE`] is held at least.
+/// Minimum fraction of the time for which [`LAST_SHARE`] is held.
 pub const LAST_CHECK_FRACTION: f64 = 0.03;
 
-/// Part of the time in which the share grows.
+/// Fraction of the time in which the share grows.
 const GROWTH_FRACTION: f64 = 0.60;
 
-/// Part of the time at which the last check begins.
+/// Fraction of the time at which the last check begins.
 const LAST_FRACTION: f64 = 0.85;
 
-/// Part of the time at which the move is finished. The rest is for the last
-/// change to reach every node: ten seconds of a move of 150 s.
+/// Fraction of the time at which the move finishes. The rest is for the last
+/// change to reach every node: ten seconds of a 150 s move.
 const FINISH_FRACTION: f64 = 0.93;
 
-/// Time kept for the last change at least.
+/// Minimum time reserved for the last change to reach every node.
 const FINISH_SLACK: Duration = Duration::from_secs(2);
 
-/// What to do where too few calls come for evidence.
+/// What to do if there are too few calls for evidence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuietChoice {
-    /// Go on by time and finish.
+    /// Continue by time and finish.
     #[default]
     Finish,
-    /// Stay at the share until there is evidence.
+    /// Keep the share until there is evidence.
     Hold,
 }
 
-/// Which share belongs to which time.
+/// A plan that maps elapsed time to a traffic share.
 pub trait SharePlan: fmt::Debug {
-    /// Share in thousandths at `part` of the move's time, from 0 to 1.
+    /// Share in thousandths at the given elapsed fraction of the move's time,
+    /// from 0 to 1.
     fn share_at(&self, fraction: f64) -> u16;
 
-    /// True once the move should be finished.
+    /// Returns whether the move should be finished.
     fn is_over(&self, elapsed: Duration, whole: Duration) -> bool {
         let by_part = whole.mul_f64(FINISH_FRACTION);
         elapsed >= by_part.min(whole.saturating_sub(FINISH_SLACK))
     }
 }
 
-/// Part of the time at which the growth beyond [`CANARY_SHARE`] begins where
-/// what a bad version may get is bounded.
+/// With an exposure bound: fraction of the time from which the share may exceed
+/// [`CANARY_SHARE`].
 const CANARY_FRACTION: f64 = 0.36;
 
-/// Share until then, in thousandths: enough for a verdict on what shows at
-/// once or soon, and a tenth of what is allowed in all.
+/// Maximum share until then, in thousandths: enough to detect faults that
+/// appear at once or soon, at a tenth of the total exposure.
 const CANARY_SHARE: f64 = 32.0;
 
-/// Length of each doubling after it, as a part of the time, also of a move
-/// that is late: a second of a move of 14 s, in which a verdict comes.
+/// Duration of each later doubling, as a fraction of the time, even if the move
+/// is late: about a second of a 14 s move, in which a verdict is reached.
 pub const BOUNDED_STEP_FRACTION: f64 = 0.065;
 
-/// Share until the last check of such a move. Of all shares a half tells most
-/// of a version for each call that it gets: above it few calls are left to
-/// compare it with.
+/// Share of such a move until the last check. A share of one half gives the
+/// most information per call of the new version: above it, too few calls of the
+/// old version are left for comparison.
 const BOUNDED_SHARE: u16 = 512;
 
-/// Part of the time at which the last check of such a move begins.
+/// Fraction of the time at which the last check of such a move begins.
 const BOUNDED_LAST_FRACTION: f64 = 0.74;
 
-/// Small until much of the time is over, then doubles.
+/// Keeps the share small for the first part of the time, then doubles it.
 ///
-/// Load pattern: a version that is bad only under load or after a while, and
-/// a bound on the calls that it may get in all. With the share doubled from
-/// the start, a version that failed under load had got 442 of 2,804 calls
-/// when it was withdrawn; what it gets in each later step here is what a
-/// verdict takes, and all of them together stay below a tenth.
+/// For moves with a bound on the calls that a bad version may get. If the share
+/// doubles from the start, a version that fails only under load gets 442 of
+/// 2,804 calls before it is withdrawn. With this plan each later step costs the
+/// calls needed for a verdict, and all steps together stay below a tenth of the
+/// calls.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundedPlan {
     /// Share of the first step, in thousandths.
@@ -110,7 +112,7 @@
         if fraction < CANARY_FRACTION {
             let first = f64::from(self.first.max(1));
             let doublings = (CANARY_SHARE / first).log2().ceil().max(0.0);
-            // All of them within the first half of the proving time.
+            // All doublings fall into the first half of the canary time.
             let step = (fraction / CANARY_FRACTION * 2.0 * (doublings + 1.0)).floor();
             return (first * step.exp2()).min(CANARY_SHARE) as u16;
         }
@@ -120,7 +122,7 @@
     }
 }
 
-/// Doubles from the first share to [`HELD_SHARE`], then holds.
+/// Doubles the share from the first step to [`HELD_SHARE`], then holds it.
 #[derive(Clone, Copy, Debug)]
 pub struct DoublingPlan {
     /// Share of the first step, in thousandths.
--- a/crates/core/src/rollout/start_check.rs
+++ b/crates/core/src/rollout/start_check.rs
@@ -1,5 +1,5 @@
-//! What the leader checks of an operator's change of a move before it is
-//! proposed: all that the replicated state does not know.
+//! Checks that the leader makes before it proposes an operator's change of a
+//! move, based on the directory, which is not part of the replicated state.
 
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
@@ -12,7 +12,8 @@
     Err(DocumentFault { path, problem })
 }
 
-/// Says why an operator may not ask for `change`, given the directory.
+/// Returns a fault if an operator may not make `change`, given the announced
+/// `endpoints`.
 pub fn check<'a>(
     change: &MoveChange,
     endpoints: impl Iterator<Item = &'a EndpointRecord>,
@@ -31,14 +32,14 @@
             ..
         } => {
             if reason.trim().is_empty() {
-                return refuse("a move is taken back with a written reason".to_owned());
+                return refuse("taking a move back requires a written reason".to_owned());
             }
             Ok(())
         }
         MoveChange::TakeBack { .. }
         | MoveChange::Step { .. }
         | MoveChange::Finish { .. } => {
-            refuse("the leader alone decides this step of a move".to_owned())
+            refuse("only the leader may propose this change of a move".to_owned())
         }
     }
 }
