--- a/crates/core/benches/rollout_study.rs
+++ b/crates/core/benches/rollout_study.rs
@@ -1,5 +1,6 @@
-//! Prints the study of moves: for each behaviour, traffic level, test and
-//! plan what share was completed on time or taken back, and at what cost.
+//! Prints the study of moves: for each behaviour, call rate, test and plan the
+//! percentage of moves completed on time or taken back, the harm done and the
+//! cost.
 
 #[path = "rollout_study_parts/alternatives.rs"]
 mod alternatives;
@@ -16,7 +17,7 @@
 use course::StudyParts;
 use traffic::Behaviour;
 
-/// Runs of each row.
+/// Runs per row.
 const SEEDS: u64 = 30;
 
 const KINDS: [(&str, Behaviour); 13] = [
@@ -35,7 +36,7 @@
     ("mixed", Behaviour::Mixed),
 ];
 
-/// Sums of one row.
+/// Sums of the outcomes of one row.
 #[derive(Default)]
 struct RowSums {
     runs: u64,
--- a/crates/core/benches/rollout_study_parts/alternatives.rs
+++ b/crates/core/benches/rollout_study_parts/alternatives.rs
@@ -1,4 +1,4 @@
-//! Tests and plans that were weighed against those in use.
+//! Alternative tests and plans, for comparison with those in use.
 
 use cowslip_core::rollout::rollout_judge::change_point_test;
 use cowslip_core::rollout::sequential_test::log_likelihood_ratio;
@@ -10,7 +10,7 @@
 
 use super::course::StudyParts;
 
-/// Wald's sequential ratio test from the start, without restarts.
+/// Wald's sequential probability ratio test from the start, without restarts.
 #[derive(Debug, Default)]
 pub struct WaldTest {
     sum: f64,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A test of two proportions over all counts so far, repeated at each look.
+/// A test of two proportions over all counts so far, repeated with each sample.
 #[derive(Debug, Default)]
 pub struct RepeatedTest {
     calls: [f64; 2],
@@ -46,12 +46,13 @@
         if !score.is_finite() || score < 1.0 {
             return f64::NEG_INFINITY;
         }
-        // The normal distribution's tail beyond the score, as a logarithm.
+        // Approximate tail probability of the normal distribution beyond the
+        // score, as a logarithm.
         score * score / 2.0 + (score * (2.0 * std::f64::consts::PI).sqrt()).ln()
     }
 }
 
-/// Grows evenly to the held share, then holds.
+/// Grows linearly to [`HELD_SHARE`], then holds.
 #[derive(Clone, Copy, Debug)]
 pub struct EvenPlan {
     /// Share of the first step, in thousandths.
@@ -68,7 +69,7 @@
     }
 }
 
-/// The alternatives, with their names.
+/// Returns all alternatives with their titles.
 pub fn all() -> Vec<(&'static str, StudyParts)> {
     let own = StudyParts::default();
     let leader_only = StudyParts {
--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -129,7 +129,7 @@
 pub struct RolloutJudge {
     false_alarm: f64,
     make_test: TestFactory,
-    all_routes: RouteJudge,
+    total: RouteJudge,
     routes: BTreeMap<Arc<str>, RouteJudge>,
 }
 
@@ -145,7 +145,7 @@
         Self {
             false_alarm,
             make_test,
-            all_routes: RouteJudge::new(make_test),
+            total: RouteJudge::new(make_test),
             routes: BTreeMap::new(),
         }
     }
@@ -156,15 +156,13 @@
         let limit = (tests / self.false_alarm).ln();
         let all = &tally.total;
         let mut result = JudgeResult::default();
-        let all_routes = self.all_routes.evaluate(all);
-        result.consider(limit, all_routes, || {
-            self.all_routes.cause(ALL_ROUTES, all_routes.0, all)
-        });
+        let found = self.total.evaluate(all);
+        result.consider(limit, found, || self.total.cause(ALL_ROUTES, found.0, all));
         for (route, counts) in &tally.routes {
             let judge = self.routes.entry(Arc::clone(route));
             let judge = judge.or_insert_with(|| RouteJudge::new(self.make_test));
-            let strongest = judge.evaluate(counts);
-            result.consider(limit, strongest, || judge.cause(route, strongest.0, counts));
+            let found = judge.evaluate(counts);
+            result.consider(limit, found, || judge.cause(route, found.0, counts));
         }
         result
     }
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -1,4 +1,4 @@
-//! Evidence on its way from nodes to the leader.
+//! Transport of evidence from the nodes to the leader, and its sum there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const MOVE: ConfigVersion = ConfigVersion { term: 1, index: 2 };
 
-/// One try at one node; the node may restart before it.
+/// One attempt at one node; the node may restart before it.
 #[derive(Clone, Debug)]
 struct DrawnTry {
     node: usize,
@@ -62,10 +62,10 @@
 }
 
 proptest! {
-    // Reports are lost, come twice and cross each other, and nodes restart.
-    // Counted twice, one failure becomes many and a sound version is taken
-    // back. Against a naive sum of all tries, with the last report of each
-    // incarnation arriving in the end.
+    // Guards against counting an attempt twice when reports are lost,
+    // duplicated or reordered and nodes restart: one failure would become many
+    // and a sound version would be taken back. Compares with a naive sum of all
+    // attempts, once the last report of each incarnation has arrived.
     #[test]
     fn every_try_counts_once(
         tries in prop::collection::vec(drawn_try(), 1..60),
@@ -101,26 +101,26 @@
         for at in 0..3 {
             lasts.push(report(at, orders[at], &tallies[at]));
         }
-        let mut ledger = EvidenceTotals::default();
-        // Crossed and repeated arrivals within the first incarnations, then
-        // what is certain to arrive, in the order of incarnations.
+        let mut totals = EvidenceTotals::default();
+        // Reordered and duplicate arrivals within the first incarnations, then
+        // the reports that are certain to arrive, in the order of incarnations.
         for (pick, twice) in &arrivals {
             let picked = pick.get(&reports).clone();
             if picked.incarnation > 1 {
                 continue;
             }
-            ledger.record_report(Duration::ZERO, picked.clone());
+            totals.record_report(Duration::ZERO, picked.clone());
             if *twice {
-                prop_assert!(!ledger.record_report(Duration::ZERO, picked));
+                prop_assert!(!totals.record_report(Duration::ZERO, picked));
             }
         }
         for last in &lasts {
-            ledger.record_report(Duration::ZERO, last.clone());
+            totals.record_report(Duration::ZERO, last.clone());
         }
         for (pick, _) in &arrivals {
-            ledger.record_report(Duration::ZERO, pick.get(&reports).clone());
+            totals.record_report(Duration::ZERO, pick.get(&reports).clone());
         }
-        let total = ledger.total(MOVE).expect("reports arrived");
+        let total = totals.total(MOVE).expect("reports arrived");
         for (got, wanted) in [
             (&total.total.old, &naive.total.old),
             (&total.total.new, &naive.total.new),
@@ -133,8 +133,8 @@
         }
     }
 
-    // Whatever the latencies, as many lie above a bound as a naive count
-    // says, but for those in the bound's own band.
+    // For any latencies, the count above a bound equals a naive count, except
+    // for latencies in the bound's own bucket.
     #[test]
     fn the_sketch_counts_like_a_list(
         micros in prop::collection::vec(1..5_000_000u64, 1..200),
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -1,4 +1,5 @@
-//! One node's own stop of a bad version, and what must not undo it.
+//! A node stops a bad version on its own evidence, and nothing but the end of
+//! the move undoes the stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,8 +50,9 @@
     }
 }
 
-/// A guard under move 5 of `ledger` to v2, with what each of its looks
-/// records: so many tries of either version, the new one's ending as said.
+/// Creates a guard for move 5 of `ledger` to v2. Before each of the evaluations
+/// it records ten attempts of each version; those of the new version end with
+/// `end`.
 fn guard_after(looks: u32, end: TryOutcome) -> NodeGuard {
     let mut guard = NodeGuard::default();
     guard.install(&document("v1", Some(("v2", 500, 5))));
@@ -64,8 +66,8 @@
     guard
 }
 
-// A node has stopped a version by itself. Then the leader, which has not
-// heard of it, steps the same move on, and the node reconnects and gets the
+// Guards against readmitting a stopped version: the leader, which has not
+// received the stop, advances the same move, and the reconnected node gets the
 // step. The version must stay stopped until the move is over.
 #[test]
 fn later_steps_do_not_admit_a_stopped_version() {
@@ -79,16 +81,13 @@
     guard.install(&document("v1", None));
     assert!(!guard.measures("ledger"));
     guard.install(&document("v1", Some(("v2", 5, 9))));
-    assert!(
-        guard.admits("ledger", "v2"),
-        "another move, another judgement"
-    );
+    assert!(guard.admits("ledger", "v2"), "a later move is judged anew");
 }
 
-// Callers send bad requests, our own limits refuse, a server is away: none
-// of it says anything of a version, and a sound one must not be stopped.
+// Bad requests of callers, limits of the platform and unreachable servers say
+// nothing about a version. A sound version must not be stopped for them.
 #[test]
-fn what_is_no_fault_of_the_version_does_not_count() {
+fn outcomes_not_caused_by_the_version_do_not_count() {
     assert_eq!(TryOutcome::from_status(404), TryOutcome::Answered);
     assert_eq!(TryOutcome::from_status(429), TryOutcome::Answered);
     assert_eq!(TryOutcome::from_status(500), TryOutcome::Failed);
@@ -108,10 +107,10 @@
     assert!(guard.admits("ledger", "v2"));
 }
 
-// A node that has stopped a version says so with every report, so that one
-// report that arrives is enough; it names the node's counts once.
+// Each report of a node repeats its stop, so that a single report that arrives
+// is sufficient, and repeats the same cumulative counts.
 #[test]
-fn a_stop_is_told_with_every_report() {
+fn every_report_repeats_a_stop() {
     let mut guard = guard_after(20, TryOutcome::Failed);
     let node: Arc<str> = "node-1".into();
     let first = guard.report(&node, 7).expect("a move is on");
@@ -137,8 +136,8 @@
     }
 }
 
-// Operators drain the old servers while a move is on its way. The last one
-// must stay: if the new version is found bad, calls go back to it.
+// Guards against draining the last old server during a move: calls must have
+// somewhere to go back to if the new version is found bad.
 #[test]
 fn the_last_old_server_stays_during_a_move() {
     let mut directory = EndpointDirectory::default();
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -1,4 +1,4 @@
-//! What the leader waits for before it steps a move, and what it does not.
+//! Conditions that delay the steps of a move, and conditions that must not.
 
 use std::time::Duration;
 
@@ -58,8 +58,8 @@
     }
 }
 
-/// Counts of a service that was called `calls` times, each for 10 ms, and
-/// whose new version got a share of it.
+/// Counts of a service after `calls` calls of 10 ms each, of which `new_calls`
+/// went to the new version.
 fn counts(sequence: u64, calls: u64, new_calls: u64) -> EvidenceReport {
     let tally = |calls: u64| TallyReport {
         calls,
@@ -84,8 +84,8 @@
     }
 }
 
-/// Shares reached and the last wait, over the whole time of a move whose
-/// steps are taken at once.
+/// Result of driving a move over its whole time; each proposed step takes
+/// effect at once.
 struct DrivenMove {
     record: RolloutRecord,
     finished_at: Option<Duration>,
@@ -98,7 +98,7 @@
     calls_each_look: u64,
 ) -> DrivenMove {
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceTotals::default();
+    let mut totals = EvidenceTotals::default();
     let mut calls = 0;
     let mut new_calls = 0;
     let mut wait = None;
@@ -107,8 +107,8 @@
         let now = DRIVER_INTERVAL * look;
         calls += calls_each_look;
         new_calls += calls_each_look * u64::from(record.share()) / 1_000;
-        ledger.record_report(now, counts(u64::from(look), calls, new_calls));
-        let change = driver.evaluate(now, &record, &sight(now), &ledger);
+        totals.record_report(now, counts(u64::from(look), calls, new_calls));
+        let change = driver.evaluate(now, &record, &sight(now), &totals);
         wait = driver.wait().or(wait);
         match change {
             Some(MoveChange::Step {
@@ -136,8 +136,8 @@
     }
 }
 
-// Evidence is clean and everything is there: the share must grow at least
-// once in each sixth of the time, hold real load, and finish in time.
+// With clean evidence and sufficient capacity the share must grow at least once
+// in each sixth of the time, hold real load, and finish in time.
 #[test]
 fn a_clean_move_grows_steadily_and_holds_load() {
     let driven = drive(record(QuietChoice::Finish), |_| sound_fleet(), 200);
@@ -157,10 +157,11 @@
     assert!(last.at_ms - held.at_ms >= WHOLE_MS / 10);
 }
 
-// The path of the counts breaks, so no failure is seen any more. The move
-// must not take that for health and must not grow.
+// Guards against treating missing reports as health. From the cut on the counts
+// of half of the nodes are missing, so failures may go unseen, and the share
+// must not grow.
 #[test]
-fn silence_is_not_health() {
+fn missing_reports_block_steps() {
     let cut = Duration::from_secs(20);
     let sight = |now| FleetSnapshot {
         nodes_silent: if now < cut { 0 } else { 2 },
@@ -173,8 +174,8 @@
     assert!(last.at_ms < cut.as_millis() as u64);
 }
 
-// A service that hardly anybody calls gives no evidence. Operators chose
-// beforehand whether such a move finishes by its time or holds.
+// A service with hardly any calls gives no evidence. The move then finishes on
+// time or holds, as the operators chose at its start.
 #[test]
 fn a_quiet_move_follows_the_operators_choice() {
     let finish = drive(record(QuietChoice::Finish), |_| sound_fleet(), 0);
@@ -186,15 +187,15 @@
     assert_eq!(hold.record.share(), 5);
 }
 
-// The new version has a third of the old one's servers, and the service
-// uses 16 slots. No step may ask more of the new servers than they carry.
+// Guards against overloading the new servers: the new version has a third of
+// the old one's slots, and the service uses 16 slots.
 #[test]
 fn no_step_asks_more_than_the_new_slots_carry() {
     let sight = |_| FleetSnapshot {
         new_slots: 10,
         ..sound_fleet()
     };
-    // 1,600 calls of 10 ms in a second keep 16 slots busy.
+    // 1,600 calls of 10 ms per second occupy 16 slots.
     let each_look = 1_600 * DRIVER_INTERVAL.as_millis() as u64 / 1_000;
     let driven = drive(record(QuietChoice::Finish), sight, each_look);
     assert_eq!(driven.finished_at, None);
@@ -204,8 +205,8 @@
     assert!(share * 16.0 >= 4.0, "{share}");
 }
 
-// One live node has not applied the last step, so its callers still get the
-// old version. The move must not be called finished.
+// Guards against finishing too early: one live node has not applied the last
+// step, so its callers still get the old version.
 #[test]
 fn a_node_behind_keeps_the_move_open() {
     let sight = |_| FleetSnapshot {
@@ -218,11 +219,12 @@
     assert_eq!(driven.wait, Some(StepWait::NodesBehind));
 }
 
-// A bad version may get a tenth of all calls and 50 more: 274 of the 2,240
-// that a service of 160 a second has in 14 s. One that fails only under load is
-// found a second or so after its share has doubled; until then it must have got
-// so little that the verdict still comes in time. A half is kept until the last
-// check: more would tell less of it for each call.
+// Guards against exceeding the exposure bound before a verdict. A bad version
+// may get a tenth of all calls plus 50: 274 of the 2,240 calls that a service
+// with 160 calls per second has in 14 s. A fault that appears only under load
+// is detected about a second after the share has doubled, so the calls before
+// that must leave room for the verdict. The share stays at one half until the
+// last check, because larger shares give less information per call.
 #[test]
 fn a_version_on_trial_gets_little_before_each_doubling() {
     let plan = BoundedPlan { first: 5 };
@@ -239,7 +241,8 @@
         }
         before = share;
         got += f64::from(share) / 1_000.0;
-        // Found bad at this share, it goes on for the time of a verdict.
+        // If the version is found bad at this share, it still gets calls until
+        // the verdict.
         let in_step = at - grown_at <= whole * 65 / 1_000;
         if share <= 640 && in_step {
             let reached = got + verdict as f64 * f64::from(share) / 1_000.0;
@@ -252,9 +255,9 @@
     assert_eq!(before, 950);
 }
 
-// A move that was held up early catches up late. Taken in one go, the last
-// doublings would give a version that fails under load far more than a
-// verdict takes; each is held for its time all the same.
+// Guards against a late move catching up in one jump, which would give a
+// version that fails under load far more calls than a verdict needs. Each
+// doubling must be held for its minimum time even after an early delay.
 #[test]
 fn a_late_move_on_trial_still_holds_each_step() {
     let held_up = Duration::from_secs(40);
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -1,5 +1,5 @@
-//! How many calls a bad version gets until it is taken back, judged against
-//! the bound that operators set.
+//! Calls that a bad version gets before it is taken back, compared with the
+//! exposure bound set by operators.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -33,27 +33,26 @@
 const WHOLE: Duration = Duration::from_secs(16);
 const CALLS_PER_SECOND: f64 = 69.0;
 
-/// Looks until a call that began is counted as ended, or a step that was
-/// proposed is in force on every node.
-const LAG_LOOKS: usize = 2;
+/// Evaluations until a started call is counted as ended, or a proposed step is
+/// in force on every node.
+const LAG_EVALUATIONS: usize = 2;
 
 const BOUND: ExposureBound = ExposureBound {
     percent: 10,
     calls: 50,
 };
 
-/// Moves of each kind.
+/// Simulated moves per case.
 const SEEDS: u64 = 400;
 
 /// Servers of each version.
 const SERVERS: usize = 4;
 
-/// Part of a version's calls that fail where its servers in use have this
-/// load, 1 where each has what all the traffic would give it.
-type FailurePart<'a> = &'a dyn Fn(f64) -> f64;
+/// Failure rate of a version as a function of the load per server in use; 1 is
+/// the load of each server at full traffic.
+type FailureRate<'a> = &'a dyn Fn(f64) -> f64;
 
-/// Load of each server that takes part in a share of the traffic, in
-/// thousandths.
+/// Load of each server in use at a share given in thousandths.
 fn server_load(pool: &ServerPool, share: u16) -> f64 {
     let used = pool.for_share(share).len();
     f64::from(share) / 1_000.0 * SERVERS as f64 / used as f64
@@ -78,7 +77,7 @@
     pool
 }
 
-/// What a service has had until some look.
+/// Cumulative counts of a service up to one evaluation.
 #[derive(Clone, Copy, Default)]
 struct CallSums {
     old: f64,
@@ -135,28 +134,28 @@
     }
 }
 
-/// A bad version on its move.
+/// Parameters of one simulated move.
 struct MovePlan<'a> {
     seed: u64,
-    fails: FailurePart<'a>,
-    /// Part of the old version's calls that fail, by the time.
+    fails: FailureRate<'a>,
+    /// Failure rate of the old version at a given time.
     old_fails: &'a dyn Fn(Duration) -> f64,
-    /// Part of all calls whose callers leave before any answer.
-    leaving: f64,
-    /// Time in which half of the nodes are not heard.
+    /// Fraction of all calls whose callers disconnect before any answer.
+    abandoned_rate: f64,
+    /// Period in which half of the nodes do not report.
     silence: Range<Duration>,
 }
 
-/// How many of `calls` it hits, each with the chance `part`.
-fn drawn(rng: &mut SmallRng, calls: f64, part: f64) -> f64 {
+/// Draws how many of `calls` are affected, each with probability `part`.
+fn draw_affected(rng: &mut SmallRng, calls: f64, part: f64) -> f64 {
     let hit = (0..calls as u64).filter(|_| rng.random_bool(part));
     hit.count() as f64
 }
 
-/// What a move came to.
+/// Result of a simulated move.
 struct MoveEnd {
-    /// Calls that the new version has got when it is gone from every node; all
-    /// of its calls where it is never taken back.
+    /// Calls of the new version until it is withdrawn from every node, or all
+    /// of its calls if it is never taken back.
     new_calls: f64,
     finished: bool,
 }
@@ -165,35 +164,35 @@
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let mut record = record();
     let mut driver = RolloutDriver::new(&record);
-    let mut ledger = EvidenceTotals::default();
+    let mut totals = EvidenceTotals::default();
     let pool = new_servers();
     let mut begun = vec![CallSums::default()];
     let looks = (WHOLE.as_millis() / DRIVER_INTERVAL.as_millis()) as usize;
-    let mut shares = vec![record.share(); looks + LAG_LOOKS + 2];
+    let mut shares = vec![record.share(); looks + LAG_EVALUATIONS + 2];
     let mut taken_back = false;
     let mut finished = false;
     for look in 1..=looks {
         let now = DRIVER_INTERVAL * look as u32;
         let share = shares[look];
         let due = CALLS_PER_SECOND * DRIVER_INTERVAL.as_secs_f64() * 2.0;
-        let calls = drawn(&mut rng, due, 0.5);
-        let new = drawn(&mut rng, calls, f64::from(share) / 1_000.0);
+        let calls = draw_affected(&mut rng, due, 0.5);
+        let new = draw_affected(&mut rng, calls, f64::from(share) / 1_000.0);
         let old = calls - new;
         let mut sums = begun[look - 1];
         let load = server_load(&pool, share);
-        let left = drawn(&mut rng, new, plan.leaving);
+        let left = draw_affected(&mut rng, new, plan.abandoned_rate);
         sums.new_left += left;
         let new = new - left;
         sums.new += new;
-        sums.new_failed += drawn(&mut rng, new, (plan.fails)(load));
+        sums.new_failed += draw_affected(&mut rng, new, (plan.fails)(load));
         sums.old += old;
-        sums.old_failed += drawn(&mut rng, old, (plan.old_fails)(now));
+        sums.old_failed += draw_affected(&mut rng, old, (plan.old_fails)(now));
         begun.push(sums);
         if taken_back {
             continue;
         }
-        let ended = begun[look.saturating_sub(LAG_LOOKS)];
-        ledger.record_report(now, report(look, ended));
+        let ended = begun[look.saturating_sub(LAG_EVALUATIONS)];
+        totals.record_report(now, report(look, ended));
         let sight = FleetSnapshot {
             old_slots: 24,
             new_slots: 24,
@@ -201,7 +200,7 @@
             nodes_silent: if plan.silence.contains(&now) { 9 } else { 0 },
             nodes_behind: 0,
         };
-        let next = match driver.evaluate(now, &record, &sight, &ledger) {
+        let next = match driver.evaluate(now, &record, &sight, &totals) {
             Some(MoveChange::Step {
                 share_per_mille, ..
             }) => {
@@ -222,7 +221,7 @@
             }
             None | Some(MoveChange::Start { .. }) => continue,
         };
-        for later in &mut shares[look + LAG_LOOKS..] {
+        for later in &mut shares[look + LAG_EVALUATIONS..] {
             *later = next;
         }
     }
@@ -237,13 +236,13 @@
     whole * BOUND.percent as f64 / 100.0 + BOUND.calls as f64
 }
 
-// A version fails half of its calls, but only on servers that are well filled.
-// The leader was lost in the middle of the move, so the last doublings come
-// late. Callers went on meeting failures for two seconds at four fifths of the
-// traffic: no server had been filled before, and strong suspicion was enough on
-// smaller shares only.
+// Guards against a fault that appears only on heavily loaded servers, when the
+// leader is lost in mid-move and the last doublings come late. Callers saw
+// failures for two seconds at four fifths of the traffic, because no server had
+// been heavily loaded before and strong suspicion was sufficient only at
+// smaller shares.
 #[test]
-fn a_version_that_fails_under_most_of_the_load_stays_within_its_bound() {
+fn a_version_that_fails_under_load_stays_within_its_bound() {
     let fails = |load: f64| match load {
         0.0..0.3 => 0.07,
         0.3..0.6 => 0.11,
@@ -259,7 +258,7 @@
                 seed,
                 fails: &fails,
                 old_fails: &|_| 0.07,
-                leaving: 0.0,
+                abandoned_rate: 0.0,
                 silence: silence.clone(),
             };
             let got = run(&plan).new_calls;
@@ -275,12 +274,12 @@
     }
 }
 
-// The network loses answers for as long as the move lasts, so that the old
-// version fails a sixth of its calls. One that fails nearly half of them is
-// three times as bad, which said little where only the ratio counted: it was
-// put in service in one move of ten. Chance alone hides it in one of fifty.
+// Guards against judging by the ratio of failure rates alone. The network loses
+// answers throughout the move, so the old version fails a sixth of its calls. A
+// new version that fails nearly half is about three times as bad, and was put
+// in service in one of ten moves. Chance alone may hide it in one of fifty.
 #[test]
-fn a_bad_version_is_told_from_a_troubled_fleet() {
+fn a_bad_version_is_detected_while_the_old_one_fails_calls() {
     for (old_fails, new_fails) in [(0.15, 0.43), (0.2, 0.55), (0.05, 0.4)] {
         let mut passed = Vec::new();
         for seed in 0..SEEDS {
@@ -288,7 +287,7 @@
                 seed,
                 fails: &|_| new_fails,
                 old_fails: &|_| old_fails,
-                leaving: 0.0,
+                abandoned_rate: 0.0,
                 silence: Duration::ZERO..Duration::ZERO,
             };
             let got = run(&plan).new_calls;
@@ -304,18 +303,18 @@
     }
 }
 
-// A third of all callers leave before they are answered. Calls without an end
-// were not counted, so that a bad version had got more than it may before that
-// showed.
+// Guards against abandoned_rate abandoned calls out of the exposure. A third of all
+// callers disconnect before they are answered; without those calls a bad
+// version exceeded its bound unnoticed.
 #[test]
-fn callers_who_leave_count_as_what_a_version_got() {
+fn abandoned_calls_count_towards_the_exposure() {
     let mut passed = Vec::new();
     for seed in 0..SEEDS {
         let plan = MovePlan {
             seed,
             fails: &|_| 0.4,
             old_fails: &|_| 0.12,
-            leaving: 0.35,
+            abandoned_rate: 0.35,
             silence: Duration::ZERO..Duration::ZERO,
         };
         let got = run(&plan).new_calls;
@@ -330,8 +329,8 @@
     );
 }
 
-// The same troubled fleet, and a version that is no worse than the old one. It
-// must be in service by its time all the same.
+// A new version that is no worse than the old one must be in service by the
+// deadline even if the whole fleet fails calls.
 #[test]
 fn a_sound_version_is_done_in_time_in_a_troubled_fleet() {
     for part in [0.02, 0.05, 0.09] {
@@ -341,7 +340,7 @@
                 seed,
                 fails: &|_| part,
                 old_fails: &|_| part,
-                leaving: 0.0,
+                abandoned_rate: 0.0,
                 silence: Duration::ZERO..Duration::ZERO,
             };
             late += u64::from(!run(&plan).finished);
@@ -350,12 +349,12 @@
     }
 }
 
-// For six seconds of a move answers are lost and servers are slow, so that the
-// old version fails a quarter of its calls. The new one fails a little more, for
-// reasons of its own, and looked no worse: it had got half of the traffic before
-// the trouble was over.
+// Guards against growth during a fleet-wide problem. For six seconds the old
+// version fails a quarter of its calls. The new version fails somewhat more for
+// reasons of its own, looked no worse, and got half of the traffic before the
+// problem was over.
 #[test]
-fn a_version_on_trial_gets_no_more_while_the_fleet_is_troubled() {
+fn the_share_does_not_grow_during_a_fleet_wide_problem() {
     let troubled = |now: Duration| match now.as_millis() {
         4_000..10_000 => 0.25,
         _ => 0.06,
@@ -366,7 +365,7 @@
             seed,
             fails: &|_| 0.38,
             old_fails: &troubled,
-            leaving: 0.0,
+            abandoned_rate: 0.0,
             silence: Duration::ZERO..Duration::ZERO,
         };
         let got = run(&plan).new_calls;
--- a/crates/core/tests/rollout_record.rs
+++ b/crates/core/tests/rollout_record.rs
@@ -1,5 +1,5 @@
-//! Moves in the replicated state: what operators may ask, and what late or
-//! repeated steps come to.
+//! Moves in the replicated state: requests that operators may make, and the
+//! effect of late or repeated steps.
 
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ChangeOutcome;
@@ -14,7 +14,7 @@
 use cowslip_core::rollout::share_plan::QuietChoice;
 use cowslip_core::version::ConfigVersion;
 
-/// A state, and the log that made it.
+/// A replicated state with the index of its last log entry.
 struct LoggedState {
     state: ControlState,
     index: u64,
@@ -117,11 +117,11 @@
     assert!(faults[0].problem.contains(word), "{faults:?}");
 }
 
-// An operator starts what cannot go well: a second move of a service on the
-// move, a version in service already, too short a time, a stranger. Each is
-// refused with its reason and changes nothing.
+// Starts that cannot succeed are refused with a reason and change nothing: a
+// second move of a service under a move, the version already in service, a time
+// window that is too short or too long, an unknown service, an empty version.
 #[test]
-fn moves_that_cannot_go_well_are_refused() {
+fn invalid_starts_are_refused() {
     let mut logged = LoggedState::open();
     refused(logged.take_move("a", start("ledger", "v1", 60)), "already");
     refused(
@@ -147,8 +147,9 @@
     assert_eq!(logged.state.rollouts().running().count(), 2);
 }
 
-// A leader that has been replaced commits its steps late: after a greater
-// share, after the move was taken back. None may bring the version back.
+// Guards against late steps of a replaced leader, which arrive after a larger
+// share or after the move was taken back. None may put the version back into
+// service.
 #[test]
 fn late_steps_never_bring_a_version_back() {
     let mut logged = LoggedState::open();
@@ -168,8 +169,8 @@
     assert_eq!(&*document.services["ledger"].version, "v1");
 }
 
-// An operator applies the file in their hand, which knows nothing of the
-// move on its way. The move must go on; an edit against it is refused.
+// Guards against an operator's file that does not contain the running move. The
+// move must continue, and an edit that conflicts with it is refused.
 #[test]
 fn a_direct_edit_leaves_moves_alone() {
     let mut logged = LoggedState::open();
@@ -194,8 +195,9 @@
     assert_eq!(document.services["ledger"].candidate, None);
 }
 
-// An operator keeps what `cowslip show` printed during a move and applies it
-// after the version was taken back. It must not come into service again.
+// Guards against a file that `cowslip show` printed during a move and that is
+// applied after the version was taken back. The version must not return to
+// service.
 #[test]
 fn a_stale_file_does_not_bring_a_version_back() {
     let mut logged = LoggedState::open();
--- a/crates/core/tests/rollout_study.rs
+++ b/crates/core/tests/rollout_study.rs
@@ -1,6 +1,7 @@
-//! The study of moves: plan, evidence and verdict over a virtual clock and
-//! drawn traffic, by what share of good versions is completed on time and
-//! of bad ones taken back. `cargo bench --bench rollout_study` prints more.
+//! Simulation of whole moves with a virtual clock and random traffic. Checks
+//! the fraction of good versions that are completed on time and of bad versions
+//! that are taken back. `cargo bench --bench rollout_study` prints more
+//! figures.
 
 use std::time::Duration;
 
@@ -18,11 +19,11 @@
 use course::StudyParts;
 use traffic::Behaviour;
 
-/// No call goes to a stopped version later than this.
+/// Maximum time during which calls may still go to a stopped version.
 const STOP_BOUND: Duration = Duration::from_secs(2);
 
-/// Cases of one kind at these rates, each with so many seeds. A tenth of
-/// the reports is lost and a tenth comes twice; all of them cross.
+/// Runs each behaviour at each call rate with `seeds` seeds. A tenth of the
+/// reports is lost, a tenth is duplicated, and all may be reordered.
 fn outcomes(behaviours: &[Behaviour], seeds: u64) -> Vec<(StudyCase, StudyOutcome)> {
     let mut outcomes = Vec::new();
     for behaviour in behaviours {
@@ -42,7 +43,8 @@
     outcomes
 }
 
-/// At least 99 of 100 must hold; prints those that do not.
+/// Asserts that the condition holds in at least 99 of 100 cases, and prints the
+/// cases in which it does not.
 fn assert_share(
     outcomes: &[(StudyCase, StudyOutcome)],
     holds: impl Fn(&StudyCase, &StudyOutcome) -> bool,
@@ -59,9 +61,10 @@
     assert!(missed <= allowed, "{missed} of {} cases", outcomes.len());
 }
 
-// A sound version is taken back by chance, by a crash of one server, by a
-// trouble of the whole fleet or by its cold start; or it is late because it
-// waits for evidence it does not need. Either way operators start again.
+// Guards against taking back a sound version because of chance, the crash of
+// one server, a fleet-wide problem or its cold start, and against finishing
+// late while waiting for evidence that is not needed. In either case operators
+// would have to start again.
 #[test]
 fn good_versions_are_completed_on_time() {
     let good = [
@@ -76,8 +79,8 @@
     });
 }
 
-// A version fails or slows down, at once or later, under load or on one
-// route. It must not come into service whatever the way.
+// A version that fails or slows down, at once or later, under load or on one
+// route, must be taken back.
 #[test]
 fn bad_versions_are_taken_back() {
     let bad = [
@@ -94,8 +97,8 @@
     }
 }
 
-// A version is bad on the route that one call in twenty takes. The calls of
-// the other routes must not hide it.
+// Guards against a fault hidden by the traffic of other routes: the version is
+// bad on a route that gets one call in twenty.
 #[test]
 fn a_bad_route_is_found_among_good_ones() {
     let mut cases = Vec::new();
@@ -115,8 +118,8 @@
     assert!(harmed * 100 < calls, "{harmed} of {calls} harmed");
 }
 
-// A version fails every call, or half of them, from its first. Callers must
-// hardly notice: fewer than one call in a hundred during the move.
+// A version that fails all or half of its calls from the start must harm fewer
+// than one in a hundred calls during the move.
 #[test]
 fn versions_bad_at_once_harm_few_calls() {
     let bad = [Behaviour::FailsAtOnce(1.0), Behaviour::FailsAtOnce(0.5)];
@@ -137,9 +140,9 @@
     }
 }
 
-// The leader is lost in the middle of a move. The next one has the log and
-// the nodes' cumulative counts, and nothing else: the move must go on from
-// its share, be done on time, and no step may be taken twice.
+// The leader is lost during a move. The next leader has only the log and the
+// nodes' cumulative counts. The move must continue from its share and be done
+// on time, and no step may be taken twice.
 #[test]
 fn a_new_leader_goes_on_with_a_good_version() {
     for lost in [10, 20, 30, 40, 52, 55] {
@@ -161,9 +164,9 @@
     }
 }
 
-// The leader is lost just when a late badness begins to show. The next one
-// must find it by the counts that nodes report afresh, and take the move
-// back once.
+// The leader is lost just as a late fault begins to appear. The next leader
+// must detect it from the counts that nodes report anew, and take the move back
+// once.
 #[test]
 fn a_new_leader_takes_a_bad_version_back() {
     for lost in [31, 32, 33] {
@@ -179,11 +182,11 @@
     }
 }
 
-// Every control instance is cut off in the middle of a move, and only then
-// the new version turns bad. Each node must stop it by its own counts, and
-// keep it stopped, although no new version of the document arrives.
+// All control instances become unreachable during a move, and then the new
+// version turns bad. Each node must stop it on its own counts and keep it
+// stopped, although no new document arrives.
 #[test]
-fn nodes_stop_a_bad_version_without_the_source() {
+fn nodes_stop_a_bad_version_without_control_instances() {
     let parts = StudyParts {
         source_away_s: Some(25),
         ..StudyParts::default()
@@ -196,9 +199,9 @@
     assert!(withdrawal <= Duration::from_secs(10), "{withdrawal:?}");
 }
 
-// The control instances come back after the nodes have stopped the version
-// by themselves. The leader, which saw nothing of it, must take the move
-// back by what nodes tell, and no node may call the version meanwhile.
+// The control instances return after the nodes have stopped the version on
+// their own. The leader, which saw none of it, must take the move back on the
+// nodes' reports, and no node may call the version in the meantime.
 #[test]
 fn a_stop_during_a_partition_is_kept_after_it() {
     let parts = StudyParts {
@@ -222,8 +225,8 @@
     );
 }
 
-// Reports cost a node an eighth of the 16 KB a second that control may cost
-// it, however many calls it counts.
+// Reports may use an eighth of the 16 KB per second and node allowed for
+// control traffic, at any call rate.
 #[test]
 fn reports_stay_small() {
     for rate in [40.0, 400.0] {
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -1,5 +1,5 @@
-//! Drives the replicated state, the leader's driver and the nodes' guards
-//! through one move with a virtual clock.
+//! Simulates one move with a virtual clock: the replicated state, the leader's
+//! driver and the nodes' guards.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -43,78 +43,79 @@
 use super::traffic::COLD_CALLS;
 use super::traffic::ROUTES;
 
-/// Nodes that callers reach.
+/// Number of entry nodes.
 pub const NODES: usize = 4;
 
 /// Servers of each version.
 const SERVERS: usize = 6;
 
-/// Wall clock at the start.
+/// Wall clock at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_000_000);
 
-/// Time for an accepted version to reach a node.
+/// Maximum time for an accepted version to reach a node.
 const SPREAD_TIME: Duration = Duration::from_millis(500);
 
-/// Time for a proposed change to be agreed.
+/// Time for a proposed change to be committed.
 const AGREE_TIME: Duration = Duration::from_millis(200);
 
 /// One case of the study.
 #[derive(Clone, Copy, Debug)]
 pub struct StudyCase {
-    /// How the new version behaves.
+    /// Behaviour of the new version.
     pub behaviour: Behaviour,
-    /// Calls of the service in a second.
+    /// Calls of the service per second.
     pub rate: f64,
-    /// Time given to the move, in seconds.
+    /// Time window of the move, in seconds.
     pub window_s: u64,
-    /// Chance that a report is lost, and that it comes twice.
+    /// Probability that a report is lost, and probability that it is
+    /// duplicated.
     pub report_faults: f64,
-    /// Seed of every draw.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// Parts that are compared with others.
+/// Components and failures that differ between runs.
 #[derive(Clone, Copy, Default)]
 pub struct StudyParts {
-    /// Plan, made from the first share; the driver's own otherwise.
+    /// Plan, created from the first share; `None` for the driver's own plan.
     pub plan: Option<fn(u16) -> Box<dyn SharePlan>>,
-    /// Test of the leader; then the nodes do not judge for themselves.
+    /// Test of the leader. If it is set, the nodes do not judge on their own.
     pub test: Option<TestFactory>,
-    /// Time at which the leader is lost and another begins.
+    /// Time at which the leader is replaced, in seconds.
     pub leader_lost_s: Option<u64>,
-    /// Time from which on no control instance is reachable.
+    /// Time from which no control instance is reachable, in seconds.
     pub source_away_s: Option<u64>,
-    /// Time from which on they are reachable again.
+    /// Time from which the control instances are reachable again, in seconds.
     pub source_back_s: Option<u64>,
 }
 
-/// What came of a move.
+/// Result of a move. Times count from its start.
 #[derive(Clone, Debug, Default)]
 pub struct StudyOutcome {
-    /// When the move was done on every node, after its start.
+    /// Time at which the move was done on every node.
     pub done_after: Option<Duration>,
-    /// When it was taken back, after its start.
+    /// Time at which the move was taken back.
     pub taken_back_after: Option<Duration>,
-    /// First call that the version's badness touched, after the start.
+    /// Time of the first call affected by a fault of the new version.
     pub first_harm: Option<Duration>,
-    /// Last call of the new version on any node, after the start.
+    /// Time of the last call of the new version on any node.
     pub last_new_call: Duration,
-    /// Greatest time between a node's own stop and its last call of the
-    /// new version.
+    /// Longest time between a node's own stop and its last call of the new
+    /// version.
     pub stop_lag: Duration,
-    /// Nodes that stopped the version by themselves.
+    /// Nodes that stopped the version on their own.
     pub nodes_stopped: usize,
-    /// Calls of the service, all and harmed.
+    /// All calls of the service.
     pub calls: u64,
-    /// Calls that the badness touched.
+    /// Calls affected by a fault of the new version.
     pub harmed: u64,
-    /// Bytes of all reports sent.
+    /// Total bytes of all reports sent.
     pub bytes: u64,
     /// Accepted changes of the move.
     pub changes: usize,
     /// What the driver waited for last.
     pub wait: Option<StepWait>,
-    /// The record at the end.
+    /// Record of the move at the end.
     pub record: Option<RolloutRecord>,
 }
 
@@ -128,7 +129,7 @@
     stopped_at: Option<Duration>,
 }
 
-/// Names made once: every call needs them.
+/// Shared names, allocated once because every call needs them.
 struct StudyNames {
     service: Arc<str>,
     new: Arc<str>,
@@ -146,7 +147,7 @@
     nodes: Vec<StudyNode>,
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
-    ledger: EvidenceTotals,
+    totals: EvidenceTotals,
     watch: FleetMonitor,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
@@ -154,7 +155,8 @@
     outcome: StudyOutcome,
 }
 
-/// Runs one case to the end of its move, or somewhat past its set time.
+/// Runs one case until its move is over, or until a quarter of the time window
+/// past the deadline.
 pub fn run(case: StudyCase, parts: StudyParts) -> StudyOutcome {
     let mut fleet = StudyFleet::begin(case, parts);
     let whole = Duration::from_secs(case.window_s);
@@ -247,7 +249,7 @@
             nodes,
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
-            ledger: EvidenceTotals::default(),
+            totals: EvidenceTotals::default(),
             watch: FleetMonitor::default(),
             driver,
             servers: servers(),
@@ -411,7 +413,7 @@
             .partition(|(due, _)| *due <= now);
         self.in_flight = still;
         for (_, report) in Vec::<(Duration, EvidenceReport)>::from_iter(arrived) {
-            self.ledger.record_report(EPOCH + now, report);
+            self.totals.record_report(EPOCH + now, report);
         }
         self.accept(now);
         if now.subsec_millis().is_multiple_of(500) {
@@ -419,10 +421,10 @@
         }
     }
 
-    /// The new leader has the log and nothing else of the old one.
+    /// Replaces the leader. The new one has nothing but the log.
     fn change_leader(&mut self) {
         self.term += 1;
-        self.ledger = EvidenceTotals::default();
+        self.totals = EvidenceTotals::default();
         self.watch = FleetMonitor::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
@@ -465,8 +467,8 @@
             let servers = self.servers.iter();
             let snapshot =
                 self.watch
-                    .snapshot(wall, record, servers, &nodes, &self.ledger);
-            let change = self.driver.evaluate(wall, record, &snapshot, &self.ledger);
+                    .snapshot(wall, record, servers, &nodes, &self.totals);
+            let change = self.driver.evaluate(wall, record, &snapshot, &self.totals);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
             }
--- a/crates/core/tests/rollout_study/traffic.rs
+++ b/crates/core/tests/rollout_study/traffic.rs
@@ -1,5 +1,5 @@
-//! A small fake of traffic: calls with drawn latencies and failures per
-//! version and route, counted by the nodes' own guards.
+//! Simulated traffic: calls with random latencies and failures per version and
+//! route, counted by the nodes' own guards.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -7,31 +7,32 @@
 
 use cowslip_core::rollout::evidence::TryOutcome;
 
-/// Routes of the service and their parts of its calls.
+/// Routes of the service and their fractions of its calls.
 pub const ROUTES: [(&str, f64); 3] =
     [("/sales", 0.70), ("/lots", 0.25), ("/certificates", 0.05)];
 
-/// How the new version behaves.
+/// Behaviour of the new version.
 #[allow(dead_code)]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// As the old version, slow only while it is cold.
+    /// Same as the old version, but slow while it is cold.
     Good,
-    /// As the old version, and one of its servers crashes once.
+    /// Same as the old version, but one of its servers crashes once.
     GoodWithCrash,
-    /// As the old version; both fail a fifth of their calls for a while.
+    /// Same as the old version; both fail a fifth of their calls for a while.
     GoodInTrouble,
-    /// The same, while the new version has most of the traffic.
+    /// As [`Self::GoodInTrouble`], while the new version has most of the
+    /// traffic.
     GoodInLateTrouble,
-    /// As the old version, a tenth slower.
+    /// A tenth slower than the old version.
     GoodHeavier,
-    /// Fails this part of its calls from the start.
+    /// Fails this fraction of its calls from the start.
     FailsAtOnce(f64),
     /// Fails a fifth of its calls from the middle of the move on.
     FailsLate,
     /// Fails a sixth of its calls once it has half of the traffic.
     FailsUnderLoad,
-    /// Fails half of its calls on the route with the fewest.
+    /// Fails half of its calls on the route with the fewest calls.
     FailsOnRoute,
     /// Takes this many times as long.
     Slow(f64),
@@ -39,51 +40,52 @@
     Mixed,
 }
 
-/// Where a call stands.
+/// Conditions of one simulated call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallPoint {
-    /// Part of the move's time that has passed.
+    /// Elapsed fraction of the move's time.
     pub part: f64,
-    /// Calls that the server has had.
+    /// Calls that the server has received so far.
     pub served: u32,
-    /// Number of the server.
+    /// Index of the server.
     pub server: usize,
     /// Share of the new version, from 0 to 1.
     pub share: f64,
     /// Index of the route.
     pub route: usize,
-    /// True for the new version.
+    /// Whether the call goes to the new version.
     pub new: bool,
 }
 
-/// One call as drawn.
+/// Result of one simulated call.
 #[derive(Clone, Copy, Debug)]
 pub struct DrawnCall {
-    /// Time it took.
+    /// Duration of the call.
     pub took: Duration,
-    /// How it ended.
+    /// Outcome of the call.
     pub end: TryOutcome,
-    /// True where the new version's badness touched it.
+    /// Whether a fault of the new version affected the call.
     pub harmed: bool,
 }
 
-/// Failures of a sound version.
+/// Failure rate of a sound version.
 const BASE_FAILURES: f64 = 0.002;
 
 /// Median latency of a sound version, in milliseconds.
 const MEDIAN_MS: f64 = 8.0;
 
-/// Spread of the logarithm of latencies.
+/// Standard deviation of the logarithm of latencies.
 const SPREAD: f64 = 0.5;
 
-/// Calls for which new servers are cold.
+/// Calls after which a new server is no longer cold.
 pub const COLD_CALLS: u32 = 10;
 
-/// How much slower cold servers are.
+/// Slow-down factor of cold servers.
 const COLD_FACTOR: f64 = 4.0;
 
 impl Behaviour {
-    /// Failures and slowness that the new version adds at this point.
+    /// Additional failure rate and slow-down factor of the new version at this
+    /// point.
     fn added(self, point: &CallPoint) -> (f64, f64) {
         let late = point.part >= 0.5;
         let last_route = point.route + 1 == ROUTES.len();
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Draws one call.
+    /// Draws the result of one call.
     pub fn draw(self, point: &CallPoint, rng: &mut SmallRng) -> DrawnCall {
         let (failures, factor) = if point.new {
             self.added(point)
@@ -131,12 +133,13 @@
     }
 }
 
-/// One server is gone and its calls are broken until others know it.
+/// Returns whether the call hits a crashed server: its calls fail until the
+/// other processes have noticed the crash.
 fn crashes(point: &CallPoint) -> bool {
     point.server == 0 && (0.400..0.402).contains(&point.part)
 }
 
-/// A draw from the standard normal distribution (Box and Muller).
+/// Draws from the standard normal distribution (Box–Muller transform).
 fn normal(rng: &mut SmallRng) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random::<f64>()).cos()
--- a/crates/core/tests/version_share.rs
+++ b/crates/core/tests/version_share.rs
@@ -1,4 +1,5 @@
-//! Which part of a service's calls a version on trial gets at one entry node.
+//! Fraction of a service's calls that a version on trial gets at one entry
+//! node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,7 +51,8 @@
     }
 }
 
-/// Four servers of each version, and a move that is on its first share.
+/// Creates a router with four servers of each version and a move at its first
+/// share.
 fn router() -> EntryRouter {
     let spec = ServiceSpec {
         version: "v1".into(),
@@ -87,8 +89,8 @@
     router
 }
 
-/// Part of the calls that reach a server of the new version, where servers of
-/// the old one treat each first try with `failure`.
+/// Fraction of the calls that reach a server of the new version if every
+/// attempt at a server of the old one ends in `failure`.
 fn part_of_new(failure: TryFailure) -> f64 {
     let mut router = router();
     let mut new = 0;
@@ -122,9 +124,9 @@
     f64::from(new) / f64::from(CALLS)
 }
 
-// A bad version is on trial with a small share while the servers of the old
-// one are full. A call that is offered to one after the other drew its version
-// anew for each, so that the bad one got three times its share.
+// Guards against drawing the version anew for each server that a call is
+// offered to. While the servers of the old version are full, a bad version on
+// trial got three times its share that way.
 #[test]
 fn calls_that_seek_a_free_slot_keep_their_version() {
     let part = part_of_new(FULL);
@@ -132,8 +134,8 @@
     assert!(part <= allowed, "{part:.3} of {allowed:.3}");
 }
 
-// The servers of the old version break connections for a while. Calls that are
-// tried again must not prefer the version on trial either.
+// Guards against retries that prefer the version on trial while the servers of
+// the old version break connections.
 #[test]
 fn calls_that_are_tried_again_keep_their_version() {
     let part = part_of_new(BROKEN);
