--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -1,10 +1,11 @@
-//! Judges one move by the counts of its old and new version, by route.
+//! Judges one move by the counts of its old and new version on each route.
 //!
-//! Load pattern: a version may fail or slow down, from the start or later,
-//! on one route or under load only; the fleet may have a trouble of its own
-//! meanwhile. Without routes kept apart a fault of a rare route drowns in
-//! the calls of a busy one; without the old version over the same time
-//! every fleet-wide trouble takes a good version back.
+//! A version may fail calls or be slow, from the start or later, on one route
+//! or only under load, while the whole fleet may have a problem of its own.
+//! Routes are judged separately, because a fault of a rarely used route would
+//! be hidden by the calls of a busy one. The new version is compared with the
+//! old one over the same period, because otherwise every fleet-wide problem
+//! would take a sound version back.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,51 +17,52 @@
 use crate::rollout::evidence::RolloutTally;
 use crate::rollout::evidence::RouteTally;
 use crate::rollout::evidence::VersionTally;
-use crate::rollout::sequential_test::ChangeTest;
+use crate::rollout::sequential_test::ChangePointTest;
 use crate::rollout::sequential_test::EventCounts;
-use crate::rollout::sequential_test::TestLook;
-use crate::rollout::sequential_test::VerdictTest;
-use crate::rollout::sequential_test::BAD_FAILURES;
-use crate::rollout::sequential_test::BAD_SLOWNESS;
+use crate::rollout::sequential_test::SequentialTest;
+use crate::rollout::sequential_test::TestSample;
+use crate::rollout::sequential_test::FAILURE_ODDS_RATIOS;
+use crate::rollout::sequential_test::SLOWNESS_ODDS_RATIOS;
 
-/// Chance that the leader ever takes back a version that is no worse than
-/// the old one, over a whole move.
+/// Probability that the leader takes back a version that is no worse than the
+/// old one, over a whole move.
 pub const FALSE_ALARM_FLEET: f64 = 1e-3;
 
-/// The same for one node, so that 5,200 nodes together stay within the
-/// leader's chance.
+/// The same for one node, so that 5,200 nodes together stay within the leader's
+/// probability.
 pub const FALSE_ALARM_NODE: f64 = FALSE_ALARM_FLEET / 5_200.0;
 
-/// Tests of each route; they share the chance of a false alarm.
+/// Tests per route; they share the false alarm probability.
 const TESTS_PER_ROUTE: f64 = 2.0;
 
-/// Stands for all routes together. Where a version is bad on every route,
-/// the sum shows it from the fewest calls.
+/// Route name that stands for all routes together. A version that is bad on
+/// every route is detected in the sum after the fewest calls.
 pub const ALL_ROUTES: &str = "*";
 
-/// A call is slow above this quantile of the old version, times the margin.
-/// Half as slow again shows as four times as many slow calls, and a tenth
-/// slower as less than twice as many, which no test takes for bad.
+/// A call is slow if it takes longer than this quantile of the old version
+/// times [`SLOW_MARGIN`]. A version half as slow again then has four times as
+/// many slow calls, and one a tenth slower less than twice as many, which no
+/// test counts as bad.
 const SLOW_QUANTILE: f64 = 0.9;
 
-/// Slowness that is tolerated, as a factor. Without it a service of even
-/// latencies would have versions taken back for a few parts in a hundred.
+/// Tolerated slow-down, as a factor. Without it, a version of a service with
+/// very even latencies would be taken back for being a few per cent slower.
 const SLOW_MARGIN: f64 = 1.25;
 
-/// Latencies of the old version needed before that quantile is used.
+/// Minimum number of the old version's latencies for a usable quantile.
 const SLOW_CALLS_MIN: u64 = 100;
 
-/// In what way a version is bad.
+/// Kind of badness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BadSignal {
-    /// It fails calls.
+    /// The version fails calls.
     Failures,
-    /// It answers slowly.
+    /// The version answers slowly.
     Slowness,
 }
 
 impl BadSignal {
-    /// The word that operators read.
+    /// Text shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Failures => "failures",
@@ -69,16 +71,17 @@
     }
 }
 
-/// Why a version was found bad, with the figures since the move's start.
+/// Evidence on which a version was found bad, counted since the start of the
+/// move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BadnessCause {
-    /// Route on which it showed.
+    /// Route on which the evidence was found.
     pub route: Arc<str>,
-    /// In what way.
+    /// Kind of badness.
     pub signal: BadSignal,
-    /// Calls of the old version, and those failed or slow.
+    /// Calls of the old version, and the failed or slow ones among them.
     pub old: EventCounts,
-    /// Calls of the new version, and those failed or slow.
+    /// Calls of the new version, and the failed or slow ones among them.
     pub new: EventCounts,
 }
 
@@ -97,75 +100,76 @@
     }
 }
 
-/// What a look came to.
+/// Result of one evaluation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct JudgeView {
-    /// Set where the version is bad.
+pub struct JudgeResult {
+    /// Set if the version is bad.
     pub cause: Option<BadnessCause>,
-    /// Strongest evidence against it, from 0 for none to 1 for bad.
+    /// Strongest evidence against the version, from 0 for none; 1 or more is a
+    /// verdict.
     pub suspicion: f64,
-    /// What that evidence is, whether it suffices or not.
+    /// The strongest evidence, whether or not it is sufficient.
     pub strongest: Option<BadnessCause>,
 }
 
-/// Makes the tests of a judge.
-pub type TestMaker = fn(BadSignal) -> Box<dyn VerdictTest>;
+/// Creates the sequential test for a signal.
+pub type TestFactory = fn(BadSignal) -> Box<dyn SequentialTest>;
 
-/// The test in use.
-pub fn change_test(signal: BadSignal) -> Box<dyn VerdictTest> {
+/// The test used in production.
+pub fn change_point_test(signal: BadSignal) -> Box<dyn SequentialTest> {
     let ratios = match signal {
-        BadSignal::Failures => BAD_FAILURES,
-        BadSignal::Slowness => BAD_SLOWNESS,
+        BadSignal::Failures => FAILURE_ODDS_RATIOS,
+        BadSignal::Slowness => SLOWNESS_ODDS_RATIOS,
     };
-    Box::new(ChangeTest::new(ratios))
+    Box::new(ChangePointTest::new(ratios))
 }
 
-/// Judges the routes of one move.
+/// Judges all routes of one move.
 #[derive(Debug)]
 pub struct RolloutJudge {
     false_alarm: f64,
-    make_test: TestMaker,
-    whole: RouteJudge,
+    make_test: TestFactory,
+    total: RouteJudge,
     routes: BTreeMap<Arc<str>, RouteJudge>,
 }
 
 impl RolloutJudge {
-    /// A judge whose chance of a false alarm over the whole move is at most
-    /// `false_alarm`.
+    /// Creates a judge whose false alarm probability over the whole move is at
+    /// most `false_alarm`.
     pub fn new(false_alarm: f64) -> Self {
-        Self::with_test(false_alarm, change_test)
+        Self::with_test(false_alarm, change_point_test)
     }
 
-    /// A judge with another test, for comparing tests.
-    pub fn with_test(false_alarm: f64, make_test: TestMaker) -> Self {
+    /// Creates a judge with another test, to compare tests.
+    pub fn with_test(false_alarm: f64, make_test: TestFactory) -> Self {
         Self {
             false_alarm,
             make_test,
-            whole: RouteJudge::new(make_test),
+            total: RouteJudge::new(make_test),
             routes: BTreeMap::new(),
         }
     }
 
-    /// Looks at the counts of the whole move as they stand now.
-    pub fn look(&mut self, tally: &RolloutTally) -> JudgeView {
+    /// Evaluates the current cumulative counts of the move.
+    pub fn evaluate(&mut self, tally: &RolloutTally) -> JudgeResult {
         let tests = TESTS_PER_ROUTE * (tally.routes.len() + 1) as f64;
         let limit = (tests / self.false_alarm).ln();
-        let all = &tally.whole;
-        let mut view = JudgeView::default();
-        let whole = self.whole.look(all);
-        view.weigh(limit, whole, || self.whole.cause(ALL_ROUTES, whole.0, all));
+        let all = &tally.total;
+        let mut result = JudgeResult::default();
+        let found = self.total.evaluate(all);
+        result.consider(limit, found, || self.total.cause(ALL_ROUTES, found.0, all));
         for (route, counts) in &tally.routes {
             let judge = self.routes.entry(Arc::clone(route));
             let judge = judge.or_insert_with(|| RouteJudge::new(self.make_test));
-            let found = judge.look(counts);
-            view.weigh(limit, found, || judge.cause(route, found.0, counts));
+            let found = judge.evaluate(counts);
+            result.consider(limit, found, || judge.cause(route, found.0, counts));
         }
-        view
+        result
     }
 }
 
-impl JudgeView {
-    fn weigh(
+impl JudgeResult {
+    fn consider(
         &mut self,
         limit: f64,
         (_, evidence): (BadSignal, f64),
@@ -184,7 +188,7 @@
     }
 }
 
-/// Counts of both versions.
+/// Calls and events of both versions.
 #[derive(Clone, Copy, Debug, Default)]
 struct PairCounts {
     old: EventCounts,
@@ -196,8 +200,8 @@
         self.old.calls + self.new.calls
     }
 
-    fn grown_to(&self, now: &Self) -> TestLook {
-        TestLook {
+    fn increase_to(&self, now: &Self) -> TestSample {
+        TestSample {
             old: grown(self.old, now.old),
             new: grown(self.new, now.new),
         }
@@ -206,17 +210,17 @@
 
 #[derive(Debug)]
 struct RouteJudge {
-    failures: Box<dyn VerdictTest>,
-    slowness: Box<dyn VerdictTest>,
+    failures: Box<dyn SequentialTest>,
+    slowness: Box<dyn SequentialTest>,
     failed: PairCounts,
     slow: PairCounts,
     bound_us: u64,
     bound_calls: u64,
-    found: (BadSignal, f64),
+    strongest: (BadSignal, f64),
 }
 
 impl RouteJudge {
-    fn new(make_test: TestMaker) -> Self {
+    fn new(make_test: TestFactory) -> Self {
         Self {
             failures: make_test(BadSignal::Failures),
             slowness: make_test(BadSignal::Slowness),
@@ -224,36 +228,36 @@
             slow: PairCounts::default(),
             bound_us: u64::MAX,
             bound_calls: 0,
-            found: (BadSignal::Failures, f64::NEG_INFINITY),
+            strongest: (BadSignal::Failures, f64::NEG_INFINITY),
         }
     }
 
-    fn look(&mut self, counts: &RouteTally) -> (BadSignal, f64) {
+    fn evaluate(&mut self, counts: &RouteTally) -> (BadSignal, f64) {
         let failed = failures(counts);
         if failed.calls() == self.failed.calls() {
-            return self.found;
+            return self.strongest;
         }
-        let failing = self.failures.look(&self.failed.grown_to(&failed));
+        let failure_evidence = self.failures.update(&self.failed.increase_to(&failed));
         self.failed = failed;
-        let mut slowing = f64::NEG_INFINITY;
+        let mut slowness_evidence = f64::NEG_INFINITY;
         if self.bound_calls >= SLOW_CALLS_MIN {
             let slow = slowness(counts, self.bound_us);
-            slowing = self.slowness.look(&self.slow.grown_to(&slow));
+            slowness_evidence = self.slowness.update(&self.slow.increase_to(&slow));
             self.slow = slow;
         }
-        self.renew_bound(counts);
-        self.found = if slowing > failing {
-            (BadSignal::Slowness, slowing)
+        self.update_slow_bound(counts);
+        self.strongest = if slowness_evidence > failure_evidence {
+            (BadSignal::Slowness, slowness_evidence)
         } else {
-            (BadSignal::Failures, failing)
+            (BadSignal::Failures, failure_evidence)
         };
-        self.found
+        self.strongest
     }
 
-    /// Sets the latency above which a call is slow, for the looks to come:
-    /// no look's own calls can move it. It is set anew each time the old
-    /// version's calls have grown by a tenth.
-    fn renew_bound(&mut self, counts: &RouteTally) {
+    /// Updates the latency above which a call is slow. The bound applies only
+    /// to later evaluations, so no evaluation's own calls can move it. It is
+    /// updated each time the old version's calls have grown by a tenth.
+    fn update_slow_bound(&mut self, counts: &RouteTally) {
         let calls = counts.old.latency.count();
         if calls <= self.bound_calls + self.bound_calls / 10 {
             return;
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -1,5 +1,5 @@
-//! Drives the replicated state, the leader's driver and the nodes' guards
-//! through one move with a virtual clock.
+//! Simulates one move with a virtual clock: the replicated state, the leader's
+//! driver and the nodes' guards.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 use cowslip_core::rollout::rollout_change::StepWait;
 use cowslip_core::rollout::rollout_driver::RolloutDriver;
 use cowslip_core::rollout::rollout_judge::RolloutJudge;
-use cowslip_core::rollout::rollout_judge::TestMaker;
+use cowslip_core::rollout::rollout_judge::TestFactory;
 use cowslip_core::rollout::rollout_judge::FALSE_ALARM_FLEET;
 use cowslip_core::rollout::rollout_record::RolloutEnd;
 use cowslip_core::rollout::rollout_record::RolloutRecord;
@@ -43,78 +43,79 @@
 use super::traffic::COLD_CALLS;
 use super::traffic::ROUTES;
 
-/// Nodes that callers reach.
+/// Number of entry nodes.
 pub const NODES: usize = 4;
 
 /// Servers of each version.
 const SERVERS: usize = 6;
 
-/// Wall clock at the start.
+/// Wall clock at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_000_000);
 
-/// Time for an accepted version to reach a node.
+/// Maximum time for an accepted version to reach a node.
 const SPREAD_TIME: Duration = Duration::from_millis(500);
 
-/// Time for a proposed change to be agreed.
+/// Time for a proposed change to be committed.
 const AGREE_TIME: Duration = Duration::from_millis(200);
 
 /// One case of the study.
 #[derive(Clone, Copy, Debug)]
 pub struct StudyCase {
-    /// How the new version behaves.
+    /// Behaviour of the new version.
     pub behaviour: Behaviour,
-    /// Calls of the service in a second.
+    /// Calls of the service per second.
     pub rate: f64,
-    /// Time given to the move, in seconds.
+    /// Time window of the move, in seconds.
     pub window_s: u64,
-    /// Chance that a report is lost, and that it comes twice.
+    /// Probability that a report is lost, and probability that it is
+    /// duplicated.
     pub report_faults: f64,
-    /// Seed of every draw.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// Parts that are compared with others.
+/// Components and failures that differ between runs.
 #[derive(Clone, Copy, Default)]
 pub struct StudyParts {
-    /// Plan, made from the first share; the driver's own otherwise.
+    /// Plan, created from the first share; `None` for the driver's own plan.
     pub plan: Option<fn(u16) -> Box<dyn SharePlan>>,
-    /// Test of the leader; then the nodes do not judge for themselves.
-    pub test: Option<TestMaker>,
-    /// Time at which the leader is lost and another begins.
+    /// Test of the leader. If it is set, the nodes do not judge on their own.
+    pub test: Option<TestFactory>,
+    /// Time at which the leader is replaced, in seconds.
     pub leader_lost_s: Option<u64>,
-    /// Time from which on no control instance is reachable.
+    /// Time from which no control instance is reachable, in seconds.
     pub source_away_s: Option<u64>,
-    /// Time from which on they are reachable again.
+    /// Time from which the control instances are reachable again, in seconds.
     pub source_back_s: Option<u64>,
 }
 
-/// What came of a move.
+/// Result of a move. Times count from its start.
 #[derive(Clone, Debug, Default)]
 pub struct StudyOutcome {
-    /// When the move was done on every node, after its start.
+    /// Time at which the move was done on every node.
     pub done_after: Option<Duration>,
-    /// When it was taken back, after its start.
+    /// Time at which the move was taken back.
     pub taken_back_after: Option<Duration>,
-    /// First call that the version's badness touched, after the start.
+    /// Time of the first call affected by a fault of the new version.
     pub first_harm: Option<Duration>,
-    /// Last call of the new version on any node, after the start.
+    /// Time of the last call of the new version on any node.
     pub last_new_call: Duration,
-    /// Greatest time between a node's own stop and its last call of the
-    /// new version.
-    pub late_calls: Duration,
-    /// Nodes that stopped the version by themselves.
+    /// Longest time between a node's own stop and its last call of the new
+    /// version.
+    pub stop_lag: Duration,
+    /// Nodes that stopped the version on their own.
     pub nodes_stopped: usize,
-    /// Calls of the service, all and harmed.
+    /// All calls of the service.
     pub calls: u64,
-    /// Calls that the badness touched.
+    /// Calls affected by a fault of the new version.
     pub harmed: u64,
-    /// Bytes of all reports sent.
+    /// Total bytes of all reports sent.
     pub bytes: u64,
     /// Accepted changes of the move.
     pub changes: usize,
     /// What the driver waited for last.
     pub wait: Option<StepWait>,
-    /// The record at the end.
+    /// Record of the move at the end.
     pub record: Option<RolloutRecord>,
 }
 
@@ -123,12 +124,12 @@
     guard: NodeGuard,
     document: Arc<FleetDocument>,
     version: ConfigVersion,
-    coming: VecDeque<(Duration, ConfigVersion, Arc<FleetDocument>)>,
+    pending_documents: VecDeque<(Duration, ConfigVersion, Arc<FleetDocument>)>,
     due_calls: f64,
     stopped_at: Option<Duration>,
 }
 
-/// Names made once: every call needs them.
+/// Shared names, allocated once because every call needs them.
 struct StudyNames {
     service: Arc<str>,
     new: Arc<str>,
@@ -146,7 +147,7 @@
     nodes: Vec<StudyNode>,
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
-    ledger: EvidenceTotals,
+    totals: EvidenceTotals,
     watch: FleetMonitor,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
@@ -154,7 +155,8 @@
     outcome: StudyOutcome,
 }
 
-/// Runs one case to the end of its move, or somewhat past its set time.
+/// Runs one case until its move is over, or until a quarter of the time window
+/// past the deadline.
 pub fn run(case: StudyCase, parts: StudyParts) -> StudyOutcome {
     let mut fleet = StudyFleet::begin(case, parts);
     let whole = Duration::from_secs(case.window_s);
@@ -224,7 +226,7 @@
                 guard: NodeGuard::default(),
                 document: Arc::default(),
                 version: ConfigVersion::ZERO,
-                coming: VecDeque::new(),
+                pending_documents: VecDeque::new(),
                 due_calls: 0.0,
                 stopped_at: None,
             });
@@ -247,7 +249,7 @@
             nodes,
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
-            ledger: EvidenceTotals::default(),
+            totals: EvidenceTotals::default(),
             watch: FleetMonitor::default(),
             driver,
             servers: servers(),
@@ -267,13 +269,16 @@
         for node in &mut self.nodes {
             let jitter = SPREAD_TIME.mul_f64(self.rng.random::<f64>());
             let news = (now + jitter, snapshot.version, snapshot.document.clone());
-            node.coming.push_back(news);
+            node.pending_documents.push_back(news);
         }
     }
 
     fn is_over(&mut self) -> bool {
         if self.outcome.taken_back_after.is_some() {
-            return self.nodes.iter().all(|node| node.coming.is_empty());
+            return self
+                .nodes
+                .iter()
+                .all(|node| node.pending_documents.is_empty());
         }
         self.outcome.done_after.is_some()
     }
@@ -291,14 +296,18 @@
             }
         }
         if !away {
-            self.lead(now);
+            self.run_leader(now);
         }
     }
 
     fn install(&mut self, now: Duration, at: usize) {
         let node = &mut self.nodes[at];
-        while node.coming.front().is_some_and(|(due, _, _)| *due <= now) {
-            let Some((_, version, document)) = node.coming.pop_front() else {
+        while node
+            .pending_documents
+            .front()
+            .is_some_and(|(due, _, _)| *due <= now)
+        {
+            let Some((_, version, document)) = node.pending_documents.pop_front() else {
                 continue;
             };
             if version > node.version {
@@ -318,8 +327,9 @@
         let share = candidate.map_or(0, |candidate| candidate.share_per_mille);
         let share = f64::from(share) / 1_000.0;
         let spread = 0.5 + self.rng.random::<f64>();
-        let a_look = self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
-        node.due_calls += a_look * spread;
+        let calls_per_tick =
+            self.case.rate / NODES as f64 * EVALUATION_INTERVAL.as_secs_f64();
+        node.due_calls += calls_per_tick * spread;
         while node.due_calls >= 1.0 {
             node.due_calls -= 1.0;
             let drawn = self.rng.random::<f64>() < share;
@@ -356,7 +366,7 @@
             self.outcome.last_new_call = now;
             if let Some(stopped_at) = node.stopped_at {
                 let late = now - stopped_at;
-                self.outcome.late_calls = self.outcome.late_calls.max(late);
+                self.outcome.stop_lag = self.outcome.stop_lag.max(late);
             }
             if call.harmed {
                 self.outcome.harmed += 1;
@@ -394,7 +404,7 @@
         }
     }
 
-    fn lead(&mut self, now: Duration) {
+    fn run_leader(&mut self, now: Duration) {
         if self.parts.leader_lost_s.map(Duration::from_secs) == Some(now) {
             self.change_leader();
         }
@@ -403,18 +413,18 @@
             .partition(|(due, _)| *due <= now);
         self.in_flight = still;
         for (_, report) in Vec::<(Duration, EvidenceReport)>::from_iter(arrived) {
-            self.ledger.record_report(EPOCH + now, report);
+            self.totals.record_report(EPOCH + now, report);
         }
         self.accept(now);
         if now.subsec_millis().is_multiple_of(500) {
-            self.look(now);
+            self.evaluate_move(now);
         }
     }
 
-    /// The new leader has the log and nothing else of the old one.
+    /// Replaces the leader. The new one has nothing but the log.
     fn change_leader(&mut self) {
         self.term += 1;
-        self.ledger = EvidenceTotals::default();
+        self.totals = EvidenceTotals::default();
         self.watch = FleetMonitor::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
@@ -441,7 +451,7 @@
         }
     }
 
-    fn look(&mut self, now: Duration) {
+    fn evaluate_move(&mut self, now: Duration) {
         let wall = EPOCH + now;
         self.watch.record_servers(wall, self.servers.iter());
         let mut nodes = Vec::new();
@@ -455,10 +465,10 @@
         }
         if let Some(record) = self.state.rollouts().running().next() {
             let servers = self.servers.iter();
-            let sight = self
-                .watch
-                .snapshot(wall, record, servers, &nodes, &self.ledger);
-            let change = self.driver.evaluate(wall, record, &sight, &self.ledger);
+            let snapshot =
+                self.watch
+                    .snapshot(wall, record, servers, &nodes, &self.totals);
+            let change = self.driver.evaluate(wall, record, &snapshot, &self.totals);
             if let Some(change) = change {
                 self.proposed.push_back((now + AGREE_TIME, change));
             }
