--- a/crates/core/src/applied_versions.rs
+++ b/crates/core/src/applied_versions.rs
@@ -1,8 +1,9 @@
-//! Which version each node is known to have applied, beyond its process.
+//! The version that each node is known to have applied, kept across restarts
+//! of the node's process.
 //!
-//! A node has no disk. When its process dies and comes back while every
-//! confirmed source is away, the control instances' memory is what keeps it
-//! from starting below the version that it had applied.
+//! A node has no disk. If its process restarts while no source can confirm
+//! its answer, this record in the control instances keeps the node from
+//! starting with a version lower than the one it had applied.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,10 +11,10 @@
 
 use crate::version::ConfigVersion;
 
-/// Names remembered, the least recently heard dropped first. Three times
-/// the fleet of 5,200, so that a week of 1,500 replaced servers a day does
-/// not push out a node that still runs; about 2 MB.
-const NAMES_MAX: usize = 16_384;
+/// Largest number of nodes kept; the least recently heard is evicted first.
+/// Three times the fleet of 5,200, so that a week in which 1,500 servers a
+/// day are replaced does not evict a node that still runs; about 2 MB.
+const NODES_MAX: usize = 16_384;
 
 /// Highest version each node is known to have applied.
 #[derive(Clone, Debug, Default)]
@@ -30,9 +31,9 @@
 }
 
 impl AppliedVersions {
-    /// A node has applied `version`; a lower one does not lower what is
-    /// remembered.
-    pub fn remember(&mut self, node: &Arc<str>, version: ConfigVersion) {
+    /// Records that a node has applied `version`. The highest version is
+    /// kept.
+    pub fn record(&mut self, node: &Arc<str>, version: ConfigVersion) {
         let mut version = version;
         if let Some(held) = self.acks.get(node) {
             version = version.max(held.version);
@@ -43,7 +44,7 @@
         self.by_age.insert(heard, Arc::clone(node));
         let ack = HeldAck { version, heard };
         self.acks.insert(Arc::clone(node), ack);
-        if self.acks.len() <= NAMES_MAX {
+        if self.acks.len() <= NODES_MAX {
             return;
         }
         if let Some((_, oldest)) = self.by_age.pop_first() {
@@ -51,17 +52,17 @@
         }
     }
 
-    /// What the node is known to have applied.
-    pub fn recall(&self, node: &str) -> Option<ConfigVersion> {
+    /// Highest version that the node is known to have applied.
+    pub fn get(&self, node: &str) -> Option<ConfigVersion> {
         self.acks.get(node).map(|ack| ack.version)
     }
 
-    /// Number of names remembered.
+    /// Number of nodes kept.
     pub fn len(&self) -> usize {
         self.acks.len()
     }
 
-    /// True where nothing is remembered.
+    /// True if no node is kept.
     pub fn is_empty(&self) -> bool {
         self.acks.is_empty()
     }
--- a/crates/core/src/catch_up_window.rs
+++ b/crates/core/src/catch_up_window.rs
@@ -1,81 +1,87 @@
-//! How many followers that need everything a source serves at once.
+//! An adaptive limit on the number of followers that a source sends a full
+//! copy of its state at once.
 //!
-//! Load pattern: all processes are lost, and hundreds of nodes that hold
-//! nothing ask within a few hundred milliseconds. Their callers are refused
-//! until they have a configuration. A fixed rate is too low for a small
-//! configuration on an idle source and too high for a large one on a thin
-//! link; what a follower costs shows only in how long it takes.
+//! After the loss of all processes hundreds of nodes that hold nothing ask
+//! within a few hundred milliseconds, and their callers are refused until
+//! they have a configuration. A fixed rate would be too low for a small
+//! configuration on an idle source and too high for a large one on a slow
+//! link; the cost of a follower shows only in how long its catch-up takes.
 //!
-//! So the number under way at once grows while followers catch up about as
-//! quickly as the quickest did lately, and is cut where they take a multiple
-//! of it: then they only share the processor and link, and all are late. A
-//! place is free again when its follower comes back with what it got.
+//! So the limit grows while catch-ups take about as long as the fastest one,
+//! and shrinks when they take a multiple of that: then the followers only
+//! compete for CPU and bandwidth, and all of them are delayed. A follower
+//! frees its slot when it returns with the state that it received.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes under way at once before any follower has caught up.
-const FIRST_BYTES: u64 = 4 * 1024 * 1024;
+/// Bytes in flight allowed by the initial limit, before any follower has
+/// caught up.
+const INITIAL_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Least of them: a source that is slow still serves a few, so that one
-/// follower behind a bad link does not hold up the others.
-const ROOM_MIN: f64 = 4.0;
+/// Lowest limit: a slow source still serves a few followers at once, so that
+/// one follower behind a bad link does not block the others.
+const LIMIT_MIN: f64 = 4.0;
 
-/// Most of them: a source holds a connection for each.
-const ROOM_MAX: f64 = 4_096.0;
+/// Highest limit: a source holds a connection for each follower.
+const LIMIT_MAX: f64 = 4_096.0;
 
-/// Times the quickest catch-up from which on the source counts as full.
+/// Multiple of the fastest catch-up from which on the source counts as
+/// overloaded.
 const SLOW_RATIO: u32 = 4;
 
-/// Catch-ups quicker than this are not told apart: below it the round trip
-/// and the batching of news decide, not the load.
-const QUICK: Duration = Duration::from_millis(25);
+/// Shorter catch-up times are rounded up to this one: below it the round trip
+/// and the batching of updates determine the time, not the load.
+const CATCH_UP_MIN: Duration = Duration::from_millis(25);
 
-/// Part of the room that a slow catch-up takes away.
-const CUT: f64 = 0.7;
+/// Factor by which a slow catch-up multiplies the limit.
+const DECREASE_FACTOR: f64 = 0.7;
 
-/// A follower not back after this long has gone elsewhere.
-const GONE_AFTER: Duration = Duration::from_secs(2);
+/// Time after which a follower that has not returned is assumed to have
+/// switched to another source.
+const ABANDONED_AFTER: Duration = Duration::from_secs(2);
 
-/// Weight of the last catch-up in the usual time.
-const LATEST_PART: u32 = 8;
+/// Divisor of the moving average of catch-up times: the latest one has a weight
+/// of 1/8.
+const AVERAGE_DIVISOR: u32 = 8;
 
-/// A follower on its way to everything.
+/// A catch-up in progress.
 #[derive(Clone, Copy, Debug)]
 struct CatchUp {
-    since: Duration,
-    /// The room was cut since it began; it was begun under the old one.
-    before_cut: bool,
+    started_at: Duration,
+    /// True if the limit has been decreased started_at the catch-up began.
+    before_decrease: bool,
 }
 
-/// Followers under way, and how many may be.
+/// Catch-ups in progress and the limit on their number.
 #[derive(Clone, Debug)]
 pub struct CatchUpWindow {
-    under_way: HashMap<Arc<str>, CatchUp>,
-    /// None before the first follower.
-    room: Option<f64>,
-    quickest: Option<Duration>,
-    usual: Option<Duration>,
-    /// The last time that was told to a follower.
-    told_until: Duration,
+    in_progress: HashMap<Arc<str>, CatchUp>,
+    /// `None` before the first follower.
+    limit: Option<f64>,
+    fastest: Option<Duration>,
+    average: Option<Duration>,
+    /// Latest retry time given to a follower.
+    retry_until: Duration,
 }
 
 impl Default for CatchUpWindow {
     fn default() -> Self {
         Self {
-            under_way: HashMap::new(),
-            room: None,
-            quickest: None,
-            usual: None,
-            told_until: Duration::ZERO,
+            in_progress: HashMap::new(),
+            limit: None,
+            fastest: None,
+            average: None,
+            retry_until: Duration::ZERO,
         }
     }
 }
 
 impl CatchUpWindow {
-    /// Takes a follower that needs `bytes` at `now`, or says when to come
-    /// back; `waited` where it was told so before.
+    /// Admits a follower that needs `bytes` at `now`. An error holds the time
+    /// after which it shall retry. `waited` is true if the follower was given
+    /// a retry time before and has waited for it.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -83,78 +89,80 @@
         bytes: u64,
         waited: bool,
     ) -> Result<(), Duration> {
-        let places = *self.room.get_or_insert_with(|| {
-            let fitting = FIRST_BYTES / bytes.max(1);
-            (fitting as f64).clamp(ROOM_MIN, ROOM_MAX)
+        let limit = *self.limit.get_or_insert_with(|| {
+            let fitting = INITIAL_BYTES / bytes.max(1);
+            (fitting as f64).clamp(LIMIT_MIN, LIMIT_MAX)
         });
-        let known = self.under_way.contains_key(follower);
-        if !known && self.under_way.len() >= places as usize {
-            self.give_up(now);
+        let known = self.in_progress.contains_key(follower);
+        if !known && self.in_progress.len() >= limit as usize {
+            self.remove_abandoned(now);
         }
-        let room = known || self.under_way.len() < places as usize;
-        // Newcomers queue up behind those who were told a time, unless
-        // nobody is under way: then whoever was told has gone elsewhere.
-        let unused = self.under_way.is_empty();
-        let first = known || waited || unused || self.told_until <= now;
-        if room && first {
+        let below_limit = known || self.in_progress.len() < limit as usize;
+        // New followers queue behind those with a retry time, unless no
+        // catch-up is in progress: then those have switched to other sources.
+        let unused = self.in_progress.is_empty();
+        let in_turn = known || waited || unused || self.retry_until <= now;
+        if below_limit && in_turn {
             let began = CatchUp {
-                since: now,
-                before_cut: false,
+                started_at: now,
+                before_decrease: false,
             };
-            self.under_way.insert(Arc::clone(follower), began);
+            self.in_progress.insert(Arc::clone(follower), began);
             return Ok(());
         }
-        let each = self.usual.unwrap_or(QUICK).div_f64(places);
-        let at = self.told_until.max(now) + each;
-        self.told_until = at;
+        let each = self.average.unwrap_or(CATCH_UP_MIN).div_f64(limit);
+        let at = self.retry_until.max(now) + each;
+        self.retry_until = at;
         Err(at - now)
     }
 
-    /// A follower has what it needed; those not under way are passed over.
+    /// Records that a follower has caught up; ignored if it has no catch-up
+    /// in progress.
     pub fn caught_up(&mut self, now: Duration, follower: &str) {
-        let Some(ended) = self.under_way.remove(follower) else {
+        let Some(ended) = self.in_progress.remove(follower) else {
             return;
         };
-        let took = now.saturating_sub(ended.since).max(QUICK);
-        let quickest = self.quickest.map_or(took, |held| held.min(took));
-        self.quickest = Some(quickest);
-        let usual = self.usual.unwrap_or(took);
-        self.usual = Some((usual * (LATEST_PART - 1) + took) / LATEST_PART);
-        if took < quickest * SLOW_RATIO {
+        let took = now.saturating_sub(ended.started_at).max(CATCH_UP_MIN);
+        let fastest = self.fastest.map_or(took, |held| held.min(took));
+        self.fastest = Some(fastest);
+        let average = self.average.unwrap_or(took);
+        self.average = Some((average * (AVERAGE_DIVISOR - 1) + took) / AVERAGE_DIVISOR);
+        if took < fastest * SLOW_RATIO {
             self.grow();
-        } else if !ended.before_cut {
-            self.cut(took);
+        } else if !ended.before_decrease {
+            self.decrease(took);
         }
     }
 
-    /// More room where half of it is in use: what is not used tells nothing.
+    /// Raises the limit if at least half of it is in use: at low use a fast
+    /// catch-up does not show that more are possible.
     fn grow(&mut self) {
-        let room = self.room.unwrap_or(ROOM_MIN);
-        let used = self.under_way.len() + 1;
-        if used as f64 * 2.0 >= room {
-            self.room = Some((room + 1.0).min(ROOM_MAX));
+        let limit = self.limit.unwrap_or(LIMIT_MIN);
+        let used = self.in_progress.len() + 1;
+        if used as f64 * 2.0 >= limit {
+            self.limit = Some((limit + 1.0).min(LIMIT_MAX));
         }
     }
 
-    /// One cut for all that were under way together: each of them tells of
-    /// the same crowd.
+    /// Lowers the limit once for all catch-ups that were in progress together,
+    /// because all of them were slowed by the same load.
     ///
-    /// Where few are under way already it is not they who make each other
-    /// slow: the configuration has grown, and what was quick is no more.
-    fn cut(&mut self, took: Duration) {
-        if self.room.is_some_and(|room| room <= ROOM_MIN) {
-            self.quickest = Some(took * 2 / SLOW_RATIO);
+    /// At the lowest limit the followers cannot have slowed each other: the
+    /// configuration has grown, so the fastest time is raised instead.
+    fn decrease(&mut self, took: Duration) {
+        if self.limit.is_some_and(|limit| limit <= LIMIT_MIN) {
+            self.fastest = Some(took * 2 / SLOW_RATIO);
         }
-        let room = self.room.unwrap_or(ROOM_MIN) * CUT;
-        self.room = Some(room.max(ROOM_MIN));
-        for catch_up in self.under_way.values_mut() {
-            catch_up.before_cut = true;
+        let limit = self.limit.unwrap_or(LIMIT_MIN) * DECREASE_FACTOR;
+        self.limit = Some(limit.max(LIMIT_MIN));
+        for catch_up in self.in_progress.values_mut() {
+            catch_up.before_decrease = true;
         }
     }
 
-    /// Frees the places of followers that have gone elsewhere.
-    fn give_up(&mut self, now: Duration) {
-        self.under_way
-            .retain(|_, held| now.saturating_sub(held.since) < GONE_AFTER);
+    /// Frees the slots of followers that have switched to another source.
+    fn remove_abandoned(&mut self, now: Duration) {
+        self.in_progress
+            .retain(|_, held| now.saturating_sub(held.started_at) < ABANDONED_AFTER);
     }
 }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,9 +1,10 @@
-//! The directory of backend servers: who has announced itself and where.
+//! The directory of backend servers: which have announced themselves, and
+//! their addresses.
 //!
-//! It churns far faster than the configuration and has no version numbers
-//! of its own across instances. Each record carries the endpoint's own
-//! incarnation and sequence, so that crossed and late updates lose wherever
-//! they arrive, whatever way they took.
+//! The directory changes far more often than the configuration and has no
+//! version number shared by the instances. Each record carries the incarnation
+//! and sequence assigned by its endpoint, so reordered and delayed updates
+//! are discarded wherever and by whatever path they arrive.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,44 +18,46 @@
 
 mod directory_digest;
 
-/// One backend server, as the node beside it describes it.
+/// One backend server, as described by the node that runs beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// Name of the instance that the backend server runs on.
     pub instance: Arc<str>,
     /// Service it belongs to.
     pub service: Arc<str>,
-    /// Backend server version it runs.
+    /// Version of the backend server.
     pub version: Arc<str>,
     /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Where its node listens for other nodes.
+    /// Address at which its node listens for other nodes.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// What it takes at the moment.
+    /// Whether it accepts work at the moment.
     pub standing: EndpointStanding,
-    /// Grows with every start of the node process.
+    /// Increases with every start of the node process.
     pub incarnation: u64,
-    /// Grows with every change within an incarnation.
+    /// Increases with every change within an incarnation.
     pub sequence: u64,
 }
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EndpointStanding {
-    /// It takes new work.
+    /// It accepts new work.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the work it has and accepts no more.
     Draining,
-    /// It has left; kept so that a late record cannot revive it.
+    /// It has left. The record stays as a tombstone, so that a late record
+    /// cannot restore it.
     Gone,
 }
 
 impl EndpointRecord {
-    /// Where this record stands among those of the same instance. At equal
-    /// numbers the end of a lease wins over what the endpoint said last, and
-    /// any later word of the endpoint wins over the end of its lease.
+    /// Order of this record among those of the same instance. At equal
+    /// incarnation and sequence the expiry of a lease supersedes the
+    /// endpoint's last record, and any later record of the endpoint
+    /// supersedes the expiry.
     pub fn order(&self) -> RecordOrder {
         RecordOrder {
             incarnation: self.incarnation,
@@ -72,12 +75,12 @@
     gone: bool,
 }
 
-/// Records of endpoints that have left, kept so that a late record cannot
-/// revive them. At 1,500 replaced servers a day it is five days of them,
-/// and 2 MB.
+/// Largest number of tombstones, which keep a late record from restoring an
+/// endpoint that has left. At 1,500 replaced servers a day they cover five
+/// days and take 2 MB.
 const TOMBSTONES_MAX: usize = 8_192;
 
-/// Records by instance, with a local revision for each change.
+/// Records by instance, each with the local revision of its last change.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointDirectory {
     records: BTreeMap<Arc<str>, RevisedRecord>,
@@ -94,28 +97,28 @@
 }
 
 impl EndpointDirectory {
-    /// Number of the last change; local to this process.
+    /// Revision of the last change; valid only in this process.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// True where no record is held, not even of one that has left.
+    /// True if no record is held, not even a tombstone.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Endpoints that have not left.
+    /// Number of endpoints that have not left.
     pub fn len(&self) -> usize {
         self.records.len() - self.tombstones.len()
     }
 
-    /// Takes a record unless one as new or newer is held already; true
-    /// where it changed something.
+    /// Stores a record unless an equal or newer one is held; true if the
+    /// directory changed.
     pub fn merge(&mut self, record: EndpointRecord) -> bool {
         let held = self.records.get(&record.instance);
-        // Guards against updates that cross in flight: an old `Serving`
-        // arriving after `Draining` would send work to a leaving server.
-        // The endpoint alone numbers its records, so the order is its own.
+        // Updates can be reordered in transit: an old `Serving` that arrives
+        // after `Draining` would send work to a server that is leaving. Only
+        // the endpoint numbers its records, so their order is reliable.
         if held.is_some_and(|held| held.record.order() >= record.order()) {
             return false;
         }
@@ -135,8 +138,9 @@
         true
     }
 
-    /// Ends an endpoint whose lease has ended; true where it was there.
-    pub fn end(&mut self, instance: &str) -> bool {
+    /// Marks an endpoint whose lease has expired as gone; true if that
+    /// changed the directory.
+    pub fn expire(&mut self, instance: &str) -> bool {
         let Some(held) = self.get(instance) else {
             return false;
         };
@@ -173,7 +177,7 @@
         &self.digest
     }
 
-    /// Every record in a part of the directory where `theirs` differs.
+    /// Every record in the buckets whose digest differs from `theirs`.
     pub fn differing(&self, theirs: &DirectoryDigest) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         for held in self.records.values() {
@@ -184,7 +188,7 @@
         changed
     }
 
-    /// Every record changed after `revision`, oldest change first.
+    /// Every record that changed after `revision`, oldest change first.
     pub fn since(&self, revision: u64) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         for instance in self.by_revision.range(revision + 1..).map(|(_, name)| name) {
--- a/crates/core/src/directory/directory_digest.rs
+++ b/crates/core/src/directory/directory_digest.rs
@@ -1,9 +1,10 @@
-//! Digests by which two directories find where they differ.
+//! Digests for comparing two directories.
 //!
-//! A node that changes its source, or a herd of them after one has died,
-//! holds nearly the same directory as the new source; sent whole, it would
-//! be some 800 KB for each at the two-year size. One number tells that
-//! nothing differs, and one for each of [`BUCKETS`] parts tells where.
+//! A node that switches to another source holds nearly the same directory as
+//! the new source, and many nodes switch at once after a source has died. A
+//! full transfer would take about 800 KB for each at the size planned for
+//! two years ahead. A single digest shows whether the directories differ,
+//! and one digest for each of [`BUCKETS`] buckets shows where.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,12 +13,12 @@
 
 use super::EndpointRecord;
 
-/// Parts of the directory. At 5,200 endpoints one holds 81 of them, about
-/// 12 KB, and all digests together are 0.6 KB.
+/// Number of hash buckets. At 5,200 endpoints each bucket holds 81 of them,
+/// about 12 KB, and all digests together take 0.6 KB.
 const BUCKETS: usize = 64;
 
-/// One digest for each part: the sum of its records' digests, so that a
-/// change costs no more than the record that changed.
+/// One digest for each bucket: the wrapping sum of the digests of its records,
+/// so an update needs to hash only the record that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDigest(Vec<u64>);
 
@@ -28,25 +29,27 @@
 }
 
 impl DirectoryDigest {
-    /// One number for the whole directory; 0 where it is empty.
+    /// Digest of the whole directory; 0 if it is empty.
     pub fn whole(&self) -> u64 {
-        self.0.iter().fold(0, |sum, part| sum.wrapping_add(*part))
+        self.0
+            .iter()
+            .fold(0, |sum, bucket| sum.wrapping_add(*bucket))
     }
 
-    /// True where `theirs` differs in the part of `instance`.
+    /// True if `theirs` differs in the bucket of `instance`.
     pub(super) fn differs(&self, theirs: &Self, instance: &str) -> bool {
         let bucket = bucket(instance);
         self.0.get(bucket) != theirs.0.get(bucket)
     }
 
     pub(super) fn add(&mut self, record: &EndpointRecord) {
-        let part = &mut self.0[bucket(&record.instance)];
-        *part = part.wrapping_add(digest(record));
+        let bucket_digest = &mut self.0[bucket(&record.instance)];
+        *bucket_digest = bucket_digest.wrapping_add(digest(record));
     }
 
     pub(super) fn remove(&mut self, record: &EndpointRecord) {
-        let part = &mut self.0[bucket(&record.instance)];
-        *part = part.wrapping_sub(digest(record));
+        let bucket_digest = &mut self.0[bucket(&record.instance)];
+        *bucket_digest = bucket_digest.wrapping_sub(digest(record));
     }
 }
 
@@ -56,7 +59,7 @@
 }
 
 fn digest(record: &EndpointRecord) -> u64 {
-    // Writing to memory cannot fail.
+    // Encoding into memory cannot fail.
     let encoded = rmp_serde::to_vec_named(record).unwrap_or_default();
     ConfigDigest::of_bytes(&encoded).short()
 }
--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -1,5 +1,5 @@
-//! A follower's copy of the directory of backend servers, and how it is
-//! brought up to date with few bytes whichever source it asks.
+//! A follower's copy of the directory of backend servers, and the exchange
+//! that updates it with little traffic from any source.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,97 +8,103 @@
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
 
-/// A place in one source's directory of backend servers.
+/// A position in the change history of one source's directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryPlace {
-    /// Source's run; revisions of another run mean nothing here.
+    /// Run of the source; revisions of different runs are not comparable.
     pub run: u64,
-    /// Revision read up to.
+    /// Last revision that was read.
     pub revision: u64,
 }
 
-/// What a follower says of its directory.
+/// A follower's request for directory updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DirectoryAsk {
-    /// Where it has read up to.
+pub struct DirectoryRequest {
+    /// Position up to which it has read.
     pub place: DirectoryPlace,
-    /// Digest of its whole directory; 0 where that is empty.
+    /// Digest of its whole directory; 0 if that is empty.
     pub digest: u64,
-    /// Digests of its parts, where the source has asked for them.
+    /// Digests of its buckets, if the source has requested them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parts: Option<DirectoryDigest>,
 }
 
-/// What a source answers.
+/// A source's answer to a [`DirectoryRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
     /// Records that changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub records: Vec<EndpointRecord>,
-    /// The follower's new place; none where the source first needs the
-    /// digests of the parts.
+    /// The follower's new position; `None` if the source first needs the
+    /// digests of the buckets.
     pub place: Option<DirectoryPlace>,
 }
 
-/// How a source brings a follower up to date.
+/// How a source updates a follower's directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DirectoryWay {
-    /// From this revision on; the follower may wait there.
+pub enum DirectorySync {
+    /// Send the changes after this revision; the follower may wait for more.
     Since(u64),
-    /// These records now, and then from the present revision on.
+    /// Send these records now and later the changes after the current
+    /// revision.
     Records(Vec<EndpointRecord>),
-    /// The follower must send the digests of its parts.
-    NeedsParts,
+    /// Request the digests of the follower's buckets.
+    NeedsDigests,
 }
 
-impl DirectoryWay {
-    /// The cheapest way for a follower that says `ask`, at a source of this
-    /// run. Equal digests need no record at all, so that a herd which lost
-    /// nothing costs a few bytes each.
-    pub fn choose(directory: &EndpointDirectory, run: u64, ask: &DirectoryAsk) -> Self {
-        if ask.place.run == run {
-            return Self::Since(ask.place.revision);
+impl DirectorySync {
+    /// Chooses the method with the least traffic for `request` at a source
+    /// whose run is `run`. If the digests are equal, no record is sent, so
+    /// followers that lost nothing cost a few bytes each, also when many
+    /// come at once.
+    pub fn choose(
+        directory: &EndpointDirectory,
+        run: u64,
+        request: &DirectoryRequest,
+    ) -> Self {
+        if request.place.run == run {
+            return Self::Since(request.place.revision);
         }
-        if ask.digest == directory.digest().whole() {
+        if request.digest == directory.digest().whole() {
             return Self::Since(directory.revision());
         }
-        if ask.digest == 0 {
+        if request.digest == 0 {
             return Self::Since(0);
         }
-        match &ask.parts {
+        match &request.parts {
             Some(parts) => Self::Records(directory.differing(parts)),
-            None => Self::NeedsParts,
+            None => Self::NeedsDigests,
         }
     }
 }
 
-/// State of one follower.
+/// A follower's copy of the directory and its position at the source.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryFollower {
     directory: EndpointDirectory,
     place: DirectoryPlace,
-    parts_wanted: bool,
+    digests_requested: bool,
 }
 
 impl DirectoryFollower {
-    /// What to say with the next question.
-    pub fn request(&self) -> DirectoryAsk {
+    /// The directory part of the next request.
+    pub fn request(&self) -> DirectoryRequest {
         let digest = self.directory.digest();
-        DirectoryAsk {
+        DirectoryRequest {
             place: self.place,
             digest: digest.whole(),
-            parts: self.parts_wanted.then(|| digest.clone()),
+            parts: self.digests_requested.then(|| digest.clone()),
         }
     }
 
-    /// Takes an answer; what it changed comes back.
-    pub fn take(&mut self, news: DirectoryUpdate) -> Vec<EndpointRecord> {
-        self.parts_wanted = news.place.is_none();
-        if let Some(place) = news.place {
+    /// Applies an answer and returns the records that it changed.
+    pub fn take(&mut self, update: DirectoryUpdate) -> Vec<EndpointRecord> {
+        self.digests_requested = update.place.is_none();
+        if let Some(place) = update.place {
             self.place = place;
         }
         let mut changed = Vec::new();
-        for record in news.records {
+        for record in update.records {
             if self.directory.merge(record.clone()) {
                 changed.push(record);
             }
@@ -106,18 +112,18 @@
         changed
     }
 
-    /// Another source is asked next, in whose directory no place is known.
+    /// Discards the position, which is not valid at another source.
     pub fn forget_place(&mut self) {
         self.place = DirectoryPlace::default();
-        self.parts_wanted = false;
+        self.digests_requested = false;
     }
 
-    /// The copy.
+    /// The follower's copy of the directory.
     pub fn directory(&self) -> &EndpointDirectory {
         &self.directory
     }
 
-    /// Where it has read up to.
+    /// Position up to which the copy is current.
     pub fn place(&self) -> DirectoryPlace {
         self.place
     }
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -1,4 +1,4 @@
-//! What a follower asks of a source and what the source answers.
+//! The long-poll request of a follower and the reply of its source.
 
 use std::sync::Arc;
 
@@ -7,34 +7,36 @@
 use serde::Serialize;
 
 use crate::config_history::ConfigNews;
-use crate::directory_follower::DirectoryAsk;
+use crate::directory_follower::DirectoryRequest;
 use crate::directory_follower::DirectoryUpdate;
 use crate::move_board::NodeReport;
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
-/// Asks for news, and waits for it a while. Sent by nodes to control
-/// instances and by control instances to the leader.
+/// A long-poll request for updates. Nodes send it to control instances, and
+/// control instances send it to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowCall {
     /// Name of the follower's instance.
     pub follower: Arc<str>,
     /// Version the follower holds.
     pub held: ConfigVersion,
-    /// Version it refused as invalid, if it did.
+    /// Version that it refused as invalid, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<ConfigVersion>,
-    /// True where a delta has failed and the whole snapshot is needed.
+    /// True if a delta could not be applied and a whole snapshot is needed.
     #[serde(default, skip_serializing_if = "is_false")]
     pub whole: bool,
-    /// True where this source said when to come back, and it is then.
+    /// True if this source told the follower when to retry and the follower
+    /// has waited until then.
     #[serde(default, skip_serializing_if = "is_false")]
     pub waited: bool,
-    /// What it says of its directory.
-    pub directory: DirectoryAsk,
-    /// Longest wait for news, in milliseconds.
+    /// Request for directory updates.
+    pub directory: DirectoryRequest,
+    /// Longest wait for an update, in milliseconds.
     pub wait_ms: u64,
-    /// Its failure domain, where it is a node whose moves are counted.
+    /// Failure domain of a node that counts in the progress of moves; `None`
+    /// for other followers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node_domain: Option<Arc<str>>,
 }
@@ -44,7 +46,8 @@
 }
 
 impl FollowCall {
-    /// The report of itself that a node's question amounts to.
+    /// The node report contained in the request; `None` if the follower is
+    /// not a node.
     pub fn report(&self) -> Option<NodeReport> {
         let failure_domain = self.node_domain.clone()?;
         Some(NodeReport {
@@ -55,34 +58,36 @@
         })
     }
 
-    /// True where the follower holds no version yet.
+    /// True if the follower holds no version yet.
     pub fn is_starting(&self) -> bool {
         self.held == ConfigVersion::ZERO
     }
 }
 
-/// What comes back.
+/// A source's reply to a [`FollowCall`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowReply {
-    /// News, or none within the wait.
+    /// Updates; empty if there were none within the wait.
     News(Box<FollowAnswer>),
-    /// Too many come at once; come back after this many milliseconds.
+    /// Too many followers are reconnecting; retry after this many
+    /// milliseconds.
     Later(u64),
 }
 
-/// News since the follower's last question.
+/// Updates since the follower's last request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowAnswer {
-    /// Who answers, and how fresh that is.
+    /// The source and the freshness of its answer.
     pub source: SourceProof,
-    /// News of the configuration.
+    /// Update of the configuration.
     pub config: ConfigNews,
-    /// The first chunk of a snapshot that is named there, where it is small.
+    /// First chunk of the snapshot named in `config`, sent if it is small.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chunk: Option<Bytes>,
-    /// What the source knows a starting follower to have applied before.
+    /// Version that the source knows a starting follower to have applied
+    /// before its restart.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acknowledged: Option<ConfigVersion>,
-    /// News of the directory.
+    /// Update of the directory.
     pub directory: DirectoryUpdate,
 }
--- a/crates/core/src/follower_queue.rs
+++ b/crates/core/src/follower_queue.rs
@@ -1,12 +1,12 @@
-//! Followers that wait at a source for news.
+//! Followers with an open long-poll request at a source.
 //!
-//! Load pattern: hundreds of followers wait at each source, nearly always
-//! for nothing; then one change concerns them all, and now and then several
-//! changes come within milliseconds. Looking at every follower on every
-//! message would cost (messages x followers); waking them for each of a row
-//! of quick changes would cost (changes x followers) answers. So followers
-//! are looked at only when there is news or when their wait ends, and news
-//! within [`BATCH_TIME`] of a wake goes out together.
+//! Hundreds of followers wait at each source, and most waits end without an
+//! update. A change concerns all of them, and sometimes several changes come
+//! within milliseconds. Checking every follower on every message would cost
+//! (messages x followers), and waking them for each change of a burst would
+//! cost (changes x followers) answers. So followers are checked only when
+//! there is an update or when their wait ends, and updates within
+//! [`BATCH_TIME`] of a wake are sent together.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,156 +15,156 @@
 use crate::source_proof::SourceFreshness;
 use crate::version::ConfigVersion;
 
-/// Least time between two wakes. The first news after a pause goes out at
-/// once; 20 wakes a second are the most that a row of changes can cause,
-/// and the delay is a two-hundredth of the ten seconds for a change.
+/// Shortest time between two wakes. The first update after a pause is sent
+/// at once. A burst of changes causes at most 20 wakes a second, and the
+/// delay is 1/200 of the ten seconds allowed for a change.
 pub const BATCH_TIME: Duration = Duration::from_millis(50);
 
-/// Longest time between two wakes, however busy the source is: a leaving
-/// server must be known everywhere within a second or two.
+/// Longest time between two wakes of a busy source: all nodes must learn of
+/// a leaving server within one or two seconds.
 const BATCH_MAX: Duration = Duration::from_millis(400);
 
-/// Time between two wakes in multiples of what the last one took: answers to
-/// followers that wait take a quarter of the processor at most.
-const BATCH_PART: u32 = 4;
+/// Time between two wakes as a multiple of the delay that the last one caused,
+/// so that answering waiting followers uses at most a quarter of the CPU.
+const BATCH_FACTOR: u32 = 4;
 
-/// Names a waiting follower within one source.
+/// Identifies a request that waits at one source.
 pub type FollowerId = u64;
 
-/// What a follower holds. Followers at the same place get the same answer,
-/// which is made once.
+/// What a follower holds. Followers in the same state share one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FollowerState {
-    /// Version in force there.
+    /// Version in force at the follower.
     pub held: ConfigVersion,
-    /// Version refused there, or `ZERO`.
+    /// Version refused by the follower, or `ZERO`.
     pub refused: ConfigVersion,
-    /// True where no delta may be sent.
+    /// True if the follower needs a whole snapshot, not a delta.
     pub whole: bool,
-    /// Revision of this source's directory that it has read up to.
+    /// Last revision of this source's directory that the follower has read.
     pub revision: u64,
 }
 
-/// A follower that gets its answer now.
+/// A follower whose request is to be answered now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueFollower {
-    /// Which follower.
+    /// Id of its request.
     pub id: FollowerId,
-    /// What it holds.
-    pub place: FollowerState,
-    /// When it asked.
+    /// What the follower holds.
+    pub state: FollowerState,
+    /// When the request was made.
     pub asked_at: Duration,
 }
 
-/// Followers that wait, indexed by the end of their wait.
+/// Waiting followers, indexed by the end of their wait.
 #[derive(Debug, Default)]
 pub struct FollowerQueue {
     waiting: BTreeMap<FollowerId, WaitingFollower>,
     ends: BTreeSet<(Duration, FollowerId)>,
     starting: BTreeSet<FollowerId>,
     next: FollowerId,
-    news: bool,
+    update_pending: bool,
     woken_at: Option<Duration>,
     batch: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct WaitingFollower {
-    place: FollowerState,
+    state: FollowerState,
     asked_at: Duration,
     until: Duration,
 }
 
 impl FollowerQueue {
-    /// Takes a follower that waits until `until`; its id is new.
-    pub fn wait(
+    /// Adds a follower that waits until `until`, and returns a new id.
+    pub fn enqueue(
         &mut self,
         asked_at: Duration,
         until: Duration,
-        place: FollowerState,
+        state: FollowerState,
     ) -> FollowerId {
         self.next += 1;
         let id = self.next;
         let follower = WaitingFollower {
-            place,
+            state,
             asked_at,
             until,
         };
         self.waiting.insert(id, follower);
         self.ends.insert((until, id));
-        if place.held == ConfigVersion::ZERO {
+        if state.held == ConfigVersion::ZERO {
             self.starting.insert(id);
         }
         id
     }
 
-    /// The source was late by `lag` with something it was to do since the
-    /// last wake: it is still busy with the answers.
+    /// Records that the source has been late by `lag` since the last wake, which
+    /// shows that it is still busy with the answers, and delays the next wake.
     ///
-    /// Load pattern: hundreds of servers come back within seconds, each
+    /// This happens when hundreds of servers come back within seconds: each
     /// change wakes all followers, and answering them takes longer than the
     /// time to the next wake.
-    pub fn late(&mut self, lag: Duration) {
-        let wanted = (lag * BATCH_PART).clamp(BATCH_TIME, BATCH_MAX);
+    pub fn note_delay(&mut self, lag: Duration) {
+        let wanted = (lag * BATCH_FACTOR).clamp(BATCH_TIME, BATCH_MAX);
         let held = self.batch.unwrap_or(BATCH_TIME);
         self.batch = Some(wanted.max(held));
     }
 
-    /// There is news for every waiting follower.
-    pub fn note_news(&mut self) {
-        self.news = true;
+    /// Records that there is an update for every waiting follower.
+    pub fn note_update(&mut self) {
+        self.update_pending = true;
     }
 
-    /// Number of followers that wait.
+    /// Number of waiting followers.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// True where a starting follower waits for a confirmation.
+    /// True if a starting follower waits for a confirmed answer.
     pub fn has_starting(&self) -> bool {
         !self.starting.is_empty()
     }
 
-    /// True where none waits.
+    /// True if no follower waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// When [`FollowerQueue::due`] next has something to give, as far as is
-    /// known now; `None` where nothing is waited for.
+    /// When [`FollowerQueue::due`] will next return a follower unless there
+    /// is a new update before; `None` if no follower waits.
     pub fn next_due(&self) -> Option<Duration> {
         let end = self.ends.first().map(|(until, _)| *until)?;
-        if !self.news {
+        if !self.update_pending {
             return Some(end);
         }
         Some(end.min(self.wake_at()))
     }
 
-    /// Takes out one follower that need not wait; `None` where news is about
-    /// to go out in a batch, which then answers it too. One that starts does
-    /// not wait for the batch: its callers are refused until it is answered.
+    /// Removes a follower that can be answered at once; `None` if a pending
+    /// batch of updates will answer it. A starting follower does not wait for
+    /// the batch, because its callers are refused until it is answered.
     pub fn take(&mut self, id: FollowerId) -> Option<DueFollower> {
-        if self.news && !self.starting.contains(&id) {
+        if self.update_pending && !self.starting.contains(&id) {
             return None;
         }
         self.remove(&[id]).pop()
     }
 
-    /// Takes out one follower that gets an answer of its own.
+    /// Removes a follower that gets an answer of its own.
     pub fn remove_one(&mut self, id: FollowerId) -> Option<DueFollower> {
         self.remove(&[id]).pop()
     }
 
-    /// Takes out the followers to be answered at `now`: all of them where
-    /// there is news and the batch is over, else those whose wait has ended.
-    /// Starting ones that cannot be answered as confirmed wait on.
+    /// Removes the followers to answer at `now`: all of them if an update is
+    /// pending and the batch interval has passed, otherwise those whose wait
+    /// has ended. A pending update leaves starting followers in the queue if
+    /// their answer would not be confirmed.
     pub fn due(
         &mut self,
         now: Duration,
         freshness: &SourceFreshness,
     ) -> Vec<DueFollower> {
-        if self.news && now >= self.wake_at() {
-            self.news = false;
+        if self.update_pending && now >= self.wake_at() {
+            self.update_pending = false;
             self.woken_at = Some(now);
             self.batch = None;
             return self.wake(freshness);
@@ -179,8 +179,9 @@
         self.remove(&ended)
     }
 
-    /// Takes out the starting followers that asked at `proved_at` or before.
-    pub fn confirmed(&mut self, proved_at: Duration) -> Vec<DueFollower> {
+    /// Removes the starting followers whose request was made at `proved_at`
+    /// or before.
+    pub fn take_confirmed(&mut self, proved_at: Duration) -> Vec<DueFollower> {
         let mut ready = Vec::new();
         for id in &self.starting {
             let follower = self.waiting.get(id);
@@ -194,7 +195,7 @@
     fn wake(&mut self, freshness: &SourceFreshness) -> Vec<DueFollower> {
         let mut ready = Vec::with_capacity(self.waiting.len());
         for (id, follower) in &self.waiting {
-            let starting = follower.place.held == ConfigVersion::ZERO;
+            let starting = follower.state.held == ConfigVersion::ZERO;
             if !starting || freshness.confirms(follower.asked_at) {
                 ready.push(*id);
             }
@@ -217,7 +218,7 @@
             self.starting.remove(id);
             due.push(DueFollower {
                 id: *id,
-                place: follower.place,
+                state: follower.state,
                 asked_at: follower.asked_at,
             });
         }
--- a/crates/core/src/node_presence.rs
+++ b/crates/core/src/node_presence.rs
@@ -1,44 +1,48 @@
-//! How long a node counts as live after it was last heard of.
+//! How long a node counts as live after it was last heard from.
 //!
-//! Load pattern: nodes are restarted and replaced all the time, and a move is
-//! done only once every live node routes by its end. One that has gone is
-//! waited for until it no longer counts; where nodes ask every half second
-//! and moves are given fifteen, ten seconds of it make good versions late.
+//! Nodes are restarted and replaced all the time, and a move is done only when
+//! every live node routes by its final version. A node that has left delays
+//! the move until it no longer counts as live. Where nodes send a request every
+//! half second and moves have fifteen seconds, waiting ten seconds for such a
+//! node would delay good versions too long.
 
 use std::time::Duration;
 
-/// Where nodes wait four seconds for news: two waits, or one and a change of
-/// source.
-const USUAL: Duration = Duration::from_secs(10);
+/// Default for nodes whose long-poll wait is four seconds: two waits, or one
+/// wait and a change of source.
+const LIVE_DEFAULT: Duration = Duration::from_secs(10);
 
-/// Part of it after which a relay no longer names a follower.
-const RELAY_PART: f64 = 0.5;
+/// Fraction of [`NodePresence::live_for`] after which a relay no longer reports
+/// a follower.
+const REPORT_FRACTION: f64 = 0.5;
 
-/// Part of it after which a relay names all its followers again: three times
-/// before the leader forgets them.
-const REFRESH_PART: f64 = 0.3;
+/// Fraction of [`NodePresence::live_for`] after which a relay reports all its
+/// followers again: three times before the leader no longer counts them.
+const REFRESH_FRACTION: f64 = 0.3;
 
-/// Times that follow from how long a node counts as live.
+/// Durations derived from how long a node counts as live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodePresence {
-    /// At the leader.
+    /// How long a node counts as live at the leader.
     pub live_for: Duration,
 }
 
 impl Default for NodePresence {
     fn default() -> Self {
-        Self { live_for: USUAL }
+        Self {
+            live_for: LIVE_DEFAULT,
+        }
     }
 }
 
 impl NodePresence {
-    /// How long a relay names a follower after it was heard.
-    pub fn named_for(self) -> Duration {
-        self.live_for.mul_f64(RELAY_PART)
+    /// How long a relay reports a follower after it was last heard from.
+    pub fn reported_for(self) -> Duration {
+        self.live_for.mul_f64(REPORT_FRACTION)
     }
 
-    /// How often a relay names all its followers.
+    /// Interval at which a relay reports all its followers.
     pub fn refresh(self) -> Duration {
-        self.live_for.mul_f64(REFRESH_PART)
+        self.live_for.mul_f64(REFRESH_FRACTION)
     }
 }
--- a/crates/core/src/reconnect_admission.rs
+++ b/crates/core/src/reconnect_admission.rs
@@ -1,65 +1,67 @@
-//! Which reconnecting followers a source takes now, and when the others are
-//! to come back.
+//! Admission control for reconnecting followers: which of them a source
+//! serves now, and when the others shall retry.
 //!
-//! Load pattern: a control instance dies, or a failure domain comes back,
-//! and hundreds or thousands of followers ask the remaining instances
-//! within a second. Without admission each is answered at once: those that
-//! start with nothing want the whole document and directory, about 1 MB
-//! each, the link and the processor are full of them, the followers that
-//! only wait for the next change wait behind them, and those that give up
-//! ask again and make it worse.
+//! When a control instance dies or a failure domain comes back, hundreds or
+//! thousands of followers ask the remaining instances within a second. If
+//! all were answered at once, those that hold nothing would each need the
+//! whole document and directory, about 1 MB, and would saturate the link and
+//! the CPU. Followers that only wait for the next change would be delayed
+//! behind them, and those that time out would ask again and add to the load.
 //!
-//! So followers that need everything are taken while few of them are under
-//! way, as many as the source is seen to serve without making each of them
-//! slow ([`CatchUpWindow`]); those that need little at a bounded rate. Each
-//! of the others is told a time of its own, and is taken then before
-//! newcomers. Followers that were already taken are not counted here at all.
+//! So followers that need a full copy are admitted up to the number that the
+//! source can serve without slowing each of them down ([`CatchUpWindow`]),
+//! and followers that need little are admitted at a bounded rate. Each of the
+//! others is given a retry time of its own, at which it takes precedence over
+//! new followers. Followers that were already admitted are not limited.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::catch_up_window::CatchUpWindow;
 
-/// What a first question will cost the source.
+/// Expected cost of a first request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconnectCost {
-    /// The follower holds what the source holds, or nearly: some hundred
-    /// bytes, a tenth of a millisecond.
+    /// The follower holds nearly the same state as the source: a few hundred
+    /// bytes and 0.1 ms.
     Light,
-    /// It needs a snapshot or the whole directory, so many bytes.
+    /// The follower needs a snapshot or the whole directory, of this size in
+    /// bytes.
     Heavy(u64),
 }
 
-/// Light questions taken a second: a tenth of a core. All 5,200 nodes, if a
-/// single instance were left, are back within eleven seconds.
+/// Light requests admitted per second, which take a tenth of a core. If only
+/// one instance is left, all 5,200 nodes are back within eleven seconds.
 const LIGHT_PER_SECOND: u32 = 500;
 
-/// Questions taken at once after a pause: what comes in a quarter second.
+/// Burst size after a pause, as the time in which the rate admits as many
+/// requests.
 const BURST_TIME: Duration = Duration::from_millis(250);
 
-/// Longest time that a follower is told to wait. Beyond it the source may
-/// have gone, so it is asked again to be told anew.
+/// Longest wait given to a follower. After a longer one the source may no
+/// longer exist, so the follower asks again and may be given another wait.
 const LATER_MAX: Duration = Duration::from_secs(30);
 
-/// Admission of one source.
+/// Admission control of one source.
 #[derive(Clone, Debug)]
 pub struct ReconnectAdmission {
-    light: SlotSchedule,
+    light: RateSchedule,
     heavy: CatchUpWindow,
 }
 
 impl Default for ReconnectAdmission {
     fn default() -> Self {
         Self {
-            light: SlotSchedule::new(LIGHT_PER_SECOND),
+            light: RateSchedule::new(LIGHT_PER_SECOND),
             heavy: CatchUpWindow::default(),
         }
     }
 }
 
 impl ReconnectAdmission {
-    /// Takes the first question of `follower` at `now`, or says when to come
-    /// back. `waited` where the follower was told so before and has waited.
+    /// Admits the first request of `follower` at `now`. An error holds the time
+    /// after which it shall retry. `waited` is true if the follower was given
+    /// a retry time before and has waited for it.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -67,52 +69,53 @@
         cost: ReconnectCost,
         waited: bool,
     ) -> Result<(), Duration> {
-        let told = match cost {
+        let admitted = match cost {
             ReconnectCost::Light => self.light.admit(now, waited),
             ReconnectCost::Heavy(bytes) => self.heavy.admit(now, follower, bytes, waited),
         };
-        told.map_err(|after| after.min(LATER_MAX))
+        admitted.map_err(|after| after.min(LATER_MAX))
     }
 
-    /// A follower that was taken has what it needed, and waits for news.
+    /// Records that an admitted follower has caught up and waits for updates.
     pub fn caught_up(&mut self, now: Duration, follower: &str) {
         self.heavy.caught_up(now, follower);
     }
 }
 
-/// A rate, as times at which the next one is taken.
+/// A rate limit, kept as the times at which the next requests are admitted.
 #[derive(Clone, Debug)]
-struct SlotSchedule {
+struct RateSchedule {
     interval: Duration,
-    /// When the rate has room again, were nothing more taken.
-    taken_until: Duration,
-    /// The last time that was told to a follower.
-    told_until: Duration,
+    /// When the admitted requests have used up their share of the rate.
+    admitted_until: Duration,
+    /// Latest retry time given to a follower.
+    retry_until: Duration,
 }
 
-impl SlotSchedule {
+impl RateSchedule {
     fn new(per_second: u32) -> Self {
         Self {
             interval: Duration::from_secs(1) / per_second,
-            taken_until: Duration::ZERO,
-            told_until: Duration::ZERO,
+            admitted_until: Duration::ZERO,
+            retry_until: Duration::ZERO,
         }
     }
 
     fn admit(&mut self, now: Duration, waited: bool) -> Result<(), Duration> {
-        let room = self.taken_until <= now + BURST_TIME;
-        // Newcomers queue up behind those who were told a time: else the
-        // luckiest newcomers are taken and the patient ones told again. An
-        // unused rate is open to all: whoever was told has gone elsewhere.
-        let unused = self.taken_until <= now;
-        let first = waited || unused || self.told_until <= now;
-        if room && first {
-            self.taken_until = self.taken_until.max(now) + self.interval;
+        let below_rate = self.admitted_until <= now + BURST_TIME;
+        // New followers queue behind those with a retry time; otherwise they
+        // would be admitted first and those that waited would be deferred
+        // again. If the rate is unused, those that were given a retry time
+        // have switched to another source, and any follower is admitted.
+        let unused = self.admitted_until <= now;
+        let in_turn = waited || unused || self.retry_until <= now;
+        if below_rate && in_turn {
+            self.admitted_until = self.admitted_until.max(now) + self.interval;
             return Ok(());
         }
-        let from = self.told_until.max(self.taken_until).max(now);
+        let from = self.retry_until.max(self.admitted_until).max(now);
         let at = (from + self.interval).min(now + LATER_MAX);
-        self.told_until = at;
+        self.retry_until = at;
         Err(at - now)
     }
 }
--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -1,8 +1,8 @@
-//! How long a follower waits before it asks again after a failure.
+//! Exponential backoff with jitter for a follower's requests after a failure.
 //!
-//! Load pattern: a source dies and all of its followers notice in the same
-//! millisecond. Without jitter they come back together, again and again;
-//! without growth they keep a struggling source from getting up.
+//! When a source dies, all of its followers notice in the same millisecond.
+//! Without jitter they would all retry together, repeatedly; without
+//! exponential growth they would keep an overloaded source from recovering.
 
 use std::time::Duration;
 
@@ -10,18 +10,19 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-/// First wait at most. Most failures are one dead instance of several, and
-/// the next one answers at once.
-const FIRST: Duration = Duration::from_millis(200);
+/// Upper bound of the first wait. In most failures one of several instances is
+/// dead, and the next one answers at once.
+const CEILING_MIN: Duration = Duration::from_millis(200);
 
-/// Longest wait: a fleet without any source asks some hundred times a
-/// second in all at 5,200 nodes, and is back ten seconds after the source.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Highest upper bound. While no source is up, a fleet of 5,200 nodes asks some
+/// hundred times a second in total, and all of it reconnects within ten seconds
+/// after a source is up again.
+const CEILING_MAX: Duration = Duration::from_secs(10);
 
-/// Longest wait that a source may ask for.
-const TOLD_MAX: Duration = Duration::from_secs(60);
+/// Longest wait that a source may demand.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
-/// Waits of one follower.
+/// Backoff state of one follower.
 #[derive(Clone, Debug)]
 pub struct ReconnectBackoff {
     ceiling: Duration,
@@ -30,48 +31,52 @@
 }
 
 impl ReconnectBackoff {
-    /// Waits drawn from `seed`, which differs between followers.
+    /// Creates a backoff whose jitter is drawn from `seed`, which must differ
+    /// between followers.
     pub fn new(seed: u64) -> Self {
         Self {
-            ceiling: FIRST,
-            longest: LONGEST,
+            ceiling: CEILING_MIN,
+            longest: CEILING_MAX,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// The same, with `longest` as the longest wait: a small fleet can ask
-    /// more often without harm, and is back sooner.
+    /// Limits the wait to `longest`: a small fleet can retry more often without
+    /// harm, and reconnects sooner.
     pub fn bounded(mut self, longest: Duration) -> Self {
-        self.longest = longest.min(LONGEST);
+        self.longest = longest.min(CEILING_MAX);
         self
     }
 
-    /// A source answered: the next failure begins with a short wait again.
+    /// Resets the backoff after a source has answered, so the wait after the
+    /// next failure is short.
     pub fn reset(&mut self) {
-        self.ceiling = FIRST;
+        self.ceiling = CEILING_MIN;
     }
 
-    /// Wait after a failure, drawn evenly up to a ceiling that doubles.
+    /// Wait after a failure, drawn uniformly from zero to an upper bound that
+    /// doubles with each failure.
     pub fn next_wait(&mut self) -> Duration {
         let wait = self.ceiling.mul_f64(self.rng.random_range(0.0..1.0));
         self.ceiling = (self.ceiling * 2).min(self.longest);
         wait
     }
 
-    /// The same for a follower that starts and holds nothing: `longest` at most.
+    /// Wait after a failure of a starting follower, `longest` at most.
     ///
-    /// Guards against a node that asks while all sources start as well, and
-    /// waits longer than any of them needs: it serves nobody until it has
-    /// asked again, up to a second after the others.
+    /// When nodes and sources start together, a node may wait longer than the
+    /// sources need to start. It cannot serve until it has asked again, up to
+    /// a second after the other nodes.
     pub fn next_starting_wait(&mut self, longest: Duration) -> Duration {
         self.next_wait()
             .min(longest.mul_f64(self.rng.random_range(0.0..1.0)))
     }
 
-    /// Wait after a source said when to come back: not before, and a little
-    /// spread, because times told in the same millisecond are alike.
+    /// Wait after a source has told the follower to retry after `after`. It is
+    /// never shorter, unless `after` exceeds [`RETRY_AFTER_MAX`], and up to a
+    /// tenth longer, because a source may give equal times to many followers.
     pub fn retry_after(&mut self, after: Duration) -> Duration {
         let spread = self.rng.random_range(1.0..1.1);
-        after.min(TOLD_MAX).mul_f64(spread)
+        after.min(RETRY_AFTER_MAX).mul_f64(spread)
     }
 }
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -1,13 +1,13 @@
-//! Gathers what a source's own followers report, for the leader.
+//! Aggregates the reports of a source's own followers for the leader.
 //!
-//! Load pattern: after each change every node reports its new version
-//! within a second, and between changes every node tells every few seconds
-//! that it lives. Passed on one by one, the leader of 5,200 nodes would take
-//! thousands of messages a second, and an unreachable leader would let them
-//! pile up. Here a node is held once, however often it reports; what goes
-//! up is grouped by version, once per [`REPORT_INTERVAL`] and only what changed,
-//! and every [`NodePresence::refresh`] the names of all live followers, which also
-//! mends whatever was lost or crossed on the way.
+//! After each change every node reports its new version within a second, and
+//! between changes every node reports every few seconds that it is alive. If
+//! each report were forwarded, the leader of 5,200 nodes would receive
+//! thousands of messages a second, and reports would pile up while the leader
+//! is unreachable. So only the latest report of each node is kept. Once per
+//! [`REPORT_INTERVAL`] the changed ones are sent, grouped by version, and once
+//! per [`NodePresence::refresh`] those of all live followers, which also makes up
+//! for messages that were lost or reordered.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,31 +23,33 @@
 use crate::node_presence::NodePresence;
 use crate::version::ConfigVersion;
 
-/// Least time between two batches; 20 batches a second from each of 17
-/// instances are 340 small messages at the leader while a version spreads.
+/// Shortest time between two batches. Each of 17 instances sends at most 20
+/// batches a second, so the leader receives at most 340 small messages a second
+/// while a version is being distributed.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Followers held; as many as connections are served at once.
+/// Largest number of followers kept, equal to the number of connections that are
+/// served at once.
 const FOLLOWERS_MAX: usize = 4_096;
 
-/// Nodes that stand alike.
+/// Nodes of one failure domain that report the same versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportGroup {
     /// Their failure domain.
     pub failure_domain: Arc<str>,
-    /// Version they route by.
+    /// Version that they route by.
     pub applied: ConfigVersion,
-    /// Version they refused as invalid, if they did.
+    /// Version that they refused as invalid, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<ConfigVersion>,
-    /// Their names.
+    /// Names of the nodes.
     pub nodes: Vec<Arc<str>>,
 }
 
-/// What goes up at once.
+/// Reports sent to the leader in one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportBatch {
-    /// Nodes, grouped.
+    /// Reports of nodes, grouped.
     pub groups: Vec<ReportGroup>,
     /// Records of endpoints.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -55,12 +57,12 @@
 }
 
 impl ReportBatch {
-    /// True where there is nothing to tell.
+    /// True if there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty() && self.endpoints.is_empty()
     }
 
-    /// The reports of all nodes, one by one.
+    /// The individual reports of all nodes.
     pub fn reports(&self) -> impl Iterator<Item = NodeReport> + '_ {
         self.groups.iter().flat_map(|group| {
             group.nodes.iter().map(|node| NodeReport {
@@ -79,7 +81,7 @@
     heard_at: Duration,
 }
 
-/// Followers of one source, and what the leader has not been told yet.
+/// Followers of one source, and the changes not reported to the leader yet.
 #[derive(Clone, Debug, Default)]
 pub struct ReportAggregator {
     followers: BTreeMap<Arc<str>, HeardFollower>,
@@ -90,13 +92,14 @@
 }
 
 impl ReportAggregator {
-    /// Sets how long followers are named.
-    pub fn keep(&mut self, presence: NodePresence) {
+    /// Sets how long, and how often, followers are reported.
+    pub fn set_presence(&mut self, presence: NodePresence) {
         self.presence = presence;
     }
 
-    /// A follower reported itself at `now`.
-    pub fn hear(&mut self, now: Duration, report: &NodeReport) {
+    /// Records a follower's report at `now`. A new follower is ignored if
+    /// [`FOLLOWERS_MAX`] are kept.
+    pub fn record_report(&mut self, now: Duration, report: &NodeReport) {
         let held = self.followers.get(&report.node);
         if held.is_none() && self.followers.len() >= FOLLOWERS_MAX {
             return;
@@ -111,7 +114,8 @@
         self.followers.insert(Arc::clone(&report.node), heard);
     }
 
-    /// A record of an endpoint is to go up; of one endpoint only the newest.
+    /// Queues an endpoint record for the leader; only the newest record of an
+    /// endpoint is kept.
     pub fn record(&mut self, record: EndpointRecord) {
         let held = self.records.get(&record.instance);
         if held.is_some_and(|held| held.order() >= record.order()) {
@@ -120,14 +124,14 @@
         self.records.insert(Arc::clone(&record.instance), record);
     }
 
-    /// The next batch; empty where nothing is to be told.
+    /// Takes the next batch; empty if there is nothing to report.
     pub fn take(&mut self, now: Duration) -> ReportBatch {
         let refresh = now >= self.refresh_at;
         if refresh {
             self.refresh_at = now + self.presence.refresh();
-            let named_for = self.presence.named_for();
+            let reported_for = self.presence.reported_for();
             self.followers
-                .retain(|_, held| now.saturating_sub(held.heard_at) <= named_for);
+                .retain(|_, held| now.saturating_sub(held.heard_at) <= reported_for);
         }
         let mut groups: BTreeMap<GroupKey, Vec<Arc<str>>> = BTreeMap::new();
         let changed = std::mem::take(&mut self.changed);
@@ -144,8 +148,8 @@
         }
     }
 
-    /// The leader has changed: all followers go up again, and the records
-    /// of their endpoints.
+    /// Queues the reports of all followers and the records of their endpoints
+    /// again, after a change of leader.
     pub fn resend(&mut self, directory: &EndpointDirectory) {
         self.refresh_at = Duration::ZERO;
         let mut records = Vec::new();
@@ -157,8 +161,8 @@
         }
     }
 
-    /// A batch did not arrive: its records go up again, and its nodes with
-    /// the refresh that is now due.
+    /// Returns a batch that did not arrive. Its records are queued again, and
+    /// its nodes are reported by a refresh that is due at once.
     pub fn put_back(&mut self, batch: ReportBatch) {
         self.refresh_at = Duration::ZERO;
         for record in batch.endpoints {
--- a/crates/core/src/snapshot_chunks.rs
+++ b/crates/core/src/snapshot_chunks.rs
@@ -1,14 +1,16 @@
-//! Whole snapshots, compressed and in chunks, each with its digest.
+//! Compressed snapshots, split into chunks that each have a digest.
 //!
-//! A snapshot of the two-year size is some hundred kilobytes. In one piece,
-//! a thin or lossy link that breaks once would start over for ever; in
-//! chunks it goes on where it was, also from another source, because every
-//! source encodes the same version to the same bytes.
+//! A snapshot of the size expected in two years is some hundred kilobytes. Sent
+//! in one piece over a slow or lossy link, it would start over after every
+//! break and might never arrive. A transfer in chunks resumes where it stopped,
+//! also from another source, because every source encodes a version to the same
+//! bytes.
 //!
-//! Load pattern: a change that adds a thousand routes goes to every node at
-//! once. Its chunks follow one another, and an instance with 0.075 of a core
-//! takes 10 ms for each: 316 KB reached the last of 23 nodes after 1.4 to
-//! 2.9 s. Routes resemble each other, so that compressed it is one chunk.
+//! A change that adds a thousand routes is sent to every node at once. Chunks
+//! are fetched one after another, and an instance with 0.075 of a core takes
+//! 10 ms for each: uncompressed, 316 KB reached the last of 23 nodes after 1.4
+//! to 2.9 s. Routes resemble each other, so the compressed snapshot is a single
+//! chunk.
 
 use std::io::Read;
 use std::io::Write;
@@ -25,24 +27,25 @@
 use crate::control_state::ConfigSnapshot;
 use crate::version::ConfigVersion;
 
-/// Bytes of a chunk: half a second of a thin link of 1 Mbit/s, so that a
-/// break costs no more than that, and few enough chunks (a dozen for a
-/// document of the two-year size) that their round trips do not add up.
+/// Size of a chunk in bytes: half a second on a slow link of 1 Mbit/s, which
+/// bounds the loss from a break. A document of the size expected in two years
+/// is a dozen chunks, few enough that their round trips do not add up.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Largest snapshot taken, in bytes; ten times the two-year document.
+/// Largest snapshot accepted, in bytes: ten times the document expected in two
+/// years.
 pub const SNAPSHOT_BYTES_MAX: u32 = 16 * 1024 * 1024;
 
-/// What a follower needs to know before it fetches chunks.
+/// What a follower must know to fetch and verify the chunks of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotHeader {
     /// Version of the snapshot.
     pub version: ConfigVersion,
     /// Digest of its document.
     pub digest: ConfigDigest,
-    /// Length of all chunks together.
+    /// Total length of the chunks in bytes.
     pub bytes: u32,
-    /// Length of the snapshot once it is decompressed.
+    /// Length of the decompressed snapshot in bytes.
     pub unpacked: u32,
     /// Digest of each chunk, in order.
     pub chunks: Vec<u64>,
@@ -56,9 +59,9 @@
 }
 
 impl ChunkedSnapshot {
-    /// Encodes the snapshot, whose document has `digest`.
+    /// Encodes a snapshot; `digest` is the digest of its document.
     pub fn new(snapshot: &ConfigSnapshot, digest: ConfigDigest) -> Self {
-        // Writing to memory cannot fail and every map key is a string.
+        // Encoding into memory cannot fail, and every map key is a string.
         let whole = rmp_serde::to_vec_named(snapshot).unwrap_or_default();
         let encoded = compressed(&whole);
         let mut chunks = Vec::new();
@@ -78,12 +81,13 @@
         }
     }
 
-    /// The header.
+    /// Header to send before the chunks.
     pub fn header(&self) -> &SnapshotHeader {
         &self.header
     }
 
-    /// Chunk number `at`; the bytes are shared, not copied.
+    /// Chunk number `at`, or `None` if there is no such chunk. The bytes are
+    /// shared, not copied.
     pub fn chunk(&self, at: usize) -> Option<Bytes> {
         let start = at.checked_mul(CHUNK_BYTES)?;
         if start >= self.encoded.len() {
@@ -94,50 +98,52 @@
     }
 }
 
-/// The fastest level: a document of 1,500 routes shrinks to a tenth at any.
+/// Compresses at the fastest level: a document of 1,500 routes shrinks to a
+/// tenth at every level.
 fn compressed(whole: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    // Writing to memory cannot fail; an empty snapshot would not decode, and
-    // its receiver would ask elsewhere.
+    // Writing to memory cannot fail. If it did, the empty snapshot would not
+    // decode, and its receiver would ask another source.
     let written = encoder.write_all(whole);
     written.and_then(|()| encoder.finish()).unwrap_or_default()
 }
 
-/// Chunks that do not make the snapshot of their header.
+/// Why a header, a chunk or a complete snapshot was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChunkError {
-    /// The header is out of bounds.
-    #[error("a snapshot of {bytes} bytes in {chunks} chunks is not taken")]
+    /// The snapshot is too large, or its size and number of chunks disagree.
+    #[error("invalid snapshot header: {bytes} bytes in {chunks} chunks")]
     BadHeader {
-        /// Stated length.
+        /// Length in the header.
         bytes: u32,
-        /// Stated number of chunks.
+        /// Number of chunks in the header.
         chunks: usize,
     },
-    /// A chunk's digest is not the one in the header.
-    #[error("chunk {at} is not the one that was announced")]
+    /// The digest of a chunk differs from the one in the header.
+    #[error("digest of chunk {at} differs from the snapshot header")]
     WrongChunk {
         /// Number of the chunk.
         at: usize,
     },
-    /// All chunks are there and do not decode.
-    #[error("the snapshot does not decode: {0}")]
+    /// The chunks are complete but cannot be decoded.
+    #[error("snapshot cannot be decoded: {0}")]
     Undecodable(String),
-    /// The document is not the one that was announced.
-    #[error("the snapshot's version or digest is not the one announced")]
+    /// The version or digest of the snapshot differs from the header.
+    #[error("version or digest of the snapshot differs from its header")]
     WrongDocument,
 }
 
-/// Gathers the chunks of one snapshot.
+/// Assembles one snapshot from its chunks.
 #[derive(Clone, Debug)]
 pub struct ChunkAssembly {
     header: SnapshotHeader,
-    gathered: Vec<u8>,
+    received: Vec<u8>,
     chunks: usize,
 }
 
 impl ChunkAssembly {
-    /// Begins with the header; memory grows only with checked chunks.
+    /// Creates an assembly for the snapshot of `header`. Memory grows only with
+    /// verified chunks. Fails if the header is invalid.
     pub fn new(header: SnapshotHeader) -> Result<Self, ChunkError> {
         let expected = (header.bytes as usize).div_ceil(CHUNK_BYTES);
         let large = header.bytes.max(header.unpacked) > SNAPSHOT_BYTES_MAX;
@@ -149,35 +155,36 @@
         }
         Ok(Self {
             header,
-            gathered: Vec::new(),
+            received: Vec::new(),
             chunks: 0,
         })
     }
 
-    /// The header that was begun with.
+    /// Header of the snapshot.
     pub fn header(&self) -> &SnapshotHeader {
         &self.header
     }
 
-    /// Number of the chunk to fetch next; `None` once all are there.
+    /// Number of the chunk to fetch next; `None` if all have been received.
     pub fn wanted(&self) -> Option<usize> {
         (self.chunks < self.header.chunks.len()).then_some(self.chunks)
     }
 
-    /// Takes the chunk that is wanted next. A wrong one is dropped and
-    /// stays wanted, so that it can be fetched again elsewhere.
+    /// Adds the chunk that is wanted next. A chunk with a wrong digest is
+    /// dropped and can be fetched again from another source.
     pub fn take(&mut self, chunk: &[u8]) -> Result<(), ChunkError> {
         let at = self.chunks;
         let expected = self.header.chunks.get(at).copied();
         if expected != Some(ConfigDigest::of_bytes(chunk).short()) {
             return Err(ChunkError::WrongChunk { at });
         }
-        self.gathered.extend_from_slice(chunk);
+        self.received.extend_from_slice(chunk);
         self.chunks += 1;
         Ok(())
     }
 
-    /// The snapshot, once all chunks are there.
+    /// Decodes the snapshot after all chunks have been received, and verifies
+    /// its version and digest.
     pub fn finish(&self) -> Result<ConfigSnapshot, ChunkError> {
         let whole = self.unpacked()?;
         let decoded: Result<ConfigSnapshot, _> = rmp_serde::from_slice(&whole);
@@ -189,18 +196,19 @@
         Ok(snapshot)
     }
 
-    /// The snapshot as it was encoded.
+    /// The decompressed bytes of the snapshot.
     fn unpacked(&self) -> Result<Vec<u8>, ChunkError> {
         let stated = self.header.unpacked as usize;
         let mut whole = Vec::with_capacity(stated);
-        // Guards against a header that states little for bytes that grow
-        // without end: a node would run out of memory.
+        // Decompression stops one byte after the length in the header.
+        // Without this bound, a small snapshot that decompresses to
+        // unlimited output would exhaust the node's memory.
         let bound = u64::from(self.header.unpacked) + 1;
-        let mut reader = DeflateDecoder::new(&self.gathered[..]).take(bound);
+        let mut reader = DeflateDecoder::new(&self.received[..]).take(bound);
         let read = reader.read_to_end(&mut whole);
         read.map_err(|error| ChunkError::Undecodable(error.to_string()))?;
         if whole.len() != stated {
-            let problem = format!("{} bytes in place of {stated}", whole.len());
+            let problem = format!("{} bytes instead of {stated}", whole.len());
             return Err(ChunkError::Undecodable(problem));
         }
         Ok(whole)
--- a/crates/core/src/source_proof.rs
+++ b/crates/core/src/source_proof.rs
@@ -1,10 +1,10 @@
-//! What a source can prove of how new its answer is.
+//! Proof of the freshness of a source's answers.
 //!
-//! A control instance on the far side of a silent partition does not know
-//! that it is cut off. It must not pass for a fresh source, or a node that
-//! starts there would go back to an older version than it had applied. So
-//! freshness is never assumed: the leader has it while its lease holds, and
-//! any other instance only as far as an answer of the leader reaches.
+//! A control instance on the minority side of an undetected partition does not
+//! know that it is isolated. If it counted as fresh, a node that starts there
+//! would roll back to an older version than it had applied. So freshness is
+//! never assumed: the leader is fresh while its leader lease is valid, and any
+//! other instance only for a bounded time after an answer from the leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 
 use crate::version::ConfigVersion;
 
-/// How long an answer of the leader makes its receiver fresh, counted from
-/// when the question was sent. Four of the questions that a control
-/// instance sends every half second may be lost before it stops.
+/// How long an answer of the leader keeps its receiver fresh, counted from the
+/// time the request was sent. A control instance sends a request every half
+/// second; freshness survives the loss of four in a row.
 pub const FRESH_FOR: Duration = Duration::from_secs(2);
 
-/// Who gave an answer and what it proves.
+/// The source of an answer and how fresh the answer is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceProof {
-    /// Instance that answers.
+    /// Name of the instance that answers.
     pub instance: Arc<str>,
     /// Its failure domain.
     pub failure_domain: Arc<str>,
-    /// Version that it holds.
+    /// Version that the instance holds.
     pub version: ConfigVersion,
-    /// Milliseconds for which the answer stays fresh, from when its
-    /// question was sent; 0 where nothing is proved.
+    /// Milliseconds for which the answer stays fresh, counted from the time
+    /// its request was sent; 0 if its freshness is not proved.
     pub fresh_ms: u64,
-    /// True where the proof is younger than the question: everything that
-    /// was accepted before the question was sent is in the answer.
+    /// True if the proof is newer than the request: the answer includes
+    /// everything that was accepted before the request was sent.
     pub confirmed: bool,
 }
 
-/// Keeps track of how fresh this instance is.
+/// Tracks how fresh this instance is.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceFreshness {
     leading: bool,
@@ -45,15 +45,15 @@
 }
 
 impl SourceFreshness {
-    /// Tells whether this instance leads and its lease holds.
-    pub fn lead(&mut self, leading: bool) {
+    /// Records whether this instance leads and its leader lease is valid.
+    pub fn set_leading(&mut self, leading: bool) {
         self.leading = leading;
     }
 
-    /// An answer arrived whose question was sent at `sent_at`. Only the
-    /// time since the question counts: an answer that the network held
-    /// back proves nothing of the time it was on its way.
-    pub fn prove(&mut self, sent_at: Duration, source: &SourceProof) {
+    /// Records an answer to a request sent at `sent_at`. Freshness counts from
+    /// that time, because a delayed answer proves nothing about the time it
+    /// spent in transit.
+    pub fn record_proof(&mut self, sent_at: Duration, source: &SourceProof) {
         if source.fresh_ms == 0 {
             return;
         }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// How long an answer given at `now` stays fresh; zero where it is not.
+    /// How long an answer given at `now` stays fresh; zero if it is not fresh.
     pub fn fresh_for(&self, now: Duration) -> Duration {
         if self.leading {
             return FRESH_FOR;
@@ -72,7 +72,7 @@
         self.fresh_until.saturating_sub(now)
     }
 
-    /// True where everything accepted before `asked_at` is held here.
+    /// True if this instance holds everything accepted before `asked_at`.
     pub fn confirms(&self, asked_at: Duration) -> bool {
         self.leading || self.proved_at.is_some_and(|proved| proved >= asked_at)
     }
--- a/crates/core/src/source_ring.rs
+++ b/crates/core/src/source_ring.rs
@@ -1,46 +1,48 @@
-//! Which source a follower asks: near ones first, another after a failure.
+//! Selects the source that a follower asks: preferably one in its own failure
+//! domain, and another one after a failure.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a source that failed is passed over while others are left.
-const PASSED_OVER: Duration = Duration::from_secs(5);
+/// How long a failed source is avoided while others are available.
+const FAILURE_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// How long a follower stays with a source in another failure domain before
-/// it looks for a near one again. A herd that moved away comes back over
-/// this time and not at once.
-const AWAY_TIME: Duration = Duration::from_secs(120);
+/// How long a follower stays with a source in another failure domain before it
+/// tries a local one again, so that many followers that switched together
+/// return spread over this time.
+const FAILBACK_DELAY: Duration = Duration::from_secs(120);
 
-/// Sources, one of them in use.
+/// Known sources in a fixed cyclic order, one of them in use.
 #[derive(Clone, Debug)]
 pub struct SourceRing {
     failure_domain: Arc<str>,
     sources: Vec<KnownSource>,
     current: usize,
-    away_since: Option<Duration>,
+    remote_since: Option<Duration>,
 }
 
 #[derive(Clone, Debug)]
 struct KnownSource {
     address: SocketAddr,
-    /// Learnt from its answers.
+    /// Learned from its answers; `None` before the first.
     failure_domain: Option<Arc<str>>,
     failed_at: Option<Duration>,
 }
 
-/// How willingly a source is asked; lower is better.
+/// Preference among sources; lower is better.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum SourceRank {
-    Near,
+    Local,
     Unknown,
-    Far,
+    Remote,
     Failed,
 }
 
 impl SourceRing {
-    /// A ring over `addresses`, which must not be empty, beginning with
-    /// number `first`, for a follower in `failure_domain`.
+    /// Creates a ring over `addresses`, which must not be empty, for a follower
+    /// in `failure_domain`. The source in use is number `first`, modulo the
+    /// number of addresses.
     pub fn new(failure_domain: Arc<str>, addresses: &[SocketAddr], first: usize) -> Self {
         let mut sources = Vec::with_capacity(addresses.len());
         for address in addresses {
@@ -55,12 +57,12 @@
             failure_domain,
             sources,
             current,
-            away_since: None,
+            remote_since: None,
         }
     }
 
-    /// Takes other addresses, not empty, in place of those held; what is
-    /// known of those that stay is kept.
+    /// Replaces the addresses, which must not be empty. What is known about
+    /// addresses that remain is kept.
     pub fn replace(&mut self, now: Duration, addresses: &[SocketAddr]) {
         let current = self.current();
         let mut sources = Vec::with_capacity(addresses.len());
@@ -80,44 +82,47 @@
         }
     }
 
-    /// The source in use.
+    /// Address of the source in use.
     pub fn current(&self) -> SocketAddr {
         self.sources[self.current].address
     }
 
-    /// The source in use answered from `failure_domain`. True where the
-    /// follower turns to another one, nearer or not known yet.
+    /// Records that the source in use answered from `failure_domain`. True if
+    /// the follower switches to another source, which is in its own failure
+    /// domain or in one that is not known yet.
     pub fn answered(&mut self, now: Duration, failure_domain: &Arc<str>) -> bool {
         let source = &mut self.sources[self.current];
         source.failed_at = None;
         source.failure_domain = Some(Arc::clone(failure_domain));
         if *failure_domain == self.failure_domain {
-            self.away_since = None;
+            self.remote_since = None;
             return false;
         }
-        let since = *self.away_since.get_or_insert(now);
+        let since = *self.remote_since.get_or_insert(now);
         let ranks: Vec<SourceRank> = self
             .sources
             .iter()
             .map(|source| self.rank(now, source))
             .collect();
-        let long_away = now.saturating_sub(since) >= AWAY_TIME;
-        let nearer = long_away && ranks.contains(&SourceRank::Near);
-        if !nearer && !ranks.contains(&SourceRank::Unknown) {
+        let failback_due = now.saturating_sub(since) >= FAILBACK_DELAY;
+        let local_available = failback_due && ranks.contains(&SourceRank::Local);
+        if !local_available && !ranks.contains(&SourceRank::Unknown) {
             return false;
         }
-        self.away_since = Some(now);
+        self.remote_since = Some(now);
         self.choose(now);
         true
     }
 
-    /// The source in use failed, or could not help; turns to another.
+    /// Records that the source in use failed or could not help, and switches
+    /// to another one.
     pub fn failed(&mut self, now: Duration) {
         self.sources[self.current].failed_at = Some(now);
         self.choose(now);
     }
 
-    /// The best source after the current one, in the order of the ring.
+    /// Switches to the best source. Among equals the first after the current
+    /// one in the order of the ring is chosen, and the current one last.
     fn choose(&mut self, now: Duration) {
         let count = self.sources.len();
         let mut best = self.current;
@@ -134,13 +139,13 @@
     }
 
     fn rank(&self, now: Duration, source: &KnownSource) -> SourceRank {
-        let lately = |failed: Duration| now.saturating_sub(failed) < PASSED_OVER;
-        if source.failed_at.is_some_and(lately) {
+        let recent = |failed: Duration| now.saturating_sub(failed) < FAILURE_COOLDOWN;
+        if source.failed_at.is_some_and(recent) {
             return SourceRank::Failed;
         }
         match &source.failure_domain {
-            Some(domain) if *domain == self.failure_domain => SourceRank::Near,
-            Some(_) => SourceRank::Far,
+            Some(domain) if *domain == self.failure_domain => SourceRank::Local,
+            Some(_) => SourceRank::Remote,
             None => SourceRank::Unknown,
         }
     }
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -1,9 +1,10 @@
-//! A source of news: what a control instance does for its followers.
+//! The state of a control instance that sends configuration and directory
+//! updates to its followers.
 //!
-//! Followers are nodes, and at the leader also the other control instances.
-//! Whatever happens, the work is bounded by what changed: a change wakes
-//! each waiting follower once, with an answer made once for all at the same
-//! place; a report costs a few tree steps; silence costs nothing.
+//! Followers are nodes and, at the leader, the other control instances
+//! ("relays"). The cost is proportional to what changed: a change wakes each
+//! waiting follower once, and followers in the same state share one answer;
+//! a report costs a few tree operations; an idle follower costs nothing.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,8 +18,8 @@
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
+use crate::directory_follower::DirectorySync;
 use crate::directory_follower::DirectoryUpdate;
-use crate::directory_follower::DirectoryWay;
 use crate::endpoint_lease::LeaseTable;
 use crate::follow_exchange::FollowCall;
 use crate::follow_exchange::FollowReply;
@@ -37,60 +38,60 @@
 
 mod answers;
 
-/// Longest wait that a follower may ask for.
+/// Longest long-poll wait that a follower may request.
 const WAIT_MAX: Duration = Duration::from_secs(10);
 
-/// Bytes of an encoded directory record.
+/// Approximate size of an encoded directory record, in bytes.
 const RECORD_BYTES: u64 = 160;
 
-/// How often leases are judged; a tenth of their time.
-const LEASE_TICK: Duration = Duration::from_secs(1);
+/// Interval between checks for expired leases: a tenth of the lease time.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Which source this is.
+/// Identity of a source.
 #[derive(Clone, Debug)]
 pub struct SourceIdentity {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// Its failure domain.
     pub failure_domain: Arc<str>,
-    /// Differs between any two processes.
+    /// Identifies the process: unique to each run of any instance.
     pub run: u64,
 }
 
-/// News that came from the leader.
+/// An update received from the leader.
 #[derive(Clone, Debug)]
 pub struct LeaderUpdate {
-    /// When the question was sent.
+    /// When the request was sent.
     pub sent_at: Duration,
-    /// What the answer proves.
+    /// What the answer proves about its freshness.
     pub source: SourceProof,
-    /// The configuration, checked whole, where it is newer.
+    /// The configuration, complete and verified, if it is newer.
     pub snapshot: Option<ConfigSnapshot>,
     /// Directory records that changed.
     pub endpoints: Vec<EndpointRecord>,
-    /// The leader's run, where the directory came from.
+    /// Run of the leader that the directory records came from.
     pub run: u64,
 }
 
-/// One answer for any number of followers.
+/// One reply shared by any number of followers.
 #[derive(Clone, Debug)]
-pub struct NewsAnswer {
-    /// Who gets it.
+pub struct SharedAnswer {
+    /// Followers that receive the reply.
     pub followers: Vec<FollowerId>,
-    /// What they get.
+    /// The reply.
     pub reply: FollowReply,
 }
 
 /// Counters of one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceCounts {
-    /// First questions taken.
+    /// Admitted first requests: the first that a follower sends to this run.
     pub admitted: u64,
-    /// First questions told to come back later.
+    /// First requests that were told to retry later.
     pub told_later: u64,
-    /// Endpoints ended because nobody renewed their lease.
+    /// Endpoints marked gone because their lease expired.
     pub leases_ended: u64,
-    /// Leases that have ended and are held, because too many did at once.
+    /// Expired leases that are kept because too many expired at once.
     pub leases_frozen: u64,
 }
 
@@ -102,21 +103,21 @@
     directory: EndpointDirectory,
     leases: LeaseTable,
     board: MoveBoard,
-    acks: AppliedVersions,
+    applied: AppliedVersions,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
-    ready: Vec<NewsAnswer>,
-    gather: ReportAggregator,
+    ready: Vec<SharedAnswer>,
+    aggregator: ReportAggregator,
     freshness: SourceFreshness,
     admission: ReconnectAdmission,
     leading: bool,
     leader_run: u64,
-    judge_at: Duration,
+    leases_due_at: Duration,
     counts: SourceCounts,
 }
 
 impl UpdateSource {
-    /// A source that holds nothing yet.
+    /// Creates a source with no configuration and an empty directory.
     pub fn new(identity: SourceIdentity) -> Self {
         Self {
             identity,
@@ -124,24 +125,24 @@
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
             board: MoveBoard::default(),
-            acks: AppliedVersions::default(),
+            applied: AppliedVersions::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
             ready: Vec::new(),
-            gather: ReportAggregator::default(),
+            aggregator: ReportAggregator::default(),
             freshness: SourceFreshness::default(),
             admission: ReconnectAdmission::default(),
             leading: false,
             leader_run: 0,
-            judge_at: Duration::ZERO,
+            leases_due_at: Duration::ZERO,
             counts: SourceCounts::default(),
         }
     }
 
-    /// Sets how long nodes count as live.
+    /// Sets how long nodes count as live after they were last heard from.
     pub fn set_presence(&mut self, presence: NodePresence) {
         self.board.keep(presence);
-        self.gather.keep(presence);
+        self.aggregator.set_presence(presence);
     }
 
     /// The configuration in force.
@@ -149,7 +150,7 @@
         self.history.current()
     }
 
-    /// Which nodes have applied what.
+    /// Which version each node has applied.
     pub fn board(&self) -> &MoveBoard {
         &self.board
     }
@@ -164,26 +165,27 @@
         self.counts
     }
 
-    /// True where a starting follower waits for what is in force here to be
-    /// confirmed, so that the leader should be asked again soon.
+    /// True if a starting follower waits until the configuration in force
+    /// here is confirmed, so the leader should be asked again soon.
     pub fn wants_confirmation(&self) -> bool {
         self.queue.has_starting() && self.current().version > ConfigVersion::ZERO
     }
 
-    /// A chunk of the snapshot that an answer named.
+    /// Chunk number `at` of the snapshot of `version`; `None` if that
+    /// snapshot is no longer held or has no such chunk.
     pub fn chunk(&self, version: ConfigVersion, at: usize) -> Option<Bytes> {
         self.history.chunk(version, at)
     }
 
-    /// Tells whether this instance leads and its lease holds.
+    /// Records whether this instance leads and its leader lease is valid.
     pub fn set_leading(&mut self, now: Duration, leading: bool) {
-        // Guards against a new leader that ends leases which were renewed
-        // at the old one only: live servers would leave the directory.
+        // A new leader has not seen the renewals that only the old leader
+        // received; without this, it would remove live servers.
         if leading && !self.leading {
             self.leases.renew_all(now);
         }
         self.leading = leading;
-        self.freshness.lead(leading);
+        self.freshness.set_leading(leading);
     }
 
     /// Puts a newer configuration in force.
@@ -191,51 +193,51 @@
         let version = snapshot.version;
         if self.history.publish(snapshot) {
             self.board.expect(now, version);
-            self.queue.note_news();
+            self.queue.note_update();
         }
     }
 
-    /// Takes a follower's question; its answer comes from
-    /// [`UpdateSource::tick`] under the id.
+    /// Accepts a follower's request. [`UpdateSource::tick`] returns its
+    /// answer, now or later, under the returned id.
     pub fn follow(&mut self, now: Duration, call: FollowCall) -> FollowerId {
-        // A question is a sign of life, also where it is not answered yet.
+        // A request shows that the node is alive, even if it is deferred.
         if let Some(report) = call.report() {
-            self.gather.hear(now, &report);
-            self.acks.remember(&report.node, report.applied);
+            self.aggregator.record_report(now, &report);
+            self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
             self.board.hear(now, report);
         }
-        let way =
-            DirectoryWay::choose(&self.directory, self.identity.run, &call.directory);
-        let revision = match &way {
-            DirectoryWay::Since(revision) => *revision,
-            DirectoryWay::Records(_) | DirectoryWay::NeedsParts => {
+        let sync =
+            DirectorySync::choose(&self.directory, self.identity.run, &call.directory);
+        let revision = match &sync {
+            DirectorySync::Since(revision) => *revision,
+            DirectorySync::Records(_) | DirectorySync::NeedsDigests => {
                 self.directory.revision()
             }
         };
-        let place = FollowerState {
+        let state = FollowerState {
             held: call.held,
             refused: call.refused.unwrap_or_default(),
             whole: call.whole,
             revision,
         };
         let wait = Duration::from_millis(call.wait_ms).min(WAIT_MAX);
-        let id = self.queue.wait(now, now + wait, place);
+        let id = self.queue.enqueue(now, now + wait, state);
         self.names.insert(id, Arc::clone(&call.follower));
-        if let Err(after) = self.admit(now, &call, &place) {
-            self.dismiss(id, FollowReply::Later(after.as_millis() as u64));
+        if let Err(after) = self.admit(now, &call, &state) {
+            self.answer_with_reply(id, FollowReply::Later(after.as_millis() as u64));
             return id;
         }
-        match way {
-            DirectoryWay::Since(_) if self.has_news(now, &place) => {
+        match sync {
+            DirectorySync::Since(_) if self.has_update(now, &state) => {
                 self.answer_one(now, id)
             }
-            DirectoryWay::Since(_) => {}
-            DirectoryWay::Records(records) => {
+            DirectorySync::Since(_) => {}
+            DirectorySync::Records(records) => {
                 let place = Some(self.place());
                 self.answer_with(now, id, DirectoryUpdate { records, place });
             }
-            DirectoryWay::NeedsParts => {
+            DirectorySync::NeedsDigests => {
                 let records = Vec::new();
                 let place = None;
                 self.answer_with(now, id, DirectoryUpdate { records, place });
@@ -244,12 +246,13 @@
         id
     }
 
-    /// Admission of a follower's first question to this source.
+    /// Applies admission control to a follower's first request to this run.
+    /// An error holds the time after which the follower shall retry.
     fn admit(
         &mut self,
         now: Duration,
         call: &FollowCall,
-        place: &FollowerState,
+        state: &FollowerState,
     ) -> Result<(), Duration> {
         if call.directory.place.run == self.identity.run {
             self.admission.caught_up(now, &call.follower);
@@ -259,7 +262,7 @@
             return Ok(());
         }
         let empty = call.directory.digest == 0 && !self.directory.is_empty();
-        let light = !empty && self.history.is_light(place);
+        let light = !empty && self.history.is_light(state);
         let cost = if light {
             ReconnectCost::Light
         } else {
@@ -275,26 +278,27 @@
         admitted
     }
 
-    /// True where a follower that asks now need not wait. One that starts
-    /// waits for an answer that proves what was accepted before it asked.
-    fn has_news(&self, now: Duration, place: &FollowerState) -> bool {
-        let known = place.revision >= self.directory.revision();
-        if known && self.history.is_current(place) {
+    /// True if a request made at `now` can be answered immediately. A
+    /// starting follower waits for an answer that includes everything
+    /// accepted before its request.
+    fn has_update(&self, now: Duration, state: &FollowerState) -> bool {
+        let known = state.revision >= self.directory.revision();
+        if known && self.history.is_current(state) {
             return false;
         }
-        place.held > ConfigVersion::ZERO || self.freshness.confirms(now)
+        state.held > ConfigVersion::ZERO || self.freshness.confirms(now)
     }
 
-    /// Takes reports of nodes and endpoints.
+    /// Processes reports of nodes and endpoints.
     pub fn report(&mut self, now: Duration, batch: ReportBatch) {
         for report in batch.reports() {
-            self.acks.remember(&report.node, report.applied);
+            self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
             self.board.hear(now, report);
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
-                self.gather.record(record);
+                self.aggregator.record(record);
             }
         }
     }
@@ -305,7 +309,7 @@
         if !self.directory.merge(record) {
             return false;
         }
-        self.queue.note_news();
+        self.queue.note_update();
         if gone {
             self.leases.release(&instance);
         } else {
@@ -314,64 +318,64 @@
         true
     }
 
-    /// Takes the leader's news.
-    pub fn install(&mut self, now: Duration, news: LeaderUpdate) {
-        self.freshness.prove(news.sent_at, &news.source);
-        if let Some(snapshot) = news.snapshot {
+    /// Applies an update from the leader.
+    pub fn install(&mut self, now: Duration, update: LeaderUpdate) {
+        self.freshness.record_proof(update.sent_at, &update.source);
+        if let Some(snapshot) = update.snapshot {
             self.publish(now, snapshot);
         }
-        for record in news.endpoints {
+        for record in update.endpoints {
             self.merge(now, record);
         }
-        // Guards against records that only the old leader had been told:
-        // after each change of leader the new one gets those of all
-        // followers here again, and both directories converge.
-        if news.run != self.leader_run {
-            self.leader_run = news.run;
-            self.gather.resend(&self.directory);
+        // Some records may have reached only the old leader. After each
+        // change of leader the records of all followers of this instance
+        // are sent again, so both directories converge.
+        if update.run != self.leader_run {
+            self.leader_run = update.run;
+            self.aggregator.resend(&self.directory);
         }
         let held = self.history.current().version;
-        if held > ConfigVersion::ZERO && self.freshness.confirms(news.sent_at) {
-            let due = self.queue.confirmed(news.sent_at);
+        if held > ConfigVersion::ZERO && self.freshness.confirms(update.sent_at) {
+            let due = self.queue.take_confirmed(update.sent_at);
             self.answer(now, due);
         }
     }
 
-    /// What the leader is to be told; empty where nothing is.
+    /// Takes the reports to send to the leader; empty if there are none.
     pub fn take_reports(&mut self, now: Duration) -> ReportBatch {
-        self.gather.take(now)
+        self.aggregator.take(now)
     }
 
-    /// A batch did not reach the leader.
+    /// Returns a batch that did not reach the leader, to be sent again.
     pub fn put_back(&mut self, batch: ReportBatch) {
-        self.gather.put_back(batch);
+        self.aggregator.put_back(batch);
     }
 
-    /// The process was late by `lag` with a tick.
+    /// Records that the process was late by `lag` with a tick.
     pub fn note_delay(&mut self, lag: Duration) {
-        self.queue.late(lag);
+        self.queue.note_delay(lag);
     }
 
-    /// Lets time pass, and gives the answers that are due.
-    pub fn tick(&mut self, now: Duration) -> Vec<NewsAnswer> {
+    /// Advances the time to `now` and returns the answers that are due.
+    pub fn tick(&mut self, now: Duration) -> Vec<SharedAnswer> {
         self.board.settle(now);
-        self.judge_leases(now);
+        self.expire_leases(now);
         let due = self.queue.due(now, &self.freshness);
         self.answer(now, due);
         std::mem::take(&mut self.ready)
     }
 
-    fn judge_leases(&mut self, now: Duration) {
-        if !self.leading || now < self.judge_at {
+    fn expire_leases(&mut self, now: Duration) {
+        if !self.leading || now < self.leases_due_at {
             return;
         }
-        self.judge_at = now + LEASE_TICK;
-        let verdict = self.leases.expire(now);
-        self.counts.leases_frozen = verdict.frozen as u64;
-        for instance in verdict.ended {
+        self.leases_due_at = now + LEASE_CHECK_INTERVAL;
+        let outcome = self.leases.expire(now);
+        self.counts.leases_frozen = outcome.frozen as u64;
+        for instance in outcome.expired {
             self.counts.leases_ended += 1;
-            if self.directory.end(&instance) {
-                self.queue.note_news();
+            if self.directory.expire(&instance) {
+                self.queue.note_update();
             }
         }
     }
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -1,4 +1,5 @@
-//! Makes a source's answers, each distinct one once.
+//! Builds the answers of a source; followers that would get equal answers
+//! share one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
-use super::NewsAnswer;
+use super::SharedAnswer;
 use super::UpdateSource;
 
 impl UpdateSource {
@@ -40,7 +41,7 @@
         self.answer(now, due.into_iter().collect());
     }
 
-    /// Answers a follower alone, with directory news of its own.
+    /// Answers a single follower with a directory update made for it.
     pub(super) fn answer_with(
         &mut self,
         now: Duration,
@@ -53,47 +54,48 @@
         let key = self.key(&due);
         self.names.remove(&id);
         let reply = self.reply(now, &due, &key, directory);
-        self.ready.push(NewsAnswer {
+        self.ready.push(SharedAnswer {
             followers: vec![id],
             reply,
         });
     }
 
-    pub(super) fn dismiss(&mut self, id: FollowerId, reply: FollowReply) {
+    /// Sends `reply` to a follower and removes it from the queue.
+    pub(super) fn answer_with_reply(&mut self, id: FollowerId, reply: FollowReply) {
         self.queue.remove_one(id);
         self.names.remove(&id);
-        self.ready.push(NewsAnswer {
+        self.ready.push(SharedAnswer {
             followers: vec![id],
             reply,
         });
     }
 
-    /// Answers followers, those at the same place together.
+    /// Answers followers; those in the same state share one answer.
     pub(super) fn answer(&mut self, now: Duration, due: Vec<DueFollower>) {
-        let mut alike: BTreeMap<AnswerKey, Vec<DueFollower>> = BTreeMap::new();
+        let mut grouped: BTreeMap<AnswerKey, Vec<DueFollower>> = BTreeMap::new();
         for follower in due {
             let key = self.key(&follower);
             self.names.remove(&follower.id);
-            alike.entry(key).or_default().push(follower);
+            grouped.entry(key).or_default().push(follower);
         }
-        for (key, followers) in alike {
+        for (key, followers) in grouped {
             let directory = DirectoryUpdate {
-                records: self.directory.since(key.place.revision),
+                records: self.directory.since(key.state.revision),
                 place: Some(self.place()),
             };
             let reply = self.reply(now, &followers[0], &key, directory);
             let followers = followers.iter().map(|follower| follower.id).collect();
-            self.ready.push(NewsAnswer { followers, reply });
+            self.ready.push(SharedAnswer { followers, reply });
         }
     }
 
     fn key(&self, follower: &DueFollower) -> AnswerKey {
-        let starting = follower.place.held == ConfigVersion::ZERO;
+        let starting = follower.state.held == ConfigVersion::ZERO;
         let name = self.names.get(&follower.id).filter(|_| starting);
         AnswerKey {
-            place: follower.place,
+            state: follower.state,
             confirmed: self.freshness.confirms(follower.asked_at),
-            acknowledged: name.and_then(|name| self.acks.recall(name)),
+            acknowledged: name.and_then(|name| self.applied.get(name)),
         }
     }
 
@@ -104,7 +106,7 @@
         key: &AnswerKey,
         directory: DirectoryUpdate,
     ) -> FollowReply {
-        let config = self.history.news(&key.place);
+        let config = self.history.news(&key.state);
         FollowReply::News(Box::new(FollowAnswer {
             source: self.proof(now, follower.asked_at),
             chunk: self.history.first_chunk(&config),
@@ -115,10 +117,10 @@
     }
 }
 
-/// What tells the answers of one wake apart.
+/// Followers with equal keys get the same answer.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerKey {
-    place: FollowerState,
+    state: FollowerState,
     confirmed: bool,
     acknowledged: Option<ConfigVersion>,
 }
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -1,18 +1,22 @@
-//! A follower's way from version to version.
+//! The state machine by which a follower moves from one configuration
+//! version to the next.
 //!
-//! The rules, each of which holds whatever the sources do:
+//! These rules hold whatever the sources send:
 //!
-//! - A version not above the one held is passed over, so nothing goes back.
-//! - A document is whole and its digest right before it is offered; what is
-//!   held is swapped in one step, and only after validation.
-//! - A version once refused is not offered again, and changes nothing.
-//! - A follower that starts with nothing takes a version only from a source
-//!   that confirms it, or, when no source does for [`START_PATIENCE`], the
-//!   highest among sources of [`START_DOMAINS`] failure domains, never below
-//!   what any of them knows this follower to have applied.
+//! - A version that is not higher than the one held is ignored, so the
+//!   follower never rolls back.
+//! - A document is offered only once it is complete and its digest matches;
+//!   the version held is replaced atomically, and only after validation.
+//! - A version that validation refused changes nothing and is not offered
+//!   again.
+//! - A follower that starts without a configuration accepts a version only
+//!   from a source that confirms it. If no source does so for
+//!   [`START_TIMEOUT`], it accepts the highest version among sources of
+//!   [`START_DOMAINS_MIN`] failure domains, but none lower than what any
+//!   source knows this follower to have applied.
 //!
-//! A running follower takes any higher version from any source: control
-//! instances pass on only what was accepted, so higher is always newer.
+//! A running follower accepts any higher version from any source: control
+//! instances distribute only accepted versions, so higher is always newer.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,21 +29,22 @@
 use crate::source_proof::SourceProof;
 use crate::version::ConfigVersion;
 
-/// How long a starting follower insists on a confirmed answer. An election
-/// takes a second or two and a restart of all control instances a few more;
-/// beyond that a node without any configuration serves nobody.
-pub const START_PATIENCE: Duration = Duration::from_secs(10);
+/// How long a starting follower requires a confirmed answer. An election
+/// takes one or two seconds and a restart of all control instances a few
+/// more; a longer timeout would only keep a node without a configuration
+/// from serving.
+pub const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Failure domains that must have answered before an unconfirmed version is
-/// taken: one domain alone may be the far side of a partition.
-pub const START_DOMAINS: usize = 2;
+/// accepted: a single domain may be on the wrong side of a partition.
+pub const START_DOMAINS_MIN: usize = 2;
 
-/// What the shell does next.
+/// What the caller of the state machine must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowStep {
-    /// Ask for news again.
+    /// Ask the same source for updates again.
     Ask,
-    /// This source cannot help; ask another one.
+    /// Ask another source; this one has nothing that can be used.
     AskElsewhere,
     /// Fetch this chunk.
     Fetch {
@@ -48,34 +53,37 @@
         /// Number of the chunk.
         at: usize,
     },
-    /// Validate this snapshot and put it in force in one step.
+    /// Validate this snapshot and put it in force atomically.
     Offer(ConfigSnapshot),
 }
 
-/// Counters of what a follower passed over.
+/// Counters of versions that a follower did not accept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowCounts {
-    /// Versions not above the one held.
+    /// Versions not higher than the one held.
     pub stale: u64,
-    /// Deltas or chunks that did not fit or were damaged.
+    /// Deltas with another base version, and damaged deltas, headers and
+    /// chunks.
     pub damaged: u64,
     /// Versions refused by validation.
     pub refused: u64,
-    /// Versions not taken at the start because nothing confirmed them.
+    /// Unconfirmed answers that a starting follower did not accept.
     pub unconfirmed: u64,
 }
 
-/// A snapshot on its way, and the delta to apply on top of it.
+/// A snapshot being fetched, and the delta to apply on top of it.
 #[derive(Clone, Debug)]
 struct SnapshotFetch {
     assembly: ChunkAssembly,
-    rest: Option<Arc<ConfigDelta>>,
+    delta: Option<Arc<ConfigDelta>>,
     source: SourceProof,
 }
 
-/// What a starting follower has gathered from unconfirmed sources.
+/// What a starting follower has received from unconfirmed sources: the
+/// failure domains that answered, the highest version, and the lowest
+/// version that may be accepted.
 #[derive(Clone, Debug, Default)]
-struct StartGather {
+struct StartCandidates {
     domains: BTreeSet<Arc<str>>,
     best: ConfigSnapshot,
     floor: ConfigVersion,
@@ -88,49 +96,50 @@
     held: ConfigSnapshot,
     offered: Option<ConfigSnapshot>,
     refused: Option<ConfigVersion>,
-    whole: bool,
+    needs_snapshot: bool,
     fetch: Option<SnapshotFetch>,
-    gather: StartGather,
+    candidates: StartCandidates,
     counts: FollowCounts,
 }
 
 impl VersionFollower {
-    /// A follower that starts with nothing.
+    /// Creates a follower that holds no version.
     pub fn new(started_at: Duration) -> Self {
         Self {
             started_at,
             held: ConfigSnapshot::default(),
             offered: None,
             refused: None,
-            whole: false,
+            needs_snapshot: false,
             fetch: None,
-            gather: StartGather::default(),
+            candidates: StartCandidates::default(),
             counts: FollowCounts::default(),
         }
     }
 
-    /// Version in force here.
+    /// Version in force at this follower.
     pub fn held(&self) -> ConfigVersion {
         self.held.version
     }
 
-    /// Version refused here last.
+    /// Version that validation refused last.
     pub fn refused(&self) -> Option<ConfigVersion> {
         self.refused
     }
 
-    /// True where the next answer must not be a delta.
+    /// True if the next answer must be a whole snapshot, not a delta.
     pub fn needs_snapshot(&self) -> bool {
-        self.whole
+        self.needs_snapshot
     }
 
-    /// What was passed over so far.
+    /// Counters so far.
     pub fn counts(&self) -> FollowCounts {
         self.counts
     }
 
-    /// Takes a source's news. `acknowledged` is what the source knows this
-    /// follower to have applied, also before its process started.
+    /// Processes an update from a source. `acknowledged` is the highest
+    /// version that the source knows this follower to have applied, including
+    /// before a restart of its process.
     pub fn news(
         &mut self,
         now: Duration,
@@ -139,17 +148,17 @@
         news: ConfigNews,
     ) -> FollowStep {
         let floor = acknowledged.unwrap_or_default();
-        self.gather.floor = self.gather.floor.max(floor);
+        self.candidates.floor = self.candidates.floor.max(floor);
         match news {
-            ConfigNews::Current => self.without_news(now, &source),
+            ConfigNews::Current => self.handle_no_update(now, &source),
             ConfigNews::Delta(delta) => self.delta(now, &source, &delta),
-            ConfigNews::Snapshot(header, rest) => {
-                let target = rest.as_ref().map_or(header.version, |rest| rest.version);
-                if !self.wants(target) {
-                    return self.without_news(now, &source);
+            ConfigNews::Snapshot(header, delta) => {
+                let target = delta.as_ref().map_or(header.version, |delta| delta.version);
+                if !self.accepts(target) {
+                    return self.handle_no_update(now, &source);
                 }
-                // The same header again, perhaps from another source: go on
-                // with the chunks that are there.
+                // If the header is the same, perhaps from another source,
+                // the chunks already received are kept.
                 let resumed = self.fetch.take();
                 let resumed = resumed.filter(|held| *held.assembly.header() == header);
                 let assembly = match resumed {
@@ -162,16 +171,16 @@
                 };
                 self.fetch = Some(SnapshotFetch {
                     assembly,
-                    rest,
+                    delta,
                     source,
                 });
-                self.fetch_on(now)
+                self.continue_fetch(now)
             }
         }
     }
 
-    /// Takes the chunk that was to be fetched; `None` where the source no
-    /// longer has it.
+    /// Processes the chunk requested by [`FollowStep::Fetch`]; `None` if the
+    /// source no longer has it.
     pub fn chunk(&mut self, now: Duration, chunk: Option<&[u8]>) -> FollowStep {
         let Some(fetch) = &mut self.fetch else {
             return FollowStep::Ask;
@@ -179,17 +188,18 @@
         let Some(chunk) = chunk else {
             return FollowStep::Ask;
         };
-        // Guards against a chunk damaged on its way: it is dropped and
-        // fetched from elsewhere, and nothing built on it is ever used.
+        // A chunk damaged in transit is dropped and fetched from another
+        // source; no snapshot is ever built from it.
         if fetch.assembly.take(chunk).is_err() {
             self.counts.damaged += 1;
             return FollowStep::AskElsewhere;
         }
-        self.fetch_on(now)
+        self.continue_fetch(now)
     }
 
-    /// Tells what became of the offered snapshot: the version now in force
-    /// and the one refused, as the holder of the configuration states them.
+    /// Records the outcome of the offered snapshot: the version now in force
+    /// and the version refused, as reported by the component that validates
+    /// and applies configurations.
     pub fn record_outcome(
         &mut self,
         applied: ConfigVersion,
@@ -208,20 +218,21 @@
         }
     }
 
-    /// Takes over what is in force here by another way.
+    /// Adopts a snapshot that was put in force without this state machine,
+    /// if it is newer.
     pub fn adopt(&mut self, snapshot: ConfigSnapshot) {
         if snapshot.version > self.held.version {
             self.held = snapshot;
         }
     }
 
-    fn wants(&mut self, version: ConfigVersion) -> bool {
+    fn accepts(&mut self, version: ConfigVersion) -> bool {
         let starting = self.held.version == ConfigVersion::ZERO;
-        if starting && version <= self.gather.best.version {
+        if starting && version <= self.candidates.best.version {
             return false;
         }
-        // Guards against a source that is behind: taking its version would
-        // undo an accepted change on this node.
+        // The source is behind: accepting its version would undo an accepted
+        // change on this node.
         if version <= self.held.version {
             self.counts.stale += 1;
             return false;
@@ -235,8 +246,8 @@
         source: &SourceProof,
         delta: &ConfigDelta,
     ) -> FollowStep {
-        if !self.wants(delta.version) {
-            return self.without_news(now, source);
+        if !self.accepts(delta.version) {
+            return self.handle_no_update(now, source);
         }
         match delta.apply(&self.held) {
             Ok(snapshot) => self.complete(now, source, snapshot),
@@ -244,7 +255,7 @@
         }
     }
 
-    fn fetch_on(&mut self, now: Duration) -> FollowStep {
+    fn continue_fetch(&mut self, now: Duration) -> FollowStep {
         let Some(fetch) = self.fetch.take() else {
             return FollowStep::Ask;
         };
@@ -256,8 +267,8 @@
         let Ok(mut snapshot) = fetch.assembly.finish() else {
             return self.damaged();
         };
-        if let Some(rest) = &fetch.rest {
-            let Ok(newest) = rest.apply(&snapshot) else {
+        if let Some(delta) = &fetch.delta {
+            let Ok(newest) = delta.apply(&snapshot) else {
                 return self.damaged();
             };
             snapshot = newest;
@@ -265,14 +276,14 @@
         self.complete(now, &fetch.source, snapshot)
     }
 
-    /// Asks for the whole snapshot, and where that was damaged too, asks
-    /// another source.
+    /// Requests a whole snapshot in place of a damaged delta or snapshot; if
+    /// that is damaged too, asks another source.
     fn damaged(&mut self) -> FollowStep {
         self.counts.damaged += 1;
-        if self.whole {
+        if self.needs_snapshot {
             return FollowStep::AskElsewhere;
         }
-        self.whole = true;
+        self.needs_snapshot = true;
         FollowStep::Ask
     }
 
@@ -282,20 +293,20 @@
         source: &SourceProof,
         snapshot: ConfigSnapshot,
     ) -> FollowStep {
-        self.whole = false;
+        self.needs_snapshot = false;
         let running = self.held.version != ConfigVersion::ZERO;
         if running || source.confirmed {
             return self.offer(snapshot);
         }
-        if snapshot.version > self.gather.best.version {
-            self.gather.best = snapshot;
+        if snapshot.version > self.candidates.best.version {
+            self.candidates.best = snapshot;
         }
-        self.gather_on(now, source)
+        self.consider_unconfirmed(now, source)
     }
 
-    /// A source holds nothing that is wanted.
-    fn without_news(&mut self, now: Duration, source: &SourceProof) -> FollowStep {
-        let best = &self.gather.best;
+    /// Handles an answer without a version that this follower can use.
+    fn handle_no_update(&mut self, now: Duration, source: &SourceProof) -> FollowStep {
+        let best = &self.candidates.best;
         let starting = self.held.version == ConfigVersion::ZERO;
         if !starting || source.version == ConfigVersion::ZERO {
             return FollowStep::Ask;
@@ -304,24 +315,30 @@
             let snapshot = best.clone();
             return self.offer(snapshot);
         }
-        self.gather_on(now, source)
+        self.consider_unconfirmed(now, source)
     }
 
-    /// Decides whether a starting follower has heard enough.
-    fn gather_on(&mut self, now: Duration, source: &SourceProof) -> FollowStep {
+    /// Decides whether a starting follower accepts the highest unconfirmed
+    /// version received so far.
+    fn consider_unconfirmed(
+        &mut self,
+        now: Duration,
+        source: &SourceProof,
+    ) -> FollowStep {
         let domain = Arc::clone(&source.failure_domain);
-        self.gather.domains.insert(domain);
-        let patient = now.saturating_sub(self.started_at) < START_PATIENCE;
-        let alone = self.gather.domains.len() < START_DOMAINS;
-        // Guards against starting on the far side of a silent partition:
-        // the only sources there hold old versions, and a caller would be
-        // routed by what operators replaced. One domain is not believed,
-        // and nothing below what this node is known to have applied.
-        if patient || alone || self.gather.best.version < self.gather.floor {
+        self.candidates.domains.insert(domain);
+        let early = now.saturating_sub(self.started_at) < START_TIMEOUT;
+        let few_domains = self.candidates.domains.len() < START_DOMAINS_MIN;
+        // On the wrong side of an undetected partition all reachable sources
+        // hold old versions, and callers would be routed by a configuration
+        // that operators have replaced. So the answers of a single domain
+        // are not sufficient, and no version is accepted that is lower than
+        // what this node is known to have applied.
+        if early || few_domains || self.candidates.best.version < self.candidates.floor {
             self.counts.unconfirmed += 1;
             return FollowStep::AskElsewhere;
         }
-        let snapshot = self.gather.best.clone();
+        let snapshot = self.candidates.best.clone();
         self.offer(snapshot)
     }
 
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -7,8 +7,8 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory::EndpointStanding;
-use cowslip_core::directory_follower::DirectoryAsk;
 use cowslip_core::directory_follower::DirectoryFollower;
+use cowslip_core::directory_follower::DirectoryRequest;
 use cowslip_core::document::FleetDocument;
 use cowslip_core::endpoint_lease::LEASE_TIME;
 use cowslip_core::follow_exchange::FollowAnswer;
@@ -55,7 +55,7 @@
     leader
 }
 
-fn call(name: &str, index: u64, directory: DirectoryAsk) -> FollowCall {
+fn call(name: &str, index: u64, directory: DirectoryRequest) -> FollowCall {
     FollowCall {
         follower: name.into(),
         held: if index == 0 {
@@ -124,7 +124,7 @@
 }
 
 /// A follower of `source` that has its directory and version `index`.
-fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryAsk {
+fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryRequest {
     let mut follower = DirectoryFollower::default();
     let id = source.follow(now, call("first", 0, follower.request()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
@@ -238,8 +238,8 @@
     assert_eq!(leader.counts().leases_ended, 1);
 }
 
-fn settled_ask(source: &UpdateSource) -> DirectoryAsk {
-    DirectoryAsk {
+fn settled_ask(source: &UpdateSource) -> DirectoryRequest {
+    DirectoryRequest {
         place: Default::default(),
         digest: source.directory().digest().whole(),
         parts: None,
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -17,7 +17,7 @@
 use cowslip_core::version::ConfigVersion;
 use cowslip_core::version_follower::FollowStep;
 use cowslip_core::version_follower::VersionFollower;
-use cowslip_core::version_follower::START_PATIENCE;
+use cowslip_core::version_follower::START_TIMEOUT;
 
 fn at(index: u64) -> ConfigVersion {
     ConfigVersion::new(1, index)
@@ -83,7 +83,7 @@
     step
 }
 
-const LATE: Duration = START_PATIENCE;
+const LATE: Duration = START_TIMEOUT;
 
 // A region is cut off without a word. A node that had applied version 5
 // restarts there with no memory, and the only instance it reaches still
@@ -172,7 +172,7 @@
 fn an_answer_held_back_proves_nothing() {
     let mut freshness = SourceFreshness::default();
     let sent_at = Duration::from_secs(100);
-    freshness.prove(sent_at, &proof("voss", 9, true));
+    freshness.record_proof(sent_at, &proof("voss", 9, true));
     assert!(freshness.fresh_for(sent_at + FRESH_FOR).is_zero());
     assert!(!freshness.fresh_for(sent_at).is_zero());
     assert!(freshness.confirms(sent_at));
