--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -326,7 +326,10 @@
     /// that a server could give at 1.1 times its capacity are in time after a
     /// cold start; without them, 0.00 (`tests/timely_overload.rs`).
     fn late_at(&self, now: Duration, call: &OfferedCall) -> Option<Duration> {
-        let work = self.times.mean_time(&call.route).mul_f64(SERVICE_TIME_MARGIN);
+        let work = self
+            .times
+            .mean_time(&call.route)
+            .mul_f64(SERVICE_TIME_MARGIN);
         // Brief calls cost the others little, and many are made by servers on
         // behalf of requests that wait for them, so they are never treated as
         // late.
@@ -425,8 +428,9 @@
         let ratio = self.times.ratio(&call.route, elapsed);
         match outcome {
             SlotOutcome::Answered(taken) => {
-                let lightly_loaded =
-                    self.limit.is_uncontended(in_flight.max(call.in_flight_at_start));
+                let lightly_loaded = self
+                    .limit
+                    .is_uncontended(in_flight.max(call.in_flight_at_start));
                 self.times.observe(&call.route, taken, lightly_loaded);
                 if independent {
                     self.times.observe_local(&call.route, taken);
