--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -100,7 +100,7 @@
     routes: RouteTable,
     directory: EndpointDirectory,
     servers: FleetServers,
-    pressures: HashMap<Arc<str>, ServiceLoad>,
+    service_loads: HashMap<Arc<str>, ServiceLoad>,
     guard: NodeGuard,
     rng: SmallRng,
 }
@@ -114,7 +114,7 @@
             routes: RouteTable::default(),
             directory: EndpointDirectory::default(),
             servers: FleetServers::default(),
-            pressures: HashMap::new(),
+            service_loads: HashMap::new(),
             guard: NodeGuard::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -162,7 +162,8 @@
         self.guard.install(&snapshot.document);
         self.snapshot = snapshot;
         let services = &self.snapshot.document.services;
-        self.pressures.retain(|name, _| services.contains_key(name));
+        self.service_loads
+            .retain(|name, _| services.contains_key(name));
         Ok(true)
     }
 
@@ -241,14 +242,14 @@
             Some(rule) => rule == RepeatRule::Idempotent,
             None => head.idempotent,
         };
-        let pressure = self.pressures.entry(Arc::clone(service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(service));
+        let service_load = service_load.or_default();
         let age = head.deadline.map_or(Duration::ZERO, |deadline| {
-            pressure.age(now, &route.path, deadline)
+            service_load.age(now, &route.path, deadline)
         });
         let target = route.target_ms.map(Duration::from_millis);
         if let Some(target) = target {
-            pressure.add_prior(&route.path, target);
+            service_load.add_prior(&route.path, target);
         }
         let plan = CallPlan {
             service: Arc::clone(service),
@@ -276,13 +277,14 @@
         // Guards against overload that feeds itself: a call that a server makes
         // for a request already running takes the work of that request with it
         // when it is refused, and its caller asks for all of it again.
-        let admitted = pressure.admit(now, &plan.customer, plan.priority, &mut self.rng);
+        let admitted =
+            service_load.admit(now, &plan.customer, plan.priority, &mut self.rng);
         if !admitted && plan.origin == CallOrigin::Outside {
             self.turned_away(now, &plan);
             return Err(RefusalReason::CustomerLimit);
         }
         let terms = BudgetConfig::of(percent, burst, self.directory.len());
-        pressure.budget.earn(now, terms);
+        service_load.budget.earn(now, terms);
         Ok(plan)
     }
 
@@ -290,8 +292,8 @@
     /// `repeats` says: it counts among the retries of the called service.
     pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatProbability) {
         plan.repeats = repeats;
-        if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.budget.charge(repeats);
+        if let Some(service_load) = self.service_loads.get_mut(&plan.service) {
+            service_load.budget.charge(repeats);
         }
     }
 
@@ -299,8 +301,8 @@
         let Some(until) = plan.caller_until else {
             return;
         };
-        if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.record_refusal(now, &plan.route, plan.asked_at, until);
+        if let Some(service_load) = self.service_loads.get_mut(&plan.service) {
+            service_load.record_refusal(now, &plan.route, plan.asked_at, until);
         }
     }
 
@@ -330,12 +332,12 @@
         let Some(spec) = self.snapshot.document.services.get(&plan.service) else {
             return Err(RefusalReason::NoEndpoint);
         };
-        let pressure = self.pressures.entry(Arc::clone(&plan.service));
-        let pressure = pressure.or_default();
-        let kilobytes = pressure.kilobytes(&plan.route);
+        let service_load = self.service_loads.entry(Arc::clone(&plan.service));
+        let service_load = service_load.or_default();
+        let kilobytes = service_load.kilobytes(&plan.route);
         let costs = SearchCosts {
             full: &plan.full,
-            default_work: pressure.mean_time(&plan.route),
+            default_work: service_load.mean_time(&plan.route),
             route: &plan.route,
             value: AnswerValue {
                 target_left: plan.target_left(now),
@@ -427,10 +429,10 @@
             // It refused or failed for another reason than want of a slot.
             plan.tried.push(Arc::clone(&server.instance));
         }
-        let pressure = self.pressures.entry(Arc::clone(&plan.service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(&plan.service));
+        let service_load = service_load.or_default();
         if evidence == TryOutcome::Full {
-            pressure.record_overload(now, &mut self.rng);
+            service_load.record_overload(now, &mut self.rng);
         }
         if failure.reached_server() {
             // Failed by a version on trial, it is not for that one again.
@@ -452,7 +454,7 @@
         // it is part of the search, whose length the tries bound.
         let full = evidence == TryOutcome::Full && !plan.seeks_slots;
         let costs = failure.reached_server() || full;
-        if costs && !pressure.budget.spend(&mut self.rng) {
+        if costs && !service_load.budget.spend(&mut self.rng) {
             return NextStep::Refuse(match plan.verdict {
                 // Its caller may come back sooner than to a full service.
                 CallVerdict::NotRun if failure.reason == RefusalReason::ServerRefused => {
@@ -469,19 +471,19 @@
 
     /// A try's answer has been passed on, or given up after its head.
     pub fn ended(&mut self, now: Duration, report: &TryReport) {
-        let pressure = self.pressures.entry(Arc::clone(&report.service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(&report.service));
+        let service_load = service_load.or_default();
         let evidence = match report.status {
             STATUS_SHED => {
-                pressure.record_overload(now, &mut self.rng);
+                service_load.record_overload(now, &mut self.rng);
                 TryOutcome::Full
             }
             status => {
-                pressure.accepted(now, &report.customer, report.priority);
+                service_load.accepted(now, &report.customer, report.priority);
                 if let Some(bytes) = report.bytes {
-                    pressure.record_size(&report.route, bytes);
+                    service_load.record_size(&report.route, bytes);
                 }
-                pressure.outcome(report, STATUS_FAILED.contains(&status))
+                service_load.outcome(report, STATUS_FAILED.contains(&status))
             }
         };
         self.servers.end(now, &report.instance, evidence);
