--- a/crates/core/src/load/returning_callers.rs
+++ b/crates/core/src/load/returning_callers.rs
@@ -37,7 +37,7 @@
 impl ReturningCallers {
     /// Records a refused call on `route` that was first sent at `asked_at` and
     /// whose deadline is `deadline_at`.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         now: Duration,
         route: &Arc<str>,
@@ -58,7 +58,11 @@
 
     /// Returns when a call on `route` with a deadline of `deadline_at` was
     /// first sent, and forgets it; `None` if no such call was refused here.
-    pub fn asked_at(&mut self, route: &str, deadline_at: Duration) -> Option<Duration> {
+    pub fn take_asked_at(
+        &mut self,
+        route: &str,
+        deadline_at: Duration,
+    ) -> Option<Duration> {
         let calls = self.routes.get_mut(route)?;
         let from = deadline_at.saturating_sub(END_TOLERANCE);
         let mut matching = calls.range(from..=deadline_at + END_TOLERANCE);
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -83,7 +83,7 @@
         deadline: Duration,
     ) -> Duration {
         let least = self.ages.age(now, route, deadline);
-        let known = self.returning.asked_at(route, now + deadline);
+        let known = self.returning.take_asked_at(route, now + deadline);
         known.map_or(least, |asked_at| now.saturating_sub(asked_at))
     }
 
@@ -96,7 +96,8 @@
         asked_at: Duration,
         deadline_at: Duration,
     ) {
-        self.returning.refused(now, route, asked_at, deadline_at);
+        self.returning
+            .record_refusal(now, route, asked_at, deadline_at);
     }
 
     /// Sets a prior for job times on `route` from a call's target.
--- a/crates/core/tests/returning_callers.rs
+++ b/crates/core/tests/returning_callers.rs
@@ -106,12 +106,15 @@
 fn a_call_refused_twice_is_still_recognized() {
     let mut callers = ReturningCallers::default();
     let route: Arc<str> = "/quota".into();
-    callers.refused(millis(0), &route, millis(0), millis(2_500));
-    let asked_at = callers.asked_at(&route, millis(2_503));
+    callers.record_refusal(millis(0), &route, millis(0), millis(2_500));
+    let asked_at = callers.take_asked_at(&route, millis(2_503));
     assert_eq!(asked_at, Some(millis(0)));
-    callers.refused(millis(700), &route, millis(0), millis(2_503));
-    assert_eq!(callers.asked_at(&route, millis(2_501)), Some(millis(0)));
-    assert_eq!(callers.asked_at(&route, millis(2_501)), None);
+    callers.record_refusal(millis(700), &route, millis(0), millis(2_503));
+    assert_eq!(
+        callers.take_asked_at(&route, millis(2_501)),
+        Some(millis(0))
+    );
+    assert_eq!(callers.take_asked_at(&route, millis(2_501)), None);
 }
 
 proptest! {
@@ -125,10 +128,10 @@
         let mut callers = ReturningCallers::default();
         let route: Arc<str> = "/quota".into();
         for until in &refused {
-            callers.refused(millis(0), &route, millis(0), millis(*until));
+            callers.record_refusal(millis(0), &route, millis(0), millis(*until));
         }
         for until in asked {
-            let known = callers.asked_at(&route, millis(until));
+            let known = callers.take_asked_at(&route, millis(until));
             let near = |end: &u64| end.abs_diff(until) <= 8;
             prop_assert!(known.is_none() || refused.iter().any(near));
         }
