--- a/crates/core/benches/load_decisions.rs
+++ b/crates/core/benches/load_decisions.rs
@@ -127,7 +127,7 @@
     );
 }
 
-fn gate(room: usize) -> ServerGate {
+fn gate(capacity: usize) -> ServerGate {
     let mut gate = ServerGate::default();
     gate.announce(AnnouncedServer {
         service: "records".into(),
@@ -136,7 +136,7 @@
     });
     gate.configure(QueueBounds {
         slots_floor: 25,
-        calls: room,
+        calls: capacity,
         wait: Duration::from_secs(600),
     });
     gate
@@ -193,30 +193,35 @@
 /// Ten calls run and the queue is full. In each round one call ends, the next
 /// starts, a new one arrives and one is evicted.
 fn gate_times() {
-    for room in [16, 64, 256, 1_024] {
+    for capacity in [16, 64, 256, 1_024] {
         let names = names(10_000);
-        let mut gate = gate(room);
+        let mut gate = gate(capacity);
         let mut running = Vec::new();
-        for at in 0..room as u64 + 10 {
+        for at in 0..capacity as u64 + 10 {
             gate.offer(Duration::ZERO, at, offered(&names[at as usize]));
             if at < 10 {
                 running.push(at);
             }
         }
         let mut ticket = 10_000;
-        per_round("gate: end, start, offer; by calls waiting", room, |at| {
-            let ended = running[at as usize % 10];
-            let now = Duration::from_micros(at.into());
-            let outcome = SlotOutcome::Answered(Duration::from_millis(10));
-            for action in gate.end(now, ended, outcome) {
-                if let cowslip_core::server_gate::GateAction::Start(started) = action {
-                    running[at as usize % 10] = started;
+        per_round(
+            "gate: end, start, offer; by calls waiting",
+            capacity,
+            |at| {
+                let ended = running[at as usize % 10];
+                let now = Duration::from_micros(at.into());
+                let outcome = SlotOutcome::Answered(Duration::from_millis(10));
+                for action in gate.end(now, ended, outcome) {
+                    if let cowslip_core::server_gate::GateAction::Start(started) = action
+                    {
+                        running[at as usize % 10] = started;
+                    }
                 }
-            }
-            ticket += 1;
-            let name = &names[at as usize % names.len()];
-            gate.offer(now, ticket, offered(name));
-        });
+                ticket += 1;
+                let name = &names[at as usize % names.len()];
+                gate.offer(now, ticket, offered(name));
+            },
+        );
     }
 }
 
--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -114,8 +114,8 @@
         (self.limit as u32).clamp(1, self.slots.max(1))
     }
 
-    /// Whether so few requests run that they do not slow each other: at most
-    /// the default minimum part of the slots.
+    /// Whether so few requests run that they do not slow each other: at most a
+    /// quarter of the slots, and at least one request.
     pub fn is_uncontended(&self, in_flight: u32) -> bool {
         in_flight <= (self.slots / FLOOR_DIVISOR).max(1)
     }
--- a/crates/core/src/load/repeat_probability.rs
+++ b/crates/core/src/load/repeat_probability.rs
@@ -34,10 +34,10 @@
     }
 
     /// The mean over the requests that a server runs; zero without any.
-    pub fn mean(shares: impl Iterator<Item = Self>) -> Self {
+    pub fn mean(probabilities: impl Iterator<Item = Self>) -> Self {
         let (mut sum, mut count) = (0_u32, 0_u32);
-        for share in shares {
-            sum += u32::from(share.per_mille);
+        for probability in probabilities {
+            sum += u32::from(probability.per_mille);
             count += 1;
         }
         Self {
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -51,8 +51,9 @@
 /// score, so that nodes with the same data do not all pick the same server.
 const FREE_DRAWS: usize = 2;
 
-/// Servers examined on each side for the least wait. It can be higher than
-/// [`FREE_DRAWS`] because the servers' nodes have just reported their waits.
+/// Servers examined on each side if the call will wait at the chosen one. More
+/// than [`FREE_DRAWS`], because the servers' nodes have just reported their
+/// waits.
 const WAIT_DRAWS: usize = 8;
 
 /// Fraction of one server's load by which the servers chosen for a small
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Returns the outcome of a try that was answered, with its time compared
-    /// with that of other answers on the route.
+    /// Returns the outcome of an answered try: a failure if `failed`, otherwise
+    /// the response time as a multiple of the baseline of its route.
     pub fn outcome(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
         if failed {
             return TryOutcome::Failed;
@@ -82,9 +82,9 @@
         route: &Arc<str>,
         deadline: Duration,
     ) -> Duration {
-        let least = self.ages.age(now, route, deadline);
+        let min_age = self.ages.age(now, route, deadline);
         let known = self.returning.take_asked_at(route, now + deadline);
-        known.map_or(least, |asked_at| now.saturating_sub(asked_at))
+        known.map_or(min_age, |asked_at| now.saturating_sub(asked_at))
     }
 
     /// Records a refused call on `route` that was first sent at `asked_at` and
--- a/crates/core/tests/retry_sum.rs
+++ b/crates/core/tests/retry_sum.rs
@@ -105,15 +105,15 @@
     repeats: u64,
 }
 
-/// Runs one call with all its tries; `ends` returns how a try fails, if it
-/// does.
+/// Runs one call with all its tries; `try_failure` returns how a try fails, if
+/// it does.
 fn run_call(
     router: &mut EntryRouter,
     now: Duration,
     head: &CallHead<'_>,
     repeats: RepeatProbability,
     counts: &mut ServiceCounts,
-    mut ends: impl FnMut(Arc<str>, RepeatProbability) -> Option<TryFailure>,
+    mut try_failure: impl FnMut(Arc<str>, RepeatProbability) -> Option<TryFailure>,
 ) {
     let mut plan = router.plan(now, head).expect("there is a route");
     router.charge_repeats(&mut plan, repeats);
@@ -123,7 +123,8 @@
             return;
         };
         counts.repeats += u64::from(plan.repeats == RepeatProbability::REPEAT);
-        let Some(failure) = ends(Arc::clone(&server.instance), plan.repeats) else {
+        let Some(failure) = try_failure(Arc::clone(&server.instance), plan.repeats)
+        else {
             return router.abandoned(now, &server.instance);
         };
         match router.failed(now, &mut plan, &server, failure) {
