--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -102,7 +102,7 @@
     routes: RouteTable,
     directory: EndpointDirectory,
     servers: FleetServers,
-    pressures: HashMap<Arc<str>, ServiceLoad>,
+    service_loads: HashMap<Arc<str>, ServiceLoad>,
     guard: NodeGuard,
     rng: SmallRng,
 }
@@ -117,7 +117,7 @@
             routes: RouteTable::default(),
             directory: EndpointDirectory::default(),
             servers: FleetServers::default(),
-            pressures: HashMap::new(),
+            service_loads: HashMap::new(),
             guard: NodeGuard::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -169,7 +169,8 @@
         self.guard.install(&snapshot.document);
         self.snapshot = snapshot;
         let services = &self.snapshot.document.services;
-        self.pressures.retain(|name, _| services.contains_key(name));
+        self.service_loads
+            .retain(|name, _| services.contains_key(name));
         Ok(true)
     }
 
@@ -255,14 +256,14 @@
             Some(rule) => rule == RepeatRule::Idempotent,
             None => head.idempotent,
         };
-        let pressure = self.pressures.entry(Arc::clone(service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(service));
+        let service_load = service_load.or_default();
         let age = head.deadline.map_or(Duration::ZERO, |deadline| {
-            pressure.age(now, &route.path, deadline)
+            service_load.age(now, &route.path, deadline)
         });
         let target = route.target_ms.map(Duration::from_millis);
         if let Some(target) = target {
-            pressure.add_prior(&route.path, target);
+            service_load.add_prior(&route.path, target);
         }
         let plan = CallPlan {
             service: Arc::clone(service),
@@ -291,13 +292,14 @@
         // makes for a running request is refused, the work already done for
         // that request is lost, and its caller retries all of it. The throttle
         // therefore refuses only calls from outside.
-        let admitted = pressure.admit(now, &plan.customer, plan.priority, &mut self.rng);
+        let admitted =
+            service_load.admit(now, &plan.customer, plan.priority, &mut self.rng);
         if !admitted && plan.origin == CallOrigin::Outside {
             self.record_refusal(now, &plan);
             return Err(RefusalReason::CustomerLimit);
         }
         let terms = BudgetConfig::of(percent, burst, self.directory.len());
-        pressure.budget.earn(now, terms);
+        service_load.budget.earn(now, terms);
         Ok(plan)
     }
 
@@ -306,8 +308,8 @@
     /// repeat.
     pub fn charge_repeats(&mut self, plan: &mut CallPlan, repeats: RepeatProbability) {
         plan.repeats = repeats;
-        if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.budget.charge(repeats);
+        if let Some(service_load) = self.service_loads.get_mut(&plan.service) {
+            service_load.budget.charge(repeats);
         }
     }
 
@@ -315,8 +317,8 @@
         let Some(until) = plan.caller_deadline_at else {
             return;
         };
-        if let Some(pressure) = self.pressures.get_mut(&plan.service) {
-            pressure.record_refusal(now, &plan.route, plan.first_asked_at, until);
+        if let Some(service_load) = self.service_loads.get_mut(&plan.service) {
+            service_load.record_refusal(now, &plan.route, plan.first_asked_at, until);
         }
     }
 
@@ -350,12 +352,12 @@
         let Some(spec) = self.snapshot.document.services.get(&plan.service) else {
             return Err(RefusalReason::NoEndpoint);
         };
-        let pressure = self.pressures.entry(Arc::clone(&plan.service));
-        let pressure = pressure.or_default();
-        let kilobytes = pressure.kilobytes(&plan.route);
+        let service_load = self.service_loads.entry(Arc::clone(&plan.service));
+        let service_load = service_load.or_default();
+        let kilobytes = service_load.kilobytes(&plan.route);
         let costs = SearchCosts {
             full: &plan.probed_servers,
-            default_work: pressure.mean_time(&plan.route),
+            default_work: service_load.mean_time(&plan.route),
             route: &plan.route,
             value: AnswerValue {
                 target_left: plan.target_left(now),
@@ -450,10 +452,10 @@
             // the server is not tried again.
             plan.tried_servers.push(Arc::clone(&server.instance));
         }
-        let pressure = self.pressures.entry(Arc::clone(&plan.service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(&plan.service));
+        let service_load = service_load.or_default();
         if evidence == TryOutcome::Full {
-            pressure.record_overload(now, &mut self.rng);
+            service_load.record_overload(now, &mut self.rng);
         }
         if failure.reached_server() {
             // The retry must not go to the candidate version that failed.
@@ -476,7 +478,7 @@
         // bound, and costs nothing of the retry budget.
         let full = evidence == TryOutcome::Full && !plan.probes_slots;
         let uses_budget = failure.reached_server() || full;
-        if uses_budget && !pressure.budget.spend(&mut self.rng) {
+        if uses_budget && !service_load.budget.spend(&mut self.rng) {
             return NextStep::Refuse(match plan.verdict {
                 // The caller may retry sooner than after a refusal by a full
                 // service.
@@ -494,19 +496,19 @@
 
     /// Records a try whose answer was passed on, or abandoned after its head.
     pub fn ended(&mut self, now: Duration, report: &TryReport) {
-        let pressure = self.pressures.entry(Arc::clone(&report.service));
-        let pressure = pressure.or_default();
+        let service_load = self.service_loads.entry(Arc::clone(&report.service));
+        let service_load = service_load.or_default();
         let evidence = match report.status {
             STATUS_SHED => {
-                pressure.record_overload(now, &mut self.rng);
+                service_load.record_overload(now, &mut self.rng);
                 TryOutcome::Full
             }
             status => {
-                pressure.accepted(now, &report.customer, report.priority);
+                service_load.accepted(now, &report.customer, report.priority);
                 if let Some(bytes) = report.bytes {
-                    pressure.record_size(&report.route, bytes);
+                    service_load.record_size(&report.route, bytes);
                 }
-                pressure.outcome(report, STATUS_FAILED.contains(&status))
+                service_load.outcome(report, STATUS_FAILED.contains(&status))
             }
         };
         self.servers.end(now, &report.instance, evidence);
