--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -1,4 +1,4 @@
-//! The failures that users named, one test each.
+//! One test for each failure that users reported as a concern.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 use crate::fleet::name;
 use crate::fleet::Fleet;
 
-/// Longest that a cut-off leader answers as fresh: its lease, on the
-/// slowest clock allowed, and one step of the test.
+/// Maximum time that a partitioned leader answers as fresh: its lease on the
+/// slowest clock allowed, plus one step of the simulation.
 const STALE_MAX: Duration = Duration::from_millis(490);
 
 fn accepted_version(outcome: &ChangeOutcome) -> ConfigVersion {
@@ -37,9 +37,9 @@
         .collect()
 }
 
-// A leader ends up alone on the far side of a silent partition. Within a
-// second it must stop accepting and answering as fresh, while the others go
-// on; a change that it took last is answered as unknown, not as accepted.
+// Guards against a leader in a minority partition that keeps accepting changes
+// and answering as fresh. It must stop within its lease while the others go on,
+// and the outcome of its last change must be unknown, not accepted.
 #[test]
 fn a_cut_off_leader_stops_within_its_lease() {
     let mut fleet = Fleet::new(3, 0, 1);
@@ -63,10 +63,10 @@
     fleet.check_convergence(3);
 }
 
-// The leader answers as fresh under a lease that one follower granted. That
-// follower crashes and starts again, and the other one, which has not heard
-// the leader for a while, asks it for its vote. Had it forgotten the lease,
-// two instances would answer as fresh at once.
+// Guards against two leases at once: the leader holds a lease granted by one
+// follower, which crashes and restarts. The other follower has not heard from
+// the leader for a while and requests its vote. A voter that ignored its
+// earlier lease would help elect a second leader.
 #[test]
 fn a_restarted_voter_keeps_the_lease_it_granted() {
     for seed in 0..40 {
@@ -82,14 +82,14 @@
         fleet.groups[followers[0]] = 1;
         fleet.crash(followers[0]);
         fleet.start(followers[0]);
-        // The run asserts that there are never two leases.
+        // `Fleet::run` asserts that there are never two leases.
         fleet.run(Duration::from_secs(5));
     }
 }
 
-// One instance loses its folder, is repaired, and right after it got its
-// vote back a second instance is lost for good, with the third one behind.
-// The repaired one must hold everything that was accepted.
+// Guards against lost changes when a second instance is lost for good right
+// after a repaired one regained its vote, with the third one behind. The
+// repaired instance must hold every accepted change.
 #[test]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
     let mut fleet = Fleet::new(3, 0, 3);
@@ -119,8 +119,8 @@
     }
 }
 
-// A repaired instance is slow to catch up. Until it holds the log it must
-// not have a vote, however long that takes.
+// Guards against a repaired instance that gets a vote before it holds the log,
+// however slowly it catches up.
 #[test]
 fn a_repaired_member_does_not_vote_before_it_holds_the_log() {
     let mut fleet = Fleet::new(3, 0, 4);
@@ -129,7 +129,7 @@
     }
     let leader = fleet.wait_for_leader();
     let repaired = others(&fleet, leader)[0];
-    // Twice: what the leader knew of the lost folders must not count.
+    // Twice, since the leader's progress of a lost folder must not count.
     for _ in 0..2 {
         fleet.wipe(repaired);
         fleet.start(repaired);
@@ -153,8 +153,8 @@
     fleet.check_convergence(3);
 }
 
-// A repaired instance answers every heartbeat, but its disk hangs half-way
-// through the log. Being heard of is not enough for a vote.
+// Guards against a repaired instance that gets a vote because it answers
+// heartbeats, while its disk hangs with half of the log synced.
 #[test]
 fn a_repaired_member_with_half_the_log_does_not_vote() {
     let mut fleet = Fleet::new(3, 0, 14);
@@ -189,10 +189,10 @@
     fleet.check_convergence(3);
 }
 
-// An instance comes back with an empty folder and another one crashes. The
-// empty one must not make a majority with the third: it does not know what
-// it had acknowledged. Nor may it found a second log, though it founded the
-// first. Once the crashed one is back, all goes on.
+// Guards against an instance that returns with an empty folder, having lost
+// what it acknowledged, and forms a majority with one other while the third is
+// down. It must not bootstrap a second log either, although it bootstrapped the
+// first. Once the crashed instance is back, changes are accepted again.
 #[test]
 fn an_empty_folder_does_not_vote() {
     let mut fleet = Fleet::new(3, 0, 5);
@@ -209,10 +209,10 @@
     fleet.check_convergence(3);
 }
 
-// An operator restores an instance's disk from an old copy. Its process
-// starts and looks healthy, but has forgotten what it acknowledged. The
-// others must find that out, also under a new leader, and it must neither
-// vote nor acknowledge until it was added again with an empty folder.
+// Guards against an instance whose disk an operator restored from an old copy.
+// It looks healthy but has lost entries that it acknowledged. The others must
+// detect this, also under a new leader, and the instance must neither vote nor
+// acknowledge until it is added again with an empty folder.
 #[test]
 fn a_rolled_back_folder_is_detected() {
     let mut fleet = Fleet::new(3, 0, 6);
@@ -254,9 +254,9 @@
     fleet.check_convergence(3);
 }
 
-// The leader's disk is full while operators wait. Nothing that is not
-// synced may be answered as accepted; the leader steps down, never counts
-// again, and the others go on.
+// Guards against changes that are answered as accepted but not synced, when the
+// leader's disk is full. The leader must step down and no longer count in
+// majorities, and the others go on.
 #[test]
 fn a_full_disk_acknowledges_nothing() {
     let mut fleet = Fleet::new(3, 0, 7);
@@ -269,7 +269,7 @@
     let next = fleet.wait_for_leader();
     assert_ne!(next, full);
     fleet.commit_change(&change_entry("waiting", None));
-    // With one more instance away there is no majority of synced copies.
+    // With another instance down, no majority can sync the change.
     let away = others(&fleet, full).into_iter().find(|at| *at != next);
     fleet.crash(away.expect("three instances"));
     fleet.request_change(next, change_entry("alone", None));
@@ -278,8 +278,9 @@
     assert_eq!(fleet.lease_holders(), Vec::<usize>::new());
 }
 
-// Two operators change the same version; the leader dies between the two
-// answers. The one that asks the new leader must be told who won.
+// Guards against two accepted changes of the same version when the leader
+// crashes between them. The second operator, who asks the new leader, must be
+// told which change won.
 #[test]
 fn concurrent_changes_across_a_failover_have_one_winner() {
     let mut fleet = Fleet::new(3, 0, 8);
@@ -296,9 +297,9 @@
     fleet.check_convergence(3);
 }
 
-// A change is committed, but the leader dies before the operator hears of
-// it. The resend, to the next leader, must get the first answer and make no
-// second change.
+// Guards against a change that is applied twice: it is committed, but the leader
+// crashes before it answers. The resend to the next leader must get the first
+// answer and make no second change.
 #[test]
 fn a_resend_after_failover_gets_the_first_answer() {
     let mut fleet = Fleet::new(3, 0, 9);
@@ -314,8 +315,8 @@
     fleet.check_convergence(3);
 }
 
-// A leader is stopped as planned. Another one must lead at once, without
-// the wait of an election.
+// Guards against a planned stop of the leader that costs an election timeout.
+// Another instance must lead at once.
 #[test]
 fn a_planned_stop_hands_leadership_over() {
     let mut fleet = Fleet::new(3, 0, 10);
@@ -329,8 +330,9 @@
     assert!(!fleet.lease_holders().contains(&leader));
 }
 
-// An instance is away for more changes than the log keeps. It gets the
-// state whole, and the answers to resends with it.
+// Guards against an instance that cannot catch up after it missed more changes
+// than the log keeps. It must receive a snapshot, including the answers to
+// resent requests.
 #[test]
 fn a_member_far_behind_gets_a_snapshot() {
     let mut fleet = Fleet::new(3, 0, 11);
@@ -358,14 +360,14 @@
     fleet.run(Duration::from_secs(3));
     assert!(fleet.state(away) == fleet.state(leader), "they differ");
     assert_eq!(fleet.state(away).answer("first"), Some(&first));
-    // A restart finds the snapshot and the log behind it.
+    // A restart loads the snapshot and the log after it.
     fleet.crash(away);
     fleet.start(away);
     fleet.check_convergence(3);
 }
 
-// Three voters become five, then an instance that leads is removed. At every
-// step a majority holds everything.
+// Guards against lost changes or a lost majority when three voters become five
+// and the leader is then removed.
 #[test]
 fn members_are_added_and_the_leader_removed() {
     let mut fleet = Fleet::new(3, 2, 12);
@@ -388,7 +390,7 @@
     let next = fleet.wait_for_leader();
     assert_ne!(next, leader);
     assert!(!fleet.is_voter(next, leader));
-    // Two of the four that are left may not decide, three may.
+    // With four voters left, two are no majority and three are.
     let left = others(&fleet, leader);
     fleet.crash(
         left.iter()
@@ -399,7 +401,7 @@
     fleet.commit_change(&change_entry("four", None));
 }
 
-/// Members of a log of five, as the founder's first entry.
+/// The first entry of a log with five members.
 fn five_member_entry() -> LogEntry {
     let mut members = MemberList::default();
     for at in 0..5 {
@@ -423,10 +425,10 @@
     }
 }
 
-// A leader finds an entry of an earlier term in its log and copies it to a
-// majority. That does not make it safe: an instance with an entry of a term
-// between the two can still be elected and overwrite it. An operator would
-// see an accepted change undone. It must commit only with a newer entry.
+// Guards against an accepted change that is undone: a leader copies an entry of
+// an earlier term to a majority, but an instance with an entry of a term in
+// between can still be elected and overwrite it. The entry may commit only with
+// a later one of the leader's own term.
 #[test]
 fn an_earlier_terms_entry_commits_only_with_a_current_one() {
     let mut fleet = Fleet::new(5, 0, 13);
@@ -452,7 +454,7 @@
         fleet.run(Duration::from_millis(10));
     }
     let (leader, behind) = if leads(&fleet, 0) { (0, 1) } else { (1, 0) };
-    // The other one acknowledges the old entry and cannot sync the new one.
+    // The other instance acknowledges the old entry but cannot sync the new one.
     fleet.stall(behind, Duration::from_secs(30));
     fleet.run(Duration::from_millis(1_500));
     let member = fleet.instances[leader].member.as_ref().expect("it runs");
@@ -467,9 +469,9 @@
     fleet.check_convergence(5);
 }
 
-// All instances know only a few seeds, and nobody adds members by hand. The
-// seeds found the log, and the leader takes in others until it has its five
-// voters; with three of them two losses would stop every change.
+// Guards against a fleet that stays at its three seeds as voters, where two
+// losses would stop every change. The seeds bootstrap the log, and the leader
+// adds other instances without an operator until there are five voters.
 #[test]
 fn the_leader_adds_instances_up_to_the_voter_target() {
     let mut fleet = Fleet::with_voter_target(3, 4, 5, 7);
@@ -485,10 +487,10 @@
     fleet.commit_change(&change_entry("after", None));
 }
 
-// A voter loses its disk right after a change was accepted and comes back
-// empty, under its old name. It must count for nothing until it holds the
-// log, and then be a voter again without an operator: so that the next loss
-// neither loses the change nor stops new ones.
+// Guards against a voter that lost its disk right after a change was accepted
+// and returns empty under its old name. It must not count until it holds the
+// log, and must then become a voter again without an operator, so that the next
+// loss neither loses the change nor stops new ones.
 #[test]
 fn a_voter_with_an_empty_disk_regains_its_vote() {
     for seed in 0..10 {
@@ -508,8 +510,9 @@
     }
 }
 
-// The founder loses its disk while both others are down, and starts before
-// they do. It must not found a second log: what was accepted would be gone.
+// Guards against a second log, and the loss of all accepted changes: the
+// instance that bootstrapped the log loses its disk while both others are down,
+// and starts before they do.
 #[test]
 fn a_seed_with_an_empty_disk_bootstraps_no_second_log() {
     let mut fleet = Fleet::with_voter_target(3, 0, 3, 3);
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -1,5 +1,5 @@
-//! Real members over a queue that loses, delays, doubles and reorders, with
-//! disks that lose what was not synced and clocks that drift.
+//! Simulated fleet of real members. Its network loses, delays, duplicates and
+//! reorders messages, its disks lose unsynced writes, and its clocks drift.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,36 +30,37 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_core::version::ConfigVersion;
 
-/// One step of time.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// An instance: its disk outlives its process.
+/// A simulated instance. Its disk survives the end of its process.
 pub struct Instance {
     pub member: Option<StateReplica>,
     pub disk: SavedState,
     unsynced: Vec<(Duration, WriteBatch)>,
     pub folder: u64,
     pub starts: u64,
-    /// It was taken away for good.
+    /// True once the instance was removed for good.
     removed: bool,
-    /// Instances that its settings name.
+    /// Instances named in its settings.
     seeds: Vec<usize>,
-    /// Its disk syncs nothing before this.
+    /// The disk syncs nothing before this time.
     stalled_until: Duration,
-    /// Speed of its clock, in thousandths.
+    /// Rate of its clock, in thousandths of real time.
     clock_rate: u32,
     started: Duration,
 }
 
-/// Some instances and what runs between them.
+/// Instances and the simulated network between them.
 pub struct Fleet {
     pub instances: Vec<Instance>,
-    /// Voters that the fleet sees to by itself; 0 leaves them to operators.
+    /// Number of voters that the leader maintains by itself; 0 leaves
+    /// membership to operators.
     voter_target: usize,
     pub now: Duration,
     random: SmallRng,
     queue: Vec<(Duration, SocketAddr, MemberMessage)>,
-    /// Group of each instance; messages pass within a group only.
+    /// Partition of each instance; messages are delivered only within one.
     pub groups: Vec<u32>,
     pub loss_percent: u32,
     term_leaders: BTreeMap<u64, usize>,
@@ -69,7 +70,8 @@
     pub unknown: BTreeSet<Arc<str>>,
     pub member_answers: Vec<ChangeAnswer<MemberAnswer>>,
     next_ticket: u64,
-    /// Messages take up to 20 ms and syncs 3, as on small sound machines.
+    /// Messages take up to 20 ms and syncs up to 3 ms, as on small healthy
+    /// machines, instead of 50 ms and 60 ms.
     pub low_latency: bool,
 }
 
@@ -93,7 +95,7 @@
     }
 }
 
-/// What a disk holds after one more batch.
+/// Applies a write batch to the contents of a disk.
 pub fn apply_batch(disk: &mut SavedState, batch: WriteBatch) {
     if let Some(hard) = batch.hard {
         disk.hard = hard;
@@ -110,7 +112,7 @@
 }
 
 impl Instance {
-    /// An instance with an empty folder, not started yet.
+    /// Creates an instance with an empty folder, not started yet.
     fn new(at: usize, seeds: Vec<usize>, random: &mut SmallRng) -> Self {
         Self {
             member: None,
@@ -132,8 +134,9 @@
         Self::with_voter_target(seeds, others, 0, seed)
     }
 
-    /// A fleet whose leader takes in instances until there are so many
-    /// voters, and in which nobody founds a log after the first start.
+    /// Creates a fleet whose leader adds instances until there are
+    /// `voter_target` voters. No instance bootstraps a log after the first
+    /// start.
     pub fn with_voter_target(
         seeds: usize,
         others: usize,
@@ -205,7 +208,7 @@
         named.collect()
     }
 
-    /// Starts one more instance, with an empty folder and these seeds.
+    /// Starts a new instance with an empty folder and these seeds.
     pub fn add(&mut self, seeds: Vec<usize>) -> usize {
         let at = self.instances.len();
         self.groups.push(0);
@@ -215,25 +218,25 @@
         at
     }
 
-    /// Takes an instance away for good.
+    /// Removes an instance for good.
     pub fn remove(&mut self, at: usize) {
         self.crash(at);
         self.instances[at].removed = true;
     }
 
-    /// Changes the seeds in an instance's settings, which it reads again.
+    /// Changes the seeds in an instance's settings and reloads them.
     pub fn reload(&mut self, at: usize, seeds: Vec<usize>) {
         let named = self.seed_addresses(&seeds);
         self.instances[at].seeds = seeds;
         self.event(at, ReplicaEvent::SetSeeds(named));
     }
 
-    /// Tells an instance that it is about to stop.
+    /// Announces a planned stop to an instance.
     pub fn hand_over(&mut self, at: usize) {
         self.event(at, ReplicaEvent::HandOver);
     }
 
-    /// Fails a disk: some of its unsynced writes are on it, and no later one.
+    /// Fails a disk. Some of its unsynced writes are kept, and no later ones.
     pub fn fail_disk(&mut self, at: usize) {
         let kept = self.random.random_range(0..3);
         let unsynced = std::mem::take(&mut self.instances[at].unsynced);
@@ -243,7 +246,7 @@
         self.event(at, ReplicaEvent::DiskFailed);
     }
 
-    /// Opens the folder of a running instance again.
+    /// Reopens the folder of a running instance.
     pub fn reopen(&mut self, at: usize) {
         let nonce = self.random.random();
         let seed = self.random.random();
@@ -261,13 +264,13 @@
         self.event(at, ReplicaEvent::Reopened(opened));
     }
 
-    /// Ends a process; some of its unsynced writes may survive.
+    /// Crashes a process; up to two of its unsynced writes survive.
     pub fn crash(&mut self, at: usize) {
         let kept = self.random.random_range(0..3);
         self.crash_keeping(at, kept);
     }
 
-    /// Ends a process; so many of its unsynced writes survive.
+    /// Crashes a process; the first `kept` of its unsynced writes survive.
     pub fn crash_keeping(&mut self, at: usize, kept: usize) {
         let instance = &mut self.instances[at];
         instance.member = None;
@@ -279,12 +282,12 @@
         }
     }
 
-    /// Lets a disk hang for a while.
+    /// Makes a disk hang for `time`.
     pub fn stall(&mut self, at: usize, time: Duration) {
         self.instances[at].stalled_until = self.now + time;
     }
 
-    /// Ends a process and gives its instance an empty folder.
+    /// Crashes a process and gives its instance an empty folder.
     pub fn wipe(&mut self, at: usize) {
         self.crash(at);
         let instance = &mut self.instances[at];
@@ -293,7 +296,7 @@
         instance.starts = 0;
     }
 
-    /// Time on the clock of an instance's process.
+    /// Time since the process started, on the instance's clock.
     fn clock(&self, at: usize) -> Duration {
         let instance = &self.instances[at];
         (self.now - instance.started) * instance.clock_rate / 1_000
@@ -321,7 +324,7 @@
                 let longest = if self.low_latency { 3 } else { 60 };
                 let delay = self.random.random_range(1..longest);
                 let due = self.now + Duration::from_millis(delay);
-                // A disk syncs in the order of writing.
+                // A disk syncs writes in order.
                 let last = self.instances[at].unsynced.last();
                 let due = last.map_or(due, |(before, _)| due.max(*before));
                 let due = due.max(self.instances[at].stalled_until);
@@ -425,14 +428,14 @@
         }
     }
 
-    /// Highest term of any instance.
+    /// Highest term of all instances.
     pub fn highest_term(&self) -> u64 {
         let members = self.instances.iter().filter_map(|one| one.member.as_ref());
         let terms = members.map(|member| member.agreement().term());
         terms.max().unwrap_or_default()
     }
 
-    /// Instances that may answer as fresh now.
+    /// Instances that hold the leader lease and may answer as fresh.
     pub fn lease_holders(&self) -> Vec<usize> {
         let mut lease_holders = Vec::new();
         for at in 0..self.instances.len() {
@@ -446,7 +449,7 @@
         lease_holders
     }
 
-    /// Runs until one instance leads.
+    /// Runs until an instance holds the leader lease, for at most 15 s.
     pub fn wait_for_leader(&mut self) -> usize {
         for _ in 0..1_500 {
             if let Some(leader) = self.lease_holders().first() {
@@ -465,7 +468,8 @@
         }
     }
 
-    /// Has `entry` decided by whoever leads, resent as an operator would.
+    /// Sends `entry` to the current leader until it is decided, as an operator
+    /// would resend it.
     pub fn commit_change(&mut self, entry: &ChangeEntry) -> ChangeOutcome {
         for _ in 0..100 {
             let leader = self.wait_for_leader();
@@ -478,7 +482,8 @@
         panic!("{} was never decided", entry.request_id);
     }
 
-    /// Replaces a lost folder: adds the instance until it votes.
+    /// Asks for the instance to be added until it is a voter with its current
+    /// folder.
     pub fn add_until_voter(&mut self, at: usize) {
         let change = MemberChange::Add {
             instance: name(at),
@@ -499,20 +504,21 @@
         );
     }
 
-    /// True where the member list of `leader` gives `at` a vote.
+    /// True if `at` is a voter in the member list of `leader`.
     pub fn is_voter(&self, leader: usize, at: usize) -> bool {
         let member = self.instances[leader].member.as_ref();
         let members = member.expect("a leader runs").agreement().members();
         members.is_voter(&name(at), self.instances[at].folder)
     }
 
-    /// True where whoever leads counts `at` as a voter.
+    /// True if `at` is a voter in the member list of the current leader.
     pub fn has_vote(&mut self, at: usize) -> bool {
         let leader = self.wait_for_leader();
         self.is_voter(leader, at)
     }
 
-    /// One leader a term; what is committed once stays, everywhere.
+    /// Checks that a term has at most one leader, and that a committed entry is
+    /// never replaced on any instance.
     fn check_safety(&mut self, at: usize) {
         let Some(member) = &self.instances[at].member else {
             return;
@@ -534,8 +540,8 @@
         }
     }
 
-    /// After all is healed: the same state everywhere, every answer in it,
-    /// every number used once.
+    /// Heals the fleet and checks that the first `voters` instances have the
+    /// leader's state, in addition to [`Self::check_outcomes`].
     pub fn check_convergence(&mut self, voters: usize) {
         let leader = self.check_outcomes();
         for at in 0..voters {
@@ -543,13 +549,14 @@
         }
     }
 
-    /// The same, but for what instances hold that are no voters at the end.
+    /// Heals the fleet and checks that the leader's state holds every answer
+    /// given, and that every version and request was used once.
     pub fn check_outcomes(&mut self) -> usize {
         self.heal();
         self.wait_for_leader();
         let outcome = self.commit_change(&change_entry("last", None));
         assert!(matches!(outcome, ChangeOutcome::Accepted { .. }));
-        // A disk that hung may cost one more election.
+        // A disk that hung may cause one more election.
         self.run(Duration::from_secs(10));
         let leader = self.wait_for_leader();
         let state = self.state(leader);
--- a/crates/core/tests/agreement/main.rs
+++ b/crates/core/tests/agreement/main.rs
@@ -1,4 +1,4 @@
-//! Agreement: real members over a small queue.
+//! Consensus tests: real members on a simulated network, disks and clocks.
 
 mod failures;
 mod fleet;
--- a/crates/core/tests/agreement/properties.rs
+++ b/crates/core/tests/agreement/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens.
+//! Safety and convergence under random faults.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
-/// One thing that happens to the fleet.
+/// One random action on the fleet.
 #[derive(Clone, Debug)]
 enum FleetStep {
     Run(u64),
@@ -49,7 +49,7 @@
     match step {
         FleetStep::Run(millis) => fleet.run(Duration::from_millis(*millis)),
         FleetStep::Change(at) => {
-            // Every third is a resend of an earlier one.
+            // Every third request resends an earlier one.
             let request = if number.is_multiple_of(3) {
                 number / 2
             } else {
@@ -93,7 +93,7 @@
         FleetStep::MessageLoss(percent) => fleet.loss_percent = *percent,
         FleetStep::HandOver(at) => fleet.event(*at, ReplicaEvent::HandOver),
         FleetStep::Replace(at) => {
-            // One loss at a time, with all the others there and settled.
+            // One loss at a time, while all other instances are healthy.
             fleet.heal();
             fleet.run(Duration::from_secs(1));
             fleet.wait_for_leader();
--- a/crates/core/tests/agreement/replacements.rs
+++ b/crates/core/tests/agreement/replacements.rs
@@ -1,5 +1,5 @@
-//! Control instances that are replaced for good, lose their disks or start
-//! again, as far as a fleet must bear it.
+//! Control instances that are replaced, lose their disks or restart, up to the
+//! number of failures that a fleet must tolerate.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
-/// Time from the loss of an instance to the start of its successor.
+/// Time from the loss of an instance to the start of its replacement.
 const REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after its start in which a successor takes over what was lost.
+/// Time after its start in which a replacement must have become a voter.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-// Guards against successors that never vote: the last founder to go takes
-// everything that was accepted with it.
+// Guards against replacement instances that never become voters: accepted
+// changes would be lost with the last of the original voters.
 #[test]
 fn replacement_instances_become_voters() {
     for voters in [3, 5] {
@@ -49,8 +49,8 @@
     }
 }
 
-// Guards against a new instance that the leader never hears of, because none of
-// the instances in its settings leads.
+// Guards against a new instance that the leader never learns of, because none
+// of the instances in its settings leads.
 #[test]
 fn an_instance_whose_seeds_do_not_lead_is_added() {
     for seed in 0..20 {
@@ -64,8 +64,8 @@
     }
 }
 
-// Guards against a member that was cut off, gave its place to another one and
-// is never taken in again, so that the fleet runs out of instances.
+// Guards against a member that was replaced while it was partitioned and can
+// never be added again, so that the fleet runs out of instances.
 #[test]
 fn a_replaced_member_is_added_again_when_needed() {
     for seed in 0..20 {
@@ -88,8 +88,8 @@
     }
 }
 
-// Guards against members that run on without a part in the agreement after
-// their disks failed for a while, until no majority is left.
+// Guards against members that no longer vote after a temporary disk failure,
+// until no majority is left.
 #[test]
 fn members_vote_again_after_consecutive_disk_failures() {
     for seed in 0..20 {
--- a/crates/core/tests/agreement/restarts.rs
+++ b/crates/core/tests/agreement/restarts.rs
@@ -1,5 +1,5 @@
-//! Fleets whose processes start again together: who leads how soon, and which
-//! leases still hold.
+//! Simultaneous restarts: how soon there is a leader, and whether earlier
+//! leases are respected.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
-// The power of the whole fleet fails for a moment, and every process starts
-// again. No node has a configuration until somebody leads, so callers are
-// refused that long. All voters are there and none of them leads: nobody can
-// hold a lease that one of them has forgotten, and there is nothing to wait for.
+// Guards against a slow election after a power failure that restarts every
+// process: until there is a leader, no node has a configuration and callers are
+// refused. Since all voters have restarted and none leads, no lease can still
+// hold and the voters need not wait for one.
 #[test]
 fn a_full_restart_elects_a_leader_quickly() {
     for voters in [3, 5] {
@@ -33,8 +33,8 @@
             fleet.check_convergence(voters);
         }
         waits.sort();
-        // Messages take up to 50 ms here and syncs up to 60; a wait for
-        // forgotten leases alone would be 500.
+        // Messages take up to 50 ms here and syncs up to 60 ms; the wait for
+        // earlier leases alone would take 500 ms.
         let (usual, longest) = (waits[20], waits[39]);
         assert!(usual < Duration::from_millis(400), "{voters}: {waits:?}");
         assert!(
@@ -44,9 +44,10 @@
     }
 }
 
-// The same, and one instance comes back without its disk. It can be asked for
-// nothing, but it says that it is new: what it led or granted is forgotten with
-// the process that knew of it, and there is nothing to wait for either.
+// Guards against a slow election after a full restart in which one instance
+// returns with an empty disk. That instance has no vote, but its hellos show
+// that its folder is new: any lease that it held or granted ended with its old
+// process, so the other voters need not wait for one.
 #[test]
 fn a_full_restart_with_a_lost_disk_elects_a_leader_quickly() {
     for voters in [3, 5] {
@@ -76,9 +77,10 @@
     }
 }
 
-// Both voters that still have their disks start in the same millisecond. Were
-// they to ask each other at random times, they would often stand for election
-// together, neither would win, and for a second no node has a configuration.
+// Guards against split votes after a full restart. The two voters that still
+// have their disks start in the same millisecond. If they polled each other at
+// random times, both would often become candidates and neither would win, and
+// no node would have a configuration for a second.
 #[test]
 fn simultaneous_restarts_rarely_split_votes() {
     let mut split = 0;
@@ -103,9 +105,9 @@
     assert!(split <= 5, "{split} of 100 elections had no winner");
 }
 
-/// Stops the followers of a leader that runs on by `stop`, starts them again
-/// within a few milliseconds, and cuts the leader off once it has heard their
-/// first questions. No two instances may answer as fresh at once meanwhile.
+/// Stops the followers with `stop` while their leader keeps running, restarts
+/// them, and partitions the leader shortly after it may have received their
+/// first polls. The run asserts that no two instances hold a lease at once.
 fn check_follower_restart(
     mut fleet: Fleet,
     voters: usize,
@@ -131,9 +133,10 @@
     fleet.check_convergence(voters);
 }
 
-// A voter loses its disk and starts again, and so does another one with its
-// disk, while the leader runs on and is cut off. The voter without a disk is
-// idle, but the leader is not: its lease must have ended before anybody leads.
+// Guards against two leases at once: one follower restarts with an empty disk
+// and the others with theirs, while the leader keeps running and is then
+// partitioned. The follower with the empty disk counts as idle, but the leader
+// does not: its lease must expire before another instance leads.
 #[test]
 fn a_lost_disk_does_not_end_the_leaders_lease() {
     for voters in [3, 5] {
@@ -149,10 +152,10 @@
     }
 }
 
-// All followers crash and start again within a few milliseconds, while their
-// leader runs on and answers as fresh under the lease that they granted and
-// forgot. They find each other idle at once. Did they not wait for the leader,
-// which is not idle, two instances would answer as fresh at once.
+// Guards against two leases at once: all followers crash and restart within a
+// few milliseconds, while their leader keeps running under a lease that they
+// granted and no longer know of. They find each other idle at once, but must
+// wait, because the leader is not idle.
 #[test]
 fn restarted_followers_respect_the_leaders_lease() {
     for voters in [3, 5] {
--- a/crates/core/tests/agreement/schedules.rs
+++ b/crates/core/tests/agreement/schedules.rs
@@ -1,5 +1,6 @@
-//! Losses, replacements and restarts in any order, within what a fleet must
-//! bear: membership is whole again after each, and nothing accepted is lost.
+//! Random sequences of losses, replacements and restarts, up to the number of
+//! failures that a fleet must tolerate. After each the target number of voters
+//! is restored, and no accepted change is lost.
 
 use std::time::Duration;
 
@@ -9,45 +10,47 @@
 use crate::fleet::change_entry;
 use crate::fleet::Fleet;
 
-/// Time after its return, or its successor's start, for which an instance
-/// still counts as lost.
+/// Time after its return, or the start of its replacement, during which an
+/// instance still counts as lost.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-/// Longest from the return of all to a leader that accepts changes.
+/// Maximum time from the return of all instances to a leader that accepts
+/// changes.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How an instance is lost, and comes back or is replaced.
+/// How an instance is lost, and how it returns or is replaced.
 #[derive(Clone, Copy, Debug)]
 enum LossKind {
-    /// Gone for good; a successor starts on an empty folder.
+    /// Lost for good; a replacement starts with an empty folder.
     Replaced,
-    /// The successor starts first; the instance stops in order.
+    /// The replacement starts first; the instance then stops as planned.
     ReplacedAsPlanned,
-    /// It comes back with an empty folder.
+    /// Returns with an empty folder.
     Wiped,
-    /// It comes back with its folder.
+    /// Returns with its folder.
     Crashed,
-    /// It is cut off from all others.
+    /// Partitioned from all other instances for a while.
     CutOff,
-    /// Its disk refuses a write, and works again.
+    /// A write to its disk fails; its folder is reopened later.
     DiskFull,
     /// Its disk syncs nothing for a while.
     Stalled,
 }
 
-/// What happens to a fleet that is whole.
+/// One fault scenario on a healthy fleet.
 #[derive(Clone, Debug)]
 enum ScheduleStep {
-    /// Instances are lost, at most as many at once as the fleet bears: which
-    /// ones, how, and for how many milliseconds.
+    /// Instances are lost together, at most as many as the fleet tolerates:
+    /// which ones, how, and for how many milliseconds.
     Lose(Vec<(usize, LossKind, u64)>),
-    /// One is lost, and so many milliseconds later all processes are killed,
-    /// and start again after so many more.
+    /// One instance is lost and returns; after the first number of milliseconds
+    /// all processes are killed, and after the second they restart.
     LoseAndKillAll(usize, LossKind, u64, u64),
-    /// One is lost, and so many milliseconds later the others are split for a
-    /// time.
+    /// One instance is lost and returns; after the first number of milliseconds
+    /// the fleet is partitioned by the mask, for the second number of
+    /// milliseconds.
     LoseAndSplit(usize, LossKind, u64, u32, u64),
-    /// All processes are killed, and start again after so many milliseconds.
+    /// All processes are killed, and restart after this many milliseconds.
     KillAll(u64),
 }
 
@@ -81,7 +84,7 @@
     ]
 }
 
-/// A fleet under a schedule, and which of its instances are there.
+/// A fleet under a schedule of faults, and the instances present in it.
 struct ScheduleRun {
     fleet: Fleet,
     voters: usize,
@@ -106,7 +109,7 @@
         self.fleet.run(Duration::from_millis(millis));
     }
 
-    /// Offers a change to whoever leads; it may go unanswered.
+    /// Sends a change to the current leader, if any; it may remain unanswered.
     fn submit_change(&mut self) {
         self.changes += 1;
         let entry = change_entry(&format!("change-{}", self.changes), None);
@@ -115,12 +118,12 @@
         }
     }
 
-    /// Seeds as an operator's list of a moment ago names them.
+    /// The seeds in an operator's settings: the three newest instances.
     fn seeds(&self) -> Vec<usize> {
         self.present.iter().rev().take(3).copied().collect()
     }
 
-    /// All settings name these seeds from now on.
+    /// Reloads the settings of all present instances with the current seeds.
     fn reload(&mut self) {
         let seeds = self.seeds();
         for at in self.present.clone() {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Begins a loss.
+    /// Starts the loss of an instance.
     fn begin_loss(&mut self, at: usize, kind: LossKind) {
         match kind {
             LossKind::Replaced => self.fleet.remove(at),
@@ -152,7 +155,7 @@
         self.submit_change();
     }
 
-    /// Ends a loss.
+    /// Ends the loss of an instance, by its return or replacement.
     fn end_loss(&mut self, at: usize, kind: LossKind) {
         match kind {
             LossKind::Replaced => {
@@ -211,7 +214,7 @@
         self.check_recovered();
     }
 
-    /// Begins the losses together and ends each after its own time.
+    /// Starts all losses together and ends each after its own time.
     fn run_losses(&mut self, losses: &[(usize, LossKind, u64)]) {
         let mut lost: Vec<(u64, usize, LossKind)> = Vec::new();
         for (draw, kind, away) in losses {
@@ -242,8 +245,8 @@
         }
     }
 
-    /// Once the time to catch up is over the fleet bears the next losses: as
-    /// many voters as wanted run, and a change is accepted.
+    /// Checks that the fleet is ready for the next losses after
+    /// [`CATCH_UP`]: the target number of voters run, and a change is decided.
     fn check_recovered(&mut self) {
         self.fleet.run(CATCH_UP);
         let lease_holders = self.fleet.lease_holders();
@@ -252,7 +255,7 @@
         let late = self.fleet.now - waited;
         assert!(late < RECOVERY_TIMEOUT, "no leader for {late:?}");
         if lease_holders.is_empty() {
-            // A split or the loss of all processes delays catching up.
+            // A partition or a crash of all processes delays catching up.
             self.fleet.run(CATCH_UP);
         }
         let leader = self
@@ -270,7 +273,7 @@
     }
 }
 
-/// Schedules drawn for each size of fleet; more may be asked for by hand.
+/// Number of schedules for each fleet size; `SCHEDULE_CASES` overrides it.
 fn cases() -> u32 {
     let asked = std::env::var("SCHEDULE_CASES").ok();
     asked.map_or(60, |asked| asked.parse().expect("a number of cases"))
@@ -318,7 +321,7 @@
 }
 
 // Guards against instances that know only each other: their seeds were spares,
-// and the one member among them is gone.
+// and the only member among the seeds was removed.
 #[test]
 fn instances_whose_seeds_are_spares_or_removed_are_added() {
     let steps = [
