--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -148,7 +148,7 @@
         fleet.groups[repaired] = 0;
         fleet.add_until_voter(repaired);
         let held = fleet.instances[repaired].disk.entries.len();
-        assert!(held > 20, "it votes with {held} entries");
+        assert!(held > 20, "it became a voter with {held} entries");
     }
     fleet.check_convergence(3);
 }
@@ -235,7 +235,7 @@
     fleet.start(rolled_back);
     fleet.run(Duration::from_secs(5));
     let member = fleet.instances[rolled_back].member.as_ref();
-    assert!(member.expect("it runs").agreement().is_barred());
+    assert!(member.expect("the instance runs").agreement().is_barred());
     assert!(fleet.instances[rolled_back].disk.hard.barred);
     let leader = fleet.wait_for_leader();
     fleet.request_members(
@@ -352,13 +352,16 @@
     fleet.commit_change(&change_entry("last", None));
     let member = fleet.instances[leader].member.as_ref();
     let since = member
-        .expect("it leads")
+        .expect("the leader runs")
         .agreement()
         .entries_since_snapshot();
     assert!(since < 4_096, "no snapshot was taken");
     fleet.start(away);
     fleet.run(Duration::from_secs(3));
-    assert!(fleet.state(away) == fleet.state(leader), "they differ");
+    assert!(
+        fleet.state(away) == fleet.state(leader),
+        "its state differs from the leader's"
+    );
     assert_eq!(fleet.state(away).answer("first"), Some(&first));
     // A restart loads the snapshot and the log after it.
     fleet.crash(away);
@@ -396,7 +399,7 @@
         left.iter()
             .copied()
             .find(|at| *at != next)
-            .expect("one more"),
+            .expect("another follower"),
     );
     fleet.commit_change(&change_entry("four", None));
 }
@@ -457,7 +460,10 @@
     // The other instance acknowledges the old entry but cannot sync the new one.
     fleet.stall(behind, Duration::from_secs(30));
     fleet.run(Duration::from_millis(1_500));
-    let member = fleet.instances[leader].member.as_ref().expect("it runs");
+    let member = fleet.instances[leader]
+        .member
+        .as_ref()
+        .expect("the instance runs");
     assert!(member.agreement().commit_index() < 2);
     fleet.crash(leader);
     fleet.crash_keeping(behind, 0);
@@ -478,7 +484,10 @@
     let leader = fleet.wait_for_leader();
     fleet.commit_change(&change_entry("before", None));
     fleet.run(Duration::from_secs(20));
-    let member = fleet.instances[leader].member.as_ref().expect("it runs");
+    let member = fleet.instances[leader]
+        .member
+        .as_ref()
+        .expect("the instance runs");
     assert_eq!(member.agreement().members().voters().count(), 5);
     for at in others(&fleet, leader).into_iter().take(2) {
         fleet.crash(at);
@@ -505,7 +514,10 @@
         fleet.crash(other);
         fleet.wait_for_leader();
         fleet.commit_change(&change_entry("after", None));
-        let member = fleet.instances[lost].member.as_ref().expect("it runs");
+        let member = fleet.instances[lost]
+            .member
+            .as_ref()
+            .expect("the instance runs");
         assert!(member.state().answer("kept").is_some(), "seed {seed}");
     }
 }
@@ -529,6 +541,9 @@
         fleet.start(at);
     }
     let leader = fleet.wait_for_leader();
-    let member = fleet.instances[leader].member.as_ref().expect("it runs");
+    let member = fleet.instances[leader]
+        .member
+        .as_ref()
+        .expect("the instance runs");
     assert!(member.state().answer("kept").is_some());
 }
--- a/crates/core/tests/agreement/fleet.rs
+++ b/crates/core/tests/agreement/fleet.rs
@@ -351,7 +351,10 @@
     }
 
     fn record_answer(&mut self, ticket: u64, answer: ChangeAnswer<ChangeOutcome>) {
-        let request = self.tickets.remove(&ticket).expect("one answer a ticket");
+        let request = self
+            .tickets
+            .remove(&ticket)
+            .expect("a ticket is answered once");
         match answer {
             ChangeAnswer::Decided(outcome) => {
                 let before = self.answers.insert(request, outcome.clone());
@@ -498,7 +501,7 @@
             self.run(Duration::from_millis(300));
         }
         panic!(
-            "{} never got its vote: {:?}",
+            "{} never became a voter: {:?}",
             name(at),
             self.member_answers.last()
         );
@@ -534,7 +537,9 @@
             };
             let known = self.committed.get(index as usize - 1);
             match known {
-                Some(known) => assert_eq!(*known, entry.version, "a commit was lost"),
+                Some(known) => {
+                    assert_eq!(*known, entry.version, "a committed entry was replaced")
+                }
                 None => self.committed.push(entry.version),
             }
         }
@@ -566,7 +571,7 @@
         let mut before = ConfigVersion::ZERO;
         let mut requests = BTreeSet::new();
         for change in state.history() {
-            assert!(change.version > before, "a number was used twice");
+            assert!(change.version > before, "a version was used twice");
             assert!(requests.insert(&change.request_id), "a request ran twice");
             before = change.version;
         }
@@ -574,6 +579,10 @@
     }
 
     pub fn state(&self, at: usize) -> &cowslip_core::control_state::ControlState {
-        self.instances[at].member.as_ref().expect("it runs").state()
+        self.instances[at]
+            .member
+            .as_ref()
+            .expect("the instance runs")
+            .state()
     }
 }
--- a/crates/core/tests/agreement/replacements.rs
+++ b/crates/core/tests/agreement/replacements.rs
@@ -77,13 +77,16 @@
         fleet.groups[cut_off] = 1;
         let added = fleet.add(vec![leader, followers[1]]);
         fleet.run(CATCH_UP);
-        assert!(fleet.has_vote(added), "seed {seed}: the new one");
+        assert!(fleet.has_vote(added), "seed {seed}: the added instance");
         fleet.commit_change(&change_entry("missed", None));
         fleet.groups[cut_off] = 0;
         fleet.run(CATCH_UP);
         fleet.remove(added);
         fleet.run(CATCH_UP);
-        assert!(fleet.has_vote(cut_off), "seed {seed}: the one cut off");
+        assert!(
+            fleet.has_vote(cut_off),
+            "seed {seed}: the partitioned member"
+        );
         assert!(fleet.state(cut_off).answer("missed").is_some());
     }
 }
