--- a/crates/core/src/agreement/leadership.rs
+++ b/crates/core/src/agreement/leadership.rs
@@ -57,8 +57,10 @@
     installing: Option<(u64, Duration)>,
     /// Entries were missing: one message at a time is sent until the logs match.
     probing: bool,
-    /// A probe was sent and neither answered nor superseded by a heartbeat.
+    /// A message was sent since the last heartbeat; while probing, no other
+    /// entries are sent before the next heartbeat.
     probe_in_flight: bool,
+    /// Commit index last sent to the member.
     sent_commit: u64,
 }
 
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -94,7 +94,9 @@
     pub(super) hard: HardState,
     pub(super) log: ReplicaLog,
     pub(super) commit: u64,
+    /// Index of the last committed entry handed to the caller.
     delivered: u64,
+    /// True while a new snapshot has not been handed to the caller.
     pub(super) restored: bool,
     pub(super) election_state: ElectionState,
     pub(super) output: OutputQueue,
