--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: crossed and late records lose, whatever their order.
+//! The directory: reordered and delayed records never replace newer ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,11 +38,11 @@
 }
 
 proptest! {
-    // A buyer's call goes to a server that said it was leaving: its older
-    // "serving" record took a longer way and arrived last. The directory
-    // must end at the newest record of each instance in any order.
+    // Guards against calls to a server that has announced its departure, but
+    // whose older "serving" record arrived last. The directory must hold the
+    // newest record of each instance, whatever the order of arrival.
     #[test]
-    fn any_order_ends_at_the_newest(arrived in records()) {
+    fn the_newest_record_is_kept_in_any_order(arrived in records()) {
         let mut directory = EndpointDirectory::default();
         let mut newest: BTreeMap<Arc<str>, EndpointRecord> = BTreeMap::new();
         for record in &arrived {
@@ -53,21 +53,21 @@
             }
         }
         let held: Vec<_> = directory.records().cloned().collect();
-        let naive: Vec<_> = newest.into_values().collect();
-        prop_assert_eq!(&held, &naive);
-        // The digest does not depend on the way there either.
-        let mut straight = EndpointDirectory::default();
-        for record in naive {
-            straight.merge(record);
+        let expected: Vec<_> = newest.into_values().collect();
+        prop_assert_eq!(&held, &expected);
+        // The digest does not depend on the order of arrival either.
+        let mut ordered = EndpointDirectory::default();
+        for record in expected {
+            ordered.merge(record);
         }
-        prop_assert_eq!(directory.digest(), straight.digest());
-        prop_assert!(directory.differing(straight.digest()).is_empty());
+        prop_assert_eq!(directory.digest(), ordered.digest());
+        prop_assert!(directory.differing(ordered.digest()).is_empty());
     }
 
-    // A follower that reads the changes since its place, however often,
-    // holds what the source holds.
+    // Guards against records that a follower misses: one that reads the changes
+    // since its last revision, however often, holds the source's directory.
     #[test]
-    fn reading_changes_gives_the_whole(arrived in records(), every in 1..6_usize) {
+    fn reading_all_changes_yields_an_equal_directory(arrived in records(), every in 1..6_usize) {
         let mut source = EndpointDirectory::default();
         let mut follower = EndpointDirectory::default();
         let mut place = 0;
@@ -90,8 +90,9 @@
     }
 }
 
-// Servers with ever new names come and go for weeks. What is kept of those
-// that have left is bounded, and the live ones are never dropped for it.
+// Guards against unbounded memory use when servers with ever new names come and
+// go for weeks. The number of tombstones is bounded, and no live server is
+// dropped in their place.
 #[test]
 fn tombstones_are_bounded() {
     let mut directory = EndpointDirectory::default();
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -1,5 +1,5 @@
-//! Leader, relays and nodes as their real state machines, over messages
-//! that are lost, held back, sent twice and overtaken.
+//! Simulation of the real state machines of a leader, relays and nodes over a
+//! network that loses, delays, duplicates and reorders messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,23 +24,23 @@
 const RELAYS: usize = 2;
 const NODES: usize = 3;
 
-/// Longer than any wait, so that every question is answered at once.
-const ASKED: Duration = Duration::from_secs(11);
+/// Longer than the longest wait, so that every request is answered within it.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(11);
 
-/// One thing that happens.
+/// One step of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
     /// The leader accepts a change.
     Change,
-    /// A relay asks the leader; the answer arrives, or is lost.
+    /// A relay sends a request to the leader; the answer arrives or is lost.
     RelayAsks { relay: usize, arrives: bool },
-    /// A node asks a relay; the answer is held back with the others.
+    /// A node sends a request to a relay; the answer is delayed.
     NodeAsks { node: usize, relay: usize },
-    /// A held-back answer arrives, perhaps not for the last time.
+    /// A delayed answer arrives; with `again` it may arrive once more.
     Arrives { at: usize, again: bool },
-    /// A node's process dies and comes back with no memory.
+    /// A node's process dies and restarts without memory.
     Restarts { node: usize },
-    /// The next versions do not pass validation on this node.
+    /// Sets whether the node's validation refuses the next versions.
     Refuses { node: usize, refuses: bool },
     /// Time passes.
     Waits { seconds: u64 },
@@ -63,15 +63,15 @@
 struct ModelNode {
     versions: VersionFollower,
     directory: DirectoryFollower,
-    life: u64,
+    run_number: u64,
     refuses: bool,
-    /// Highest version that any life of this node has applied.
+    /// Highest version that any run of this node has applied.
     applied: ConfigVersion,
 }
 
-struct HeldBack {
+struct DelayedAnswer {
     node: usize,
-    life: u64,
+    run_number: u64,
     relay: usize,
     answer: FollowAnswer,
 }
@@ -81,23 +81,23 @@
     leader: UpdateSource,
     relays: Vec<UpdateSource>,
     nodes: Vec<ModelNode>,
-    held_back: Vec<HeldBack>,
+    delayed: Vec<DelayedAnswer>,
 }
 
 fn source(name: String, run: u64) -> UpdateSource {
     UpdateSource::new(SourceIdentity {
         instance: name.as_str().into(),
-        // One domain: no unconfirmed version is ever enough.
+        // A single domain, so no unconfirmed version is ever accepted.
         failure_domain: "sogn".into(),
         run,
     })
 }
 
-fn node(now: Duration, life: u64) -> ModelNode {
+fn node(now: Duration, run_number: u64) -> ModelNode {
     ModelNode {
         versions: VersionFollower::new(now),
         directory: DirectoryFollower::default(),
-        life,
+        run_number,
         refuses: false,
         applied: ConfigVersion::ZERO,
     }
@@ -106,11 +106,11 @@
 fn ask(source: &mut UpdateSource, now: Duration, call: FollowCall) -> FollowAnswer {
     let id = source.follow(now, call);
     let mut answers = source.tick(now);
-    answers.extend(source.tick(now + ASKED));
+    answers.extend(source.tick(now + REQUEST_INTERVAL));
     let own = answers.into_iter().find(|one| one.followers.contains(&id));
-    match own.expect("every question is answered").reply {
+    match own.expect("every request is answered").reply {
         FollowReply::News(answer) => *answer,
-        FollowReply::Later(_) => panic!("far fewer questions than the rate"),
+        FollowReply::Later(_) => panic!("request rate is far below the limit"),
     }
 }
 
@@ -124,20 +124,21 @@
             leader,
             relays: (0..RELAYS).map(relay).collect(),
             nodes: (0..NODES).map(|_| node(Duration::ZERO, 0)).collect(),
-            held_back: Vec::new(),
+            delayed: Vec::new(),
         }
     }
 
-    fn happen(&mut self, event: Event) {
-        self.now += ASKED;
+    fn apply(&mut self, event: Event) {
+        self.now += REQUEST_INTERVAL;
         match event {
             Event::Change => self.change(),
             Event::RelayAsks { relay, arrives } => self.relay_asks(relay, arrives),
             Event::NodeAsks { node, relay } => self.node_asks(node, relay),
             Event::Arrives { at, again } => self.arrives(at, again),
             Event::Restarts { node: at } => {
-                let (life, applied) = (self.nodes[at].life + 1, self.nodes[at].applied);
-                self.nodes[at] = node(self.now, life);
+                let (run_number, applied) =
+                    (self.nodes[at].run_number + 1, self.nodes[at].applied);
+                self.nodes[at] = node(self.now, run_number);
                 self.nodes[at].applied = applied;
             }
             Event::Refuses { node, refuses } => self.nodes[node].refuses = refuses,
@@ -176,8 +177,8 @@
         let snapshot = match answer.config {
             ConfigNews::Current => None,
             ConfigNews::Delta(delta) => delta.apply(&held).ok(),
-            // Documents of one default: a delta always pays off.
-            ConfigNews::Snapshot(..) => panic!("a snapshot of one default"),
+            // With documents of a single default a delta is always smaller.
+            ConfigNews::Snapshot(..) => panic!("snapshot where a delta is smaller"),
         };
         let news = LeaderUpdate {
             sent_at: self.now,
@@ -201,21 +202,21 @@
             wait_ms: 5_000,
             node_domain: Some("voss".into()),
         };
-        let life = node.life;
+        let run_number = node.run_number;
         let id = self.relays[relay].follow(self.now, call);
-        // A confirmation reaches a waiting node only with the relay's next
-        // question to the leader.
-        self.relay_asks(relay, life.is_multiple_of(2));
+        // A waiting node receives a confirmation only after the relay's next
+        // request to the leader.
+        self.relay_asks(relay, run_number.is_multiple_of(2));
         let mut answers = self.relays[relay].tick(self.now);
-        answers.extend(self.relays[relay].tick(self.now + ASKED));
+        answers.extend(self.relays[relay].tick(self.now + REQUEST_INTERVAL));
         for one in answers {
             if !one.followers.contains(&id) {
                 continue;
             }
             if let FollowReply::News(answer) = one.reply {
-                self.held_back.push(HeldBack {
+                self.delayed.push(DelayedAnswer {
                     node: at,
-                    life,
+                    run_number,
                     relay,
                     answer: *answer,
                 });
@@ -224,19 +225,20 @@
     }
 
     fn arrives(&mut self, at: usize, again: bool) {
-        if self.held_back.is_empty() {
+        if self.delayed.is_empty() {
             return;
         }
-        let at = at % self.held_back.len();
-        let held = &self.held_back[at];
-        let (index, life, answer) = (held.node, held.life, held.answer.clone());
+        let at = at % self.delayed.len();
+        let held = &self.delayed[at];
+        let (index, run_number, answer) =
+            (held.node, held.run_number, held.answer.clone());
         let relay = held.relay;
         if !again {
-            self.held_back.remove(at);
+            self.delayed.remove(at);
         }
         let node = &mut self.nodes[index];
-        // An answer to a process that has died reaches nobody.
-        if node.life != life {
+        // The answer was sent to a process that has died.
+        if node.run_number != run_number {
             return;
         }
         node.directory.take(answer.directory);
@@ -259,9 +261,9 @@
         }
     }
 
-    /// Ends all faults and lets everything catch up.
+    /// Ends all faults and lets all relays and nodes catch up.
     fn heal(&mut self) {
-        self.held_back.clear();
+        self.delayed.clear();
         for at in 0..NODES {
             self.nodes[at].refuses = false;
         }
@@ -271,10 +273,10 @@
                 self.relay_asks(relay, true);
             }
             for node in 0..NODES {
-                self.now += ASKED;
-                self.nodes[node].life &= !1;
+                self.now += REQUEST_INTERVAL;
+                self.nodes[node].run_number &= !1;
                 self.node_asks(node, node % RELAYS);
-                while !self.held_back.is_empty() {
+                while !self.delayed.is_empty() {
                     self.arrives(0, false);
                 }
             }
@@ -285,16 +287,15 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    // An operator's change is in force on some nodes; processes die, answers
-    // are lost, held back, doubled and overtaken. No life of a node ever
-    // routes by a version below what an earlier life of it had applied, no
-    // version that was never accepted appears, and once the faults end all
-    // nodes hold the newest.
+    // Guards against rollbacks when processes die and answers are lost, delayed,
+    // duplicated and reordered. No run of a node holds a version lower than an
+    // earlier run had applied, no version appears that was never accepted, and
+    // all nodes hold the newest version after the faults have ended.
     #[test]
-    fn versions_never_go_back(events in prop::collection::vec(event(), 1..120)) {
+    fn versions_never_decrease(events in prop::collection::vec(event(), 1..120)) {
         let mut model = Model::new();
         for event in events {
-            model.happen(event);
+            model.apply(event);
             let newest = model.leader.current().version;
             for node in &mut model.nodes {
                 let held = node.versions.held();
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -1,4 +1,5 @@
-//! A source and its followers: who is woken, by what, at which price.
+//! A source and its followers: which followers are answered, when, and with
+//! how many distinct answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -93,7 +94,8 @@
     }
 }
 
-/// The answers that are due, one for each follower, and how many differ.
+/// The answers due at `now`, one for each follower, and the number of distinct
+/// answers.
 fn due(
     source: &mut UpdateSource,
     now: Duration,
@@ -123,8 +125,8 @@
     }
 }
 
-/// A follower of `source` that has its directory and version `index`.
-fn settled(source: &mut UpdateSource, now: Duration) -> DirectoryRequest {
+/// The directory request of a follower that holds the directory of `source`.
+fn synced_request(source: &mut UpdateSource, now: Duration) -> DirectoryRequest {
     let mut follower = DirectoryFollower::default();
     let id = source.follow(now, call("first", 0, follower.request()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
@@ -135,18 +137,18 @@
     follower.request()
 }
 
-// Several changes come within milliseconds. Each of them waking every node
-// would cost that many answers for each; the first goes out at once and the
-// others together, and all nodes at one place share one answer.
+// Guards against one answer per node for each of several changes that come
+// within milliseconds. The first change is sent at once, the others together,
+// and all nodes in the same state share one answer.
 #[test]
-fn quick_changes_go_out_together() {
+fn changes_in_quick_succession_are_batched() {
     let mut leader = leader();
     leader.publish(ms(0), snapshot(1));
-    let ask = settled(&mut leader, ms(0));
+    let request = synced_request(&mut leader, ms(0));
     let now = ms(10_000);
     let wait = |leader: &mut UpdateSource, now, index| {
         for node in 0..100 {
-            leader.follow(now, call(&format!("node-{node}"), index, ask.clone()));
+            leader.follow(now, call(&format!("node-{node}"), index, request.clone()));
         }
     };
     wait(&mut leader, now, 1);
@@ -165,11 +167,11 @@
     assert!(matches!(last.config, ConfigNews::Delta(delta) if delta.version == at(9)));
 }
 
-// An instance dies and its nodes come to another one. They have lost
-// nothing, and each must cost a few bytes and not the whole directory; one
-// that has missed an update gets that part of the directory only.
+// Guards against sending the whole directory to nodes that switch to another
+// instance after theirs has died. A node that is up to date gets no records,
+// and a node that has missed an update gets only the buckets that differ.
 #[test]
-fn a_node_that_lost_nothing_gets_no_record() {
+fn an_up_to_date_node_gets_no_records_from_a_new_source() {
     let mut first = leader();
     let mut second = source("control-2", 2);
     second.set_leading(ms(0), true);
@@ -184,7 +186,7 @@
     let mut node = DirectoryFollower::default();
     let whole = news(answer(&mut first, ms(100), call("node", 0, node.request())));
     assert_eq!(node.take(whole.directory).len(), 200);
-    // The update is on its way to all who wait; it is sent first.
+    // Sends the pending update first, so that it does not answer the node.
     second.tick(ms(100));
     let id = second.follow(ms(200), call("node", 1, node.request()));
     let (answers, _) = due(&mut second, ms(4_200));
@@ -201,8 +203,8 @@
         ms(5_100),
         call("node", 1, node.request()),
     ));
-    let ask = parts.directory.place.is_none();
-    assert!(ask, "the digests of the parts are wanted");
+    let requested = parts.directory.place.is_none();
+    assert!(requested, "the source requests the digests of the buckets");
     node.take(parts.directory);
     let part = news(answer(
         &mut first,
@@ -214,10 +216,10 @@
     assert_eq!(node.directory().digest(), first.directory().digest());
 }
 
-// A backend server's instance loses power. Nobody says so, but its node no
-// longer renews the lease; all others stay listed.
+// Guards against a backend server that stays listed after its instance lost
+// power. Its node no longer renews the lease; all others stay listed.
 #[test]
-fn a_dead_server_leaves_the_directory() {
+fn a_dead_server_is_removed_from_the_directory() {
     let mut leader = leader();
     let names: Vec<String> = (0..9).map(|at| format!("server-{at}")).collect();
     for name in &names {
@@ -227,7 +229,7 @@
     for second in 1..30 {
         let now = Duration::from_secs(second);
         for name in &names[1..] {
-            leader.follow(now, call(name, 0, settled_ask(&leader)));
+            leader.follow(now, call(name, 0, equal_digest(&leader)));
         }
         leader.tick(now);
     }
@@ -238,7 +240,9 @@
     assert_eq!(leader.counts().leases_ended, 1);
 }
 
-fn settled_ask(source: &UpdateSource) -> DirectoryRequest {
+/// The directory request of a follower that is new to `source` and whose
+/// directory is equal to the one there.
+fn equal_digest(source: &UpdateSource) -> DirectoryRequest {
     DirectoryRequest {
         place: Default::default(),
         digest: source.directory().digest().whole(),
@@ -246,11 +250,11 @@
     }
 }
 
-// A failure domain is cut off, so that a third of all leases ends at once.
-// The servers are up and reachable for others; they stay in the directory,
-// and when some are heard again, those that are really dead can leave.
+// Guards against removing live servers when a failure domain is cut off and a
+// third of all leases expires at once. The servers stay in the directory; when
+// some renew their leases again, those that are really dead are removed.
 #[test]
-fn a_mass_expiry_is_blindness_and_not_death() {
+fn a_mass_expiry_removes_no_server() {
     let mut leader = leader();
     let names: Vec<String> = (0..9).map(|at| format!("server-{at}")).collect();
     for name in &names {
@@ -266,7 +270,7 @@
             heard = 1..9;
         }
         for name in &names[heard.clone()] {
-            leader.follow(now, call(name, 0, settled_ask(&leader)));
+            leader.follow(now, call(name, 0, equal_digest(&leader)));
         }
         leader.tick(now);
     }
@@ -274,10 +278,10 @@
     assert_eq!(leader.counts().leases_ended, 1);
 }
 
-// The source goes away for minutes and a new leader takes over. It has
-// heard no renewal yet and must not take the whole fleet for dead.
+// Guards against a new leader that removes the whole fleet, because it has
+// received no lease renewal after minutes without a leader.
 #[test]
-fn a_new_leader_judges_no_lease_at_once() {
+fn a_new_leader_expires_no_lease_at_once() {
     let mut relay = source("control-2", 2);
     let serving = record("server-1", 1, EndpointStanding::Serving);
     relay.report(ms(0), endpoints(vec![serving]));
@@ -289,7 +293,8 @@
     assert_eq!(held.standing, EndpointStanding::Serving);
 }
 
-/// Carries news down from the leader and reports up, once.
+/// Sends the relay's reports to the leader and the leader's update to the
+/// relay, once.
 fn exchange(
     leader: &mut UpdateSource,
     relay: &mut UpdateSource,
@@ -322,15 +327,16 @@
     }
 }
 
-// A server announces itself at one control instance just before the leader
-// changes; only the old leader heard of it. The instance tells the new one,
-// and the directories of both end alike.
+// Guards against losing a server that announced itself just before the leader
+// changed, so that only the old leader received its record. The instance where
+// it announced itself sends the record to the new leader, and both directories
+// converge.
 #[test]
 fn directories_converge_after_a_change_of_leader() {
     let mut old = leader();
     let mut relay = source("control-2", 2);
     exchange(&mut old, &mut relay, ms(0), 1);
-    relay.follow(ms(10), call("server-1", 0, settled_ask(&relay)));
+    relay.follow(ms(10), call("server-1", 0, equal_digest(&relay)));
     let serving = record("server-1", 1, EndpointStanding::Serving);
     relay.report(ms(10), endpoints(vec![serving]));
     exchange(&mut old, &mut relay, ms(100), 1);
@@ -346,18 +352,18 @@
     assert_eq!(new.directory().digest(), relay.directory().digest());
 }
 
-// A relay's nodes apply a version. The leader learns it from one grouped
-// batch, the move reads done, and a batch lost on the way is made up for by
-// the next refresh.
+// Guards against a move that never becomes done because a batch of reports was
+// lost. The leader learns the versions of all nodes of a relay from one grouped
+// batch, and the next refresh replaces a lost one.
 #[test]
-fn grouped_reports_make_a_move_done() {
+fn a_lost_batch_of_reports_is_sent_again() {
     let mut leader = leader();
     let mut relay = source("control-2", 2);
     leader.publish(ms(0), snapshot(1));
     for node in 0..300 {
         relay.follow(
             ms(10),
-            call(&format!("node-{node}"), 0, settled_ask(&relay)),
+            call(&format!("node-{node}"), 0, equal_digest(&relay)),
         );
     }
     leader.report(ms(20), relay.take_reports(ms(20)));
@@ -366,7 +372,7 @@
     for node in 0..300 {
         relay.follow(
             ms(30),
-            call(&format!("node-{node}"), 1, settled_ask(&relay)),
+            call(&format!("node-{node}"), 1, equal_digest(&relay)),
         );
     }
     let lost = relay.take_reports(ms(40));
@@ -380,18 +386,19 @@
     assert_eq!(progress.nodes_applied, 300);
 }
 
-// A node starts at an instance that leads but whose answer is not needed
-// yet, and at one that is cut off: only the first confirms.
+// Guards against an isolated instance that presents its version as confirmed
+// to a starting node. The leader's answer to a starting node is confirmed, the
+// answer of a relay without a recent update from the leader is not.
 #[test]
-fn a_cut_off_relay_confirms_nothing() {
+fn an_isolated_relay_confirms_nothing() {
     let mut leader = leader();
     leader.publish(ms(0), snapshot(3));
-    let ask = settled_ask(&leader);
-    let started = news(answer(&mut leader, ms(10), call("a", 0, ask)));
+    let request = equal_digest(&leader);
+    let started = news(answer(&mut leader, ms(10), call("a", 0, request)));
     assert!(started.source.confirmed);
     let mut relay = source("control-2", 2);
     exchange(&mut leader, &mut relay, ms(20), 1);
-    let id = relay.follow(ms(60_000), call("a", 0, settled_ask(&relay)));
+    let id = relay.follow(ms(60_000), call("a", 0, equal_digest(&relay)));
     assert_eq!(due(&mut relay, ms(60_000)).0.len(), 0);
     let (answers, _) = due(&mut relay, ms(64_000));
     let own = answers.into_iter().find(|(to, _)| *to == id);
@@ -400,21 +407,22 @@
     assert_eq!(late.source.fresh_ms, 0);
 }
 
-// One node refuses a version as invalid. Operators must see it in the move,
-// which is not done, and the node must not be sent the same again and again.
+// Guards against a refused version that operators do not see, and against
+// sending it to the same node repeatedly. The move counts the refusal and is
+// not done.
 #[test]
-fn a_refusal_is_visible_in_the_move() {
+fn a_refusal_is_counted_in_the_move() {
     let mut leader = leader();
     leader.publish(ms(0), snapshot(1));
-    let ask = settled(&mut leader, ms(0));
+    let request = synced_request(&mut leader, ms(0));
     leader.publish(ms(60_000), snapshot(2));
     leader.tick(ms(60_000));
     let refusing = FollowCall {
         refused: Some(at(2)),
-        ..call("node-1", 1, ask.clone())
+        ..call("node-1", 1, request.clone())
     };
     leader.follow(ms(60_100), refusing);
-    leader.follow(ms(60_100), call("node-2", 2, ask));
+    leader.follow(ms(60_100), call("node-2", 2, request));
     assert_eq!(due(&mut leader, ms(60_100)).0.len(), 0);
     let progress = leader.board().progress(at(2));
     assert_eq!(progress.state, MoveState::InProgress);
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -1,4 +1,5 @@
-//! Herds that come back: admission, waits and the choice of a source.
+//! Mass reconnection: admission control, backoff, the choice of a source, and
+//! the announcement of endpoints after a restart.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,65 +13,65 @@
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
 use cowslip_core::source_ring::SourceRing;
 
-/// Lets `herd` followers come at once and come back when told; the times at
-/// which each was taken.
-fn herd(herd: usize, cost: ReconnectCost) -> Vec<Duration> {
+/// The times at which each of `count` followers is admitted that come at once
+/// and retry when told.
+fn admission_times(count: usize, cost: ReconnectCost) -> Vec<Duration> {
     let mut admission = ReconnectAdmission::default();
-    let mut coming: Vec<(Duration, bool)> = vec![(Duration::ZERO, false); herd];
-    let mut taken = Vec::new();
+    let mut coming: Vec<(Duration, bool)> = vec![(Duration::ZERO, false); count];
+    let mut admitted = Vec::new();
     while !coming.is_empty() {
         coming.sort();
         let mut later = Vec::new();
         for (now, waited) in coming {
             match admission.admit(now, &"node".into(), cost, waited) {
-                Ok(()) => taken.push(now),
+                Ok(()) => admitted.push(now),
                 Err(after) => later.push((now + after, true)),
             }
         }
         coming = later;
     }
-    taken
+    admitted
 }
 
-// A failure domain comes back and a thousand nodes ask one instance in the
-// same moment. They are taken at the stated rate, every one of them, none
-// is told more than a few times, and the instance is never overrun.
+// Guards against an instance that is overloaded when a failure domain comes back
+// and a thousand nodes ask at the same moment. All are admitted within a few
+// seconds, and never more than the rate and the burst in a second.
 #[test]
-fn a_herd_is_taken_at_the_rate() {
-    let taken = herd(1_000, ReconnectCost::Light);
-    assert_eq!(taken.len(), 1_000);
-    let last = *taken.last().expect("a thousand");
+fn a_mass_reconnection_is_admitted_at_the_rate() {
+    let admitted = admission_times(1_000, ReconnectCost::Light);
+    assert_eq!(admitted.len(), 1_000);
+    let last = *admitted.last().expect("a thousand");
     assert!(last >= Duration::from_millis(1_500) && last <= Duration::from_secs(3));
     for window in 0..30 {
         let from = Duration::from_millis(window * 100);
         let until = from + Duration::from_secs(1);
-        let within = taken.iter().filter(|at| **at >= from && **at < until);
+        let within = admitted.iter().filter(|at| **at >= from && **at < until);
         assert!(
             within.count() <= 700,
-            "more than rate and burst in a second"
+            "more than the rate and the burst in a second"
         );
     }
 }
 
-// Starting nodes want everything, so they are taken more slowly; one that
-// only reconnects does not wait behind them.
+// Guards against reconnecting nodes that wait behind starting ones, which need
+// a full copy and are admitted more slowly.
 #[test]
-fn starting_nodes_do_not_hold_up_the_others() {
+fn starting_nodes_do_not_delay_reconnecting_ones() {
     let mut admission = ReconnectAdmission::default();
     let now = Duration::from_secs(1);
-    let mut told = 0;
+    let mut deferred = 0;
     for number in 0..500 {
         let name = format!("node-{number}").into();
         let heavy = admission.admit(now, &name, ReconnectCost::Heavy(1_000_000), false);
-        told += usize::from(heavy.is_err());
+        deferred += usize::from(heavy.is_err());
     }
-    assert!(told > 400);
+    assert!(deferred > 400);
     let light = admission.admit(now, &"node".into(), ReconnectCost::Light, false);
     assert_eq!(light, Ok(()));
 }
 
-// A source stays away. Each node's waits grow to their bound and differ
-// from the others', so that the herd does not come back in step.
+// Guards against nodes that retry in step while a source is down. The waits of
+// each node grow up to a bound and differ from those of the other nodes.
 #[test]
 fn waits_grow_and_differ() {
     let mut sums = Vec::new();
@@ -82,16 +83,16 @@
         sums.push(waits.iter().sum::<Duration>());
         backoff.reset();
         assert!(backoff.next_wait() <= Duration::from_millis(200));
-        let told = backoff.retry_after(Duration::from_secs(2));
-        assert!(told >= Duration::from_secs(2));
+        let wait = backoff.retry_after(Duration::from_secs(2));
+        assert!(wait >= Duration::from_secs(2));
     }
     sums.dedup();
     assert_eq!(sums.len(), 50);
 }
 
-// Power fails for all instances, and nodes are up two seconds before the
-// sources are. Callers of a node get nothing until it has asked again, so that
-// must not take longer because it has failed often.
+// Guards against starting nodes whose backoff has grown after a power failure in
+// which they start two seconds before the sources. A node cannot serve callers
+// until it has asked again.
 #[test]
 fn a_starting_node_asks_soon_after_its_sources_are_up() {
     let longest = Duration::from_millis(200);
@@ -106,14 +107,15 @@
             asked += 1;
         }
         assert!(now <= up_at + longest, "{:?} late", now - up_at);
-        assert!(asked < 60, "{asked} questions in two seconds");
+        assert!(asked < 60, "{asked} requests in two seconds");
     }
 }
 
-// The nearest control instance dies. The node turns to others at once, and
-// goes back to the near one later, when it answers again.
+// Guards against a node that stays with a dead source, or with a remote one when
+// the local one is back. The node switches to another source at once and returns
+// to the source in its own failure domain later.
 #[test]
-fn near_sources_come_first() {
+fn sources_in_the_same_failure_domain_are_preferred() {
     let addresses: Vec<SocketAddr> = (1..=3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
@@ -151,12 +153,12 @@
     }
 }
 
-// A server was drained, its node restarted, and the instance's clock went
-// back in between. What the new process says has a lower number than the
-// old drain, and callers would never come again; the node sees the old
-// record in the directory and goes above it.
+// Guards against a server that stays drained because the clock was set back
+// before its node restarted, so that the new records are older than the old
+// drain. The node sees the old record in the directory and announces a newer
+// one.
 #[test]
-fn a_clock_that_went_back_does_not_silence_a_node() {
+fn a_clock_that_was_set_back_does_not_hide_a_node() {
     let mut old = EndpointAnnouncer::new(5_000);
     let drained = old.announce(record(EndpointStanding::Draining));
     let mut new = EndpointAnnouncer::new(4_000);
@@ -168,10 +170,11 @@
     assert_eq!(new.reconcile(&again), None);
 }
 
-// A lease ended while the node could not be heard. The node finds itself
-// gone in the directory and says that it serves; the late tombstone loses.
+// Guards against a live server that stays gone after its lease expired while
+// its node was unreachable. The node sees the tombstone in the directory and
+// announces a record that supersedes it.
 #[test]
-fn a_node_taken_for_dead_comes_back() {
+fn a_node_whose_lease_expired_announces_itself_again() {
     let mut node = EndpointAnnouncer::new(1);
     let mut gone = node.announce(record(EndpointStanding::Serving));
     let said = gone.clone();
@@ -182,10 +185,11 @@
     assert_eq!(again.standing, EndpointStanding::Serving);
 }
 
-// Server and node die together, and only the node comes back. It renews the
-// lease under the same name, so it must take the old record back itself.
+// Guards against a dead server that stays listed because its node, which died
+// with it, restarted alone and renews the lease under the same name. The node
+// must withdraw the old record.
 #[test]
-fn a_server_that_did_not_come_back_is_withdrawn() {
+fn a_server_that_did_not_restart_is_withdrawn() {
     let mut old = EndpointAnnouncer::new(1);
     let serving = old.announce(record(EndpointStanding::Serving));
     let mut new = EndpointAnnouncer::new(2);
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -1,4 +1,4 @@
-//! Fleets whose nodes all hold nothing and ask at once.
+//! Start of a whole fleet: nodes that all hold nothing and ask at once.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,7 +20,7 @@
 use cowslip_core::update_source::UpdateSource;
 use cowslip_core::version::ConfigVersion;
 
-/// Records of the directory.
+/// Number of records in the directory.
 const SERVERS: u64 = 20;
 
 fn ms(millis: u64) -> Duration {
@@ -92,14 +92,14 @@
     }
 }
 
-/// When the last of `herd` followers of one source holds everything, where
-/// each answer takes `cost` of the source's processor.
-fn last_start(herd: usize, cost: Duration) -> Duration {
+/// Time until the last of `count` followers of one source has a full copy, if
+/// each answer takes `cost` of the source's CPU time.
+fn last_start(count: usize, cost: Duration) -> Duration {
     let begin = ms(10_000);
     let mut source = source();
     let mut nodes: Vec<(Arc<str>, DirectoryFollower, bool)> = Vec::new();
     let mut coming = BinaryHeap::new();
-    for number in 0..herd {
+    for number in 0..count {
         let name = format!("node-{number}").into();
         nodes.push((name, DirectoryFollower::default(), false));
         coming.push(Reverse((begin + ms(number as u64 % 300), number)));
@@ -121,7 +121,7 @@
             match answer.reply {
                 FollowReply::Later(after) => {
                     *waited = true;
-                    // A refusal is a few bytes.
+                    // A deferral is a few bytes and costs little.
                     busy_until = now + cost / 10;
                     coming.push(Reverse((now + ms(after.max(1)), number)));
                 }
@@ -140,58 +140,59 @@
     last - begin
 }
 
-// All processes are lost, and hundreds of nodes that hold nothing ask a few
-// control instances. At a fixed rate they got their first configuration one
-// by one over seconds while the instances were idle, and refused callers.
+// Guards against an admission rate that leaves the control instances idle after
+// the loss of all processes. At a fixed rate hundreds of nodes received their
+// first configuration one by one over seconds and refused callers until then.
 #[test]
-fn starting_nodes_wait_only_for_the_processor() {
+fn starting_nodes_wait_only_for_the_source_cpu() {
     let quick = Duration::from_micros(100);
-    for (herd, cost) in [(30, ms(1)), (300, quick), (300, ms(1)), (5_000, quick)] {
-        let bound = cost * herd as u32 + cost / 10 * herd as u32;
-        let last = last_start(herd, cost);
+    for (count, cost) in [(30, ms(1)), (300, quick), (300, ms(1)), (5_000, quick)] {
+        let bound = cost * count as u32 + cost / 10 * count as u32;
+        let last = last_start(count, cost);
         let allowed = bound.mul_f64(1.5) + ms(600);
         assert!(
             last <= allowed,
-            "{herd} at {cost:?}: {last:?} of {allowed:?}"
+            "{count} at {cost:?}: {last:?} of {allowed:?}"
         );
     }
 }
 
-// A source with a thin link sends everything to all who ask at once, each of
-// them is slow, gives up and asks again. Few are taken at a time then, and
-// all the same each gets its turn.
+// Guards against a source with a slow link that sends full copies to all
+// followers at once, so that each of them times out and asks again. Only a few
+// are admitted at a time, and all of them get their turn.
 #[test]
-fn a_slow_source_takes_few_at_once() {
+fn a_slow_source_admits_few_at_once() {
     let mut window = CatchUpWindow::default();
     let names: Vec<Arc<str>> = (0..1_000).map(|at| format!("node-{at}").into()).collect();
-    let mut under_way: Vec<(Duration, usize)> = Vec::new();
+    let mut in_progress: Vec<(Duration, usize)> = Vec::new();
     let (mut next, mut now, mut most) = (0, ms(0), 0);
-    // A follower alone takes 50 ms, and 50 ms more for each one beside it.
-    while next < names.len() || !under_way.is_empty() {
+    // A single catch-up takes 50 ms, and 50 ms more for each concurrent one.
+    while next < names.len() || !in_progress.is_empty() {
         now += ms(5);
         while next < names.len() && window.admit(now, &names[next], 100_000, true).is_ok()
         {
-            let beside = under_way.len() as u32 + 1;
-            under_way.push((now + ms(50) * beside, next));
+            let concurrent = in_progress.len() as u32 + 1;
+            in_progress.push((now + ms(50) * concurrent, next));
             next += 1;
         }
-        under_way.retain(|(until, number)| {
+        in_progress.retain(|(until, number)| {
             if *until <= now {
                 window.caught_up(now, &names[*number]);
             }
             *until > now
         });
         if next > 200 {
-            most = most.max(under_way.len());
+            most = most.max(in_progress.len());
         }
     }
     assert!(most <= 16, "{most} at once");
 }
 
-// A configuration grows to ten times its size. What was quick before is never
-// seen again, and judged by that each catch-up passes for slow for ever.
+// Guards against a limit that stays at its minimum after the configuration has
+// grown to ten times its size, because every catch-up is compared with a fastest
+// time that is no longer possible.
 #[test]
-fn a_larger_configuration_becomes_the_usual() {
+fn the_limit_grows_again_for_a_larger_configuration() {
     let mut window = CatchUpWindow::default();
     let catch_up = |window: &mut CatchUpWindow, now: Duration, took: Duration| {
         let mut taken = Vec::new();
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -1,4 +1,4 @@
-//! Followers: what a node may take, from whom, and when.
+//! Followers: which versions a node accepts, from which sources, and when.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A source that has seen every version up to `index`.
+/// The history of a source that has received every version up to `index`.
 fn source(index: u64) -> ConfigHistory {
     let mut history = ConfigHistory::default();
     for index in 1..=index {
@@ -60,7 +60,8 @@
     })
 }
 
-/// Asks a source that is confirmed or not and applies what it offers.
+/// Processes the answer of a source in `domain` that holds version `index`,
+/// and applies the snapshot if one is offered.
 fn ask(
     follower: &mut VersionFollower,
     now: Duration,
@@ -83,14 +84,15 @@
     step
 }
 
+/// A time at which unconfirmed versions may be accepted.
 const LATE: Duration = START_TIMEOUT;
 
-// A region is cut off without a word. A node that had applied version 5
-// restarts there with no memory, and the only instance it reaches still
-// holds version 3. Taking it would route callers by what operators have
-// replaced; the node waits, however long, and takes 5 from a confirmed one.
+// Guards against a rollback on the wrong side of an undetected partition. A
+// node that had applied version 5 restarts without memory, and the only
+// instance it reaches still holds version 3. The node waits, however long,
+// and accepts version 5 from a confirmed source.
 #[test]
-fn a_far_side_instance_does_not_roll_a_node_back() {
+fn an_isolated_instance_does_not_roll_a_node_back() {
     let mut follower = VersionFollower::new(Duration::ZERO);
     for seconds in [0, 5, 20, 3_600] {
         let now = Duration::from_secs(seconds);
@@ -104,11 +106,11 @@
     assert_eq!(follower.held(), at(5));
 }
 
-// All voting instances are down and a herd of nodes restarts. After the
-// patience, the highest version of two failure domains is taken, so that
-// callers are served at all.
+// Guards against nodes that serve no caller because all voting instances are
+// down when they restart. After the timeout the highest version of two failure
+// domains is accepted.
 #[test]
-fn with_the_source_away_the_highest_of_two_domains_is_taken() {
+fn without_a_confirmed_source_the_highest_of_two_domains_is_accepted() {
     let mut follower = VersionFollower::new(Duration::ZERO);
     let early = Duration::from_secs(1);
     ask(&mut follower, early, "voss", 4, false, None);
@@ -118,10 +120,11 @@
     assert_eq!(follower.held(), at(4));
 }
 
-// The same, but one of the two remembers that this node had applied 6. The
-// node stays without a configuration until somebody holds 6 or more.
+// Guards against a rollback when a source knows that this node had applied a
+// higher version than the sources hold. The node stays without a configuration
+// until a source holds version 6 or higher.
 #[test]
-fn never_below_what_the_node_is_known_to_have_applied() {
+fn a_node_never_starts_below_the_version_it_had_applied() {
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 4, false, Some(at(6)));
     ask(&mut follower, LATE, "sogn", 5, false, None);
@@ -130,11 +133,11 @@
     assert_eq!(follower.held(), at(6));
 }
 
-// A version does not pass the node's own validation. It must change nothing
-// there, must not be offered again, and the next version is taken from the
-// one in force.
+// Guards against a version that fails the node's validation and still changes
+// its configuration or is offered again. The next version is applied on top of
+// the one in force.
 #[test]
-fn a_refused_version_changes_nothing_and_is_left_behind() {
+fn a_refused_version_changes_nothing_and_is_not_offered_again() {
     let mut history = source(2);
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 1, true, None);
@@ -149,10 +152,11 @@
     assert_eq!(follower.held(), at(3));
 }
 
-// An answer crosses another one and its delta starts from a version that is
-// no longer held. The follower keeps what it has and asks for the whole.
+// Guards against applying a reordered answer, whose delta is based on a version
+// that is no longer held. The follower keeps its version and asks for a whole
+// snapshot.
 #[test]
-fn a_crossed_delta_is_dropped() {
+fn a_delta_on_another_version_is_dropped() {
     let mut history = source(3);
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 1, true, None);
@@ -166,10 +170,11 @@
     assert_eq!(follower.held(), at(3));
 }
 
-// An instance is cut off silently, and an answer of the old leader arrives
-// after the network held it back for long. It proves nothing about now.
+// Guards against an isolated instance that counts as fresh because a delayed
+// answer of the old leader arrives. Freshness counts from the time the request
+// was sent.
 #[test]
-fn an_answer_held_back_proves_nothing() {
+fn a_delayed_answer_does_not_prove_freshness() {
     let mut freshness = SourceFreshness::default();
     let sent_at = Duration::from_secs(100);
     freshness.record_proof(sent_at, &proof("voss", 9, true));
@@ -180,11 +185,11 @@
 }
 
 proptest! {
-    // Whatever sources a node asks, in any order, confirmed or not, with
-    // any validation result: its version never goes back, and it never
-    // starts below what it was told that it had applied.
+    // Guards against rollbacks: with any sequence of sources, confirmed or not,
+    // and any validation results, the version of a node never decreases, and
+    // the node never starts below the version it is known to have applied.
     #[test]
-    fn versions_only_go_up(
+    fn versions_never_decrease(
         asked in prop::collection::vec(
             (0..40_u64, 0..3_u8, 1..12_u64, any::<bool>(), any::<bool>()),
             1..40,
@@ -195,7 +200,7 @@
         let mut floor = ConfigVersion::ZERO;
         for (seconds, domain, index, confirmed, valid) in asked {
             let now = Duration::from_secs(seconds);
-            // A confirmed source holds all that any node has applied.
+            // A confirmed source holds every version that a node has applied.
             let index = if confirmed { index.max(acknowledged) } else { index };
             let domain = format!("domain-{domain}");
             let mut history = source(index);
