--- a/crates/core/src/catch_up_window.rs
+++ b/crates/core/src/catch_up_window.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CatchUp {
     started_at: Duration,
-    /// True if the limit has been decreased started_at the catch-up began.
+    /// True if the limit has been decreased since the catch-up began.
     before_decrease: bool,
 }
 
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -35,8 +35,8 @@
     pub directory: DirectoryRequest,
     /// Longest wait for an update, in milliseconds.
     pub wait_ms: u64,
-    /// Failure domain of a node that counts in the progress of moves; `None`
-    /// for other followers.
+    /// Failure domain of a node that counts towards the progress of moves;
+    /// `None` for other followers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node_domain: Option<Arc<str>>,
 }
--- a/crates/core/src/follower_queue.rs
+++ b/crates/core/src/follower_queue.rs
@@ -64,7 +64,7 @@
     next: FollowerId,
     update_pending: bool,
     woken_at: Option<Duration>,
-    batch: Option<Duration>,
+    wake_interval: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -105,8 +105,8 @@
     /// time to the next wake.
     pub fn note_delay(&mut self, lag: Duration) {
         let wanted = (lag * BATCH_FACTOR).clamp(BATCH_TIME, BATCH_MAX);
-        let held = self.batch.unwrap_or(BATCH_TIME);
-        self.batch = Some(wanted.max(held));
+        let held = self.wake_interval.unwrap_or(BATCH_TIME);
+        self.wake_interval = Some(wanted.max(held));
     }
 
     /// Records that there is an update for every waiting follower.
@@ -166,7 +166,7 @@
         if self.update_pending && now >= self.wake_at() {
             self.update_pending = false;
             self.woken_at = Some(now);
-            self.batch = None;
+            self.wake_interval = None;
             return self.wake(freshness);
         }
         let mut ended = Vec::new();
@@ -204,8 +204,9 @@
     }
 
     fn wake_at(&self) -> Duration {
-        let batch = self.batch.unwrap_or(BATCH_TIME);
-        self.woken_at.map_or(Duration::ZERO, |at| at + batch)
+        let wake_interval = self.wake_interval.unwrap_or(BATCH_TIME);
+        self.woken_at
+            .map_or(Duration::ZERO, |at| at + wake_interval)
     }
 
     fn remove(&mut self, ids: &[FollowerId]) -> Vec<DueFollower> {
--- a/crates/core/src/reconnect_admission.rs
+++ b/crates/core/src/reconnect_admission.rs
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug)]
 struct RateSchedule {
     interval: Duration,
-    /// When the admitted requests have used up their share of the rate.
+    /// When the rate has capacity again if no more requests are admitted.
     admitted_until: Duration,
     /// Latest retry time given to a follower.
     retry_until: Duration,
--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct ReconnectBackoff {
     ceiling: Duration,
-    longest: Duration,
+    ceiling_max: Duration,
     rng: SmallRng,
 }
 
@@ -36,15 +36,15 @@
     pub fn new(seed: u64) -> Self {
         Self {
             ceiling: CEILING_MIN,
-            longest: CEILING_MAX,
+            ceiling_max: CEILING_MAX,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Limits the wait to `longest`: a small fleet can retry more often without
-    /// harm, and reconnects sooner.
+    /// Limits the growth of the wait to `longest`: a small fleet can retry more
+    /// often without harm, and reconnects sooner.
     pub fn bounded(mut self, longest: Duration) -> Self {
-        self.longest = longest.min(CEILING_MAX);
+        self.ceiling_max = longest.min(CEILING_MAX);
         self
     }
 
@@ -58,7 +58,7 @@
     /// doubles with each failure.
     pub fn next_wait(&mut self) -> Duration {
         let wait = self.ceiling.mul_f64(self.rng.random_range(0.0..1.0));
-        self.ceiling = (self.ceiling * 2).min(self.longest);
+        self.ceiling = (self.ceiling * 2).min(self.ceiling_max);
         wait
     }
 
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -76,15 +76,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeardFollower {
+struct ReportedFollower {
     report: NodeReport,
-    heard_at: Duration,
+    reported_at: Duration,
 }
 
 /// Followers of one source, and the changes not reported to the leader yet.
 #[derive(Clone, Debug, Default)]
 pub struct ReportAggregator {
-    followers: BTreeMap<Arc<str>, HeardFollower>,
+    followers: BTreeMap<Arc<str>, ReportedFollower>,
     changed: BTreeSet<Arc<str>>,
     records: BTreeMap<Arc<str>, EndpointRecord>,
     refresh_at: Duration,
@@ -107,16 +107,16 @@
         if held.is_none_or(|held| held.report != *report) {
             self.changed.insert(Arc::clone(&report.node));
         }
-        let heard = HeardFollower {
+        let reported = ReportedFollower {
             report: report.clone(),
-            heard_at: now,
+            reported_at: now,
         };
-        self.followers.insert(Arc::clone(&report.node), heard);
+        self.followers.insert(Arc::clone(&report.node), reported);
     }
 
     /// Queues an endpoint record for the leader; only the newest record of an
     /// endpoint is kept.
-    pub fn record(&mut self, record: EndpointRecord) {
+    pub fn record_endpoint(&mut self, record: EndpointRecord) {
         let held = self.records.get(&record.instance);
         if held.is_some_and(|held| held.order() >= record.order()) {
             return;
@@ -131,7 +131,7 @@
             self.refresh_at = now + self.presence.refresh();
             let reported_for = self.presence.reported_for();
             self.followers
-                .retain(|_, held| now.saturating_sub(held.heard_at) <= reported_for);
+                .retain(|_, held| now.saturating_sub(held.reported_at) <= reported_for);
         }
         let mut groups: BTreeMap<GroupKey, Vec<Arc<str>>> = BTreeMap::new();
         let changed = std::mem::take(&mut self.changed);
@@ -157,7 +157,7 @@
             records.extend(directory.get(node).cloned());
         }
         for record in records {
-            self.record(record);
+            self.record_endpoint(record);
         }
     }
 
@@ -166,7 +166,7 @@
     pub fn put_back(&mut self, batch: ReportBatch) {
         self.refresh_at = Duration::ZERO;
         for record in batch.endpoints {
-            self.record(record);
+            self.record_endpoint(record);
         }
     }
 }
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -85,9 +85,9 @@
 /// Counters of one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceCounts {
-    /// Admitted first requests: the first that a follower sends to this run.
+    /// Followers admitted with their first request to this run.
     pub admitted: u64,
-    /// First requests that were told to retry later.
+    /// First requests that were deferred to a later time.
     pub told_later: u64,
     /// Endpoints marked gone because their lease expired.
     pub leases_ended: u64,
@@ -235,12 +235,12 @@
             DirectorySync::Since(_) => {}
             DirectorySync::Records(records) => {
                 let place = Some(self.place());
-                self.answer_with(now, id, DirectoryUpdate { records, place });
+                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
             }
             DirectorySync::NeedsDigests => {
                 let records = Vec::new();
                 let place = None;
-                self.answer_with(now, id, DirectoryUpdate { records, place });
+                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
             }
         }
         id
@@ -298,7 +298,7 @@
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
-                self.aggregator.record(record);
+                self.aggregator.record_endpoint(record);
             }
         }
     }
@@ -329,7 +329,7 @@
         }
         // Some records may have reached only the old leader. After each
         // change of leader the records of all followers of this instance
-        // are sent again, so both directories converge.
+        // are sent again, so that its directory and the leader's converge.
         if update.run != self.leader_run {
             self.leader_run = update.run;
             self.aggregator.resend(&self.directory);
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -42,7 +42,7 @@
     }
 
     /// Answers a single follower with a directory update made for it.
-    pub(super) fn answer_with(
+    pub(super) fn answer_with_directory(
         &mut self,
         now: Duration,
         id: FollowerId,
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -42,7 +42,7 @@
 /// What the caller of the state machine must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowStep {
-    /// Ask the same source for updates again.
+    /// Ask the source in use for updates again.
     Ask,
     /// Ask another source; this one has nothing that can be used.
     AskElsewhere,
