--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -180,7 +180,7 @@
         let acknowledged = answer.acknowledged;
         let mut step =
             self.versions
-                .news(now, answer.source, acknowledged, answer.config);
+                .handle_update(now, answer.source, acknowledged, answer.config);
         while let FollowStep::Fetch { version, at } = step {
             let chunk = source.chunk(version, at);
             *fetched += chunk.as_ref().map_or(0, |chunk| chunk.len());
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -141,7 +141,7 @@
         };
         self.waited = false;
         let source = answer.source.clone();
-        let step = self.follower.news(
+        let step = self.follower.handle_update(
             self.started.elapsed(),
             answer.source,
             answer.acknowledged,
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -140,7 +140,7 @@
     /// Processes an update from a source. `acknowledged` is the highest
     /// version that the source knows this follower to have applied, including
     /// before a restart of its process.
-    pub fn news(
+    pub fn handle_update(
         &mut self,
         now: Duration,
         source: SourceProof,
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -243,9 +243,12 @@
         }
         node.directory.take(answer.directory);
         let acknowledged = answer.acknowledged;
-        let mut step =
-            node.versions
-                .news(self.now, answer.source, acknowledged, answer.config);
+        let mut step = node.versions.handle_update(
+            self.now,
+            answer.source,
+            acknowledged,
+            answer.config,
+        );
         while let FollowStep::Fetch { version, at } = step {
             let chunk = self.relays[relay].chunk(version, at);
             step = node.versions.chunk(self.now, chunk.as_deref());
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -73,7 +73,7 @@
     let mut history = source(index);
     let news = news(&mut history, follower);
     let proof = proof(domain, index, confirmed);
-    let mut step = follower.news(now, proof, acknowledged, news);
+    let mut step = follower.handle_update(now, proof, acknowledged, news);
     while let FollowStep::Fetch { version, at } = step {
         let chunk = history.chunk(version, at);
         step = follower.chunk(now, chunk.as_deref());
@@ -142,7 +142,7 @@
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 1, true, None);
     let first = news(&mut history, &follower);
-    let step = follower.news(LATE, proof("voss", 2, true), None, first);
+    let step = follower.handle_update(LATE, proof("voss", 2, true), None, first);
     assert_eq!(step, FollowStep::Offer(snapshot(2)));
     follower.record_outcome(at(1), Some(at(2)));
     assert_eq!(follower.held(), at(1));
@@ -162,7 +162,7 @@
     ask(&mut follower, LATE, "voss", 1, true, None);
     let late = news(&mut history, &follower);
     ask(&mut follower, LATE, "voss", 2, true, None);
-    let step = follower.news(LATE, proof("voss", 3, true), None, late);
+    let step = follower.handle_update(LATE, proof("voss", 3, true), None, late);
     assert_eq!(step, FollowStep::Ask);
     assert_eq!(follower.held(), at(2));
     assert!(follower.needs_snapshot());
@@ -208,7 +208,7 @@
             let proof = proof(&domain, index, confirmed);
             let known = Some(at(acknowledged));
             let before = follower.held();
-            if let FollowStep::Offer(offered) = follower.news(now, proof, known, news) {
+            if let FollowStep::Offer(offered) = follower.handle_update(now, proof, known, news) {
                 prop_assert!(offered.version > before);
                 let refused = (!valid).then_some(offered.version);
                 let applied = if valid { offered.version } else { before };
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -230,9 +230,12 @@
         let domain = Arc::clone(&answer.source.failure_domain);
         let unsure = answer.source.fresh_ms == 0;
         let now = self.started.elapsed();
-        let step =
-            self.versions
-                .news(now, answer.source, answer.acknowledged, answer.config);
+        let step = self.versions.handle_update(
+            now,
+            answer.source,
+            answer.acknowledged,
+            answer.config,
+        );
         match self.fetch(address, step, answer.chunk).await? {
             FollowStep::Offer(snapshot) => self.offer(snapshot).await,
             FollowStep::AskElsewhere => return Ok(TurnEnd::Turn),
