--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -73,7 +73,7 @@
     }
 
     /// Wait after a source has told the follower to retry after `after`. It is
-    /// never shorter, unless `after` exceeds [`RETRY_AFTER_MAX`], and up to a
+    /// never shorter, unless `after` exceeds `RETRY_AFTER_MAX`, and up to a
     /// tenth longer, because a source may give equal times to many followers.
     pub fn retry_after(&mut self, after: Duration) -> Duration {
         let spread = self.rng.random_range(1.0..1.1);
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records a follower's report at `now`. A new follower is ignored if
-    /// [`FOLLOWERS_MAX`] are kept.
+    /// `FOLLOWERS_MAX` are kept.
     pub fn record_report(&mut self, now: Duration, report: &NodeReport) {
         let held = self.followers.get(&report.node);
         if held.is_none() && self.followers.len() >= FOLLOWERS_MAX {
