--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -42,7 +42,7 @@
 /// What the caller of the state machine must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowStep {
-    /// Ask the same source for updates again.
+    /// Ask the source in use for updates again.
     Ask,
     /// Ask another source; this one has nothing that can be used.
     AskElsewhere,
@@ -140,7 +140,7 @@
     /// Processes an update from a source. `acknowledged` is the highest
     /// version that the source knows this follower to have applied, including
     /// before a restart of its process.
-    pub fn news(
+    pub fn handle_update(
         &mut self,
         now: Duration,
         source: SourceProof,
