--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -139,8 +139,8 @@
     /// Records a node's report, received at `received_at`. A late report does
     /// not lower the version that the node is known to have applied.
     pub fn record_report(&mut self, received_at: Duration, mut report: NodeReport) {
-        if let Some(held) = self.remove_node(&report.node) {
-            report.applied = report.applied.max(held.report.applied);
+        if let Some(previous) = self.remove_node(&report.node) {
+            report.applied = report.applied.max(previous.report.applied);
         } else if self.nodes.len() >= NODES_MAX {
             self.overflow += 1;
             return;
@@ -177,13 +177,14 @@
     }
 
     fn remove_node(&mut self, node: &Arc<str>) -> Option<ReceivedReport> {
-        let held = self.nodes.remove(node)?;
-        self.by_age.remove(&(held.received_at, Arc::clone(node)));
-        self.applied.remove(held.report.applied);
-        if let Some(refused) = held.report.refused {
+        let previous = self.nodes.remove(node)?;
+        self.by_age
+            .remove(&(previous.received_at, Arc::clone(node)));
+        self.applied.remove(previous.report.applied);
+        if let Some(refused) = previous.report.refused {
             self.refused.remove(refused);
         }
-        Some(held)
+        Some(previous)
     }
 
     /// Reports of the live nodes, with their age at `now`.
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -114,8 +114,8 @@
 
 impl VersionTally {
     /// Counts one attempt.
-    pub fn record(&mut self, ended: &MeasuredTry) {
-        match ended.end {
+    pub fn record(&mut self, attempt: &MeasuredTry) {
+        match attempt.end {
             TryOutcome::NotRun => return,
             TryOutcome::Abandoned => {
                 self.abandoned += 1;
@@ -124,11 +124,11 @@
             TryOutcome::Answered | TryOutcome::Failed => {}
         }
         self.calls += 1;
-        self.busy_us += ended.took.as_micros() as u64;
-        if ended.end == TryOutcome::Failed {
+        self.busy_us += attempt.took.as_micros() as u64;
+        if attempt.end == TryOutcome::Failed {
             self.failures += 1;
-        } else if ended.warm {
-            self.latency.record(ended.took);
+        } else if attempt.warm {
+            self.latency.record(attempt.took);
         }
     }
 
@@ -175,10 +175,10 @@
 impl RolloutTally {
     /// Counts one attempt of the new version if `new` is true, else of the old
     /// version.
-    pub fn record(&mut self, route: &Arc<str>, new: bool, ended: &MeasuredTry) {
+    pub fn record(&mut self, route: &Arc<str>, new: bool, attempt: &MeasuredTry) {
         for tally in [route_tally(&mut self.routes, route), &mut self.total] {
             let version = if new { &mut tally.new } else { &mut tally.old };
-            version.record(ended);
+            version.record(attempt);
         }
     }
 
--- a/crates/core/src/rollout/fleet_snapshot.rs
+++ b/crates/core/src/rollout/fleet_snapshot.rs
@@ -50,10 +50,10 @@
     ) {
         for record in records {
             let instance = Arc::clone(&record.instance);
-            let seen = self.first_seen.entry(instance);
-            let seen = seen.or_insert((record.incarnation, now));
-            if seen.0 != record.incarnation {
-                *seen = (record.incarnation, now);
+            let first_seen = self.first_seen.entry(instance);
+            let first_seen = first_seen.or_insert((record.incarnation, now));
+            if first_seen.0 != record.incarnation {
+                *first_seen = (record.incarnation, now);
             }
         }
     }
@@ -95,8 +95,8 @@
     }
 
     fn warm_slots(&self, now: Duration, record: &EndpointRecord) -> u32 {
-        let seen = self.first_seen.get(&record.instance);
-        let age = seen.map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at));
+        let first_seen = self.first_seen.get(&record.instance);
+        let age = first_seen.map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at));
         if age < COLD_TIME {
             return record.slots / 2;
         }
--- a/crates/core/src/rollout/latency_sketch.rs
+++ b/crates/core/src/rollout/latency_sketch.rs
@@ -34,7 +34,7 @@
     fn default() -> Self {
         let buckets = Histogram::new_with_bounds(MIN_US, MAX_US, SIGNIFICANT_DIGITS);
         Self {
-            buckets: buckets.expect("the bounds are constants that the library takes"),
+            buckets: buckets.expect("constant bounds are valid for a histogram"),
         }
     }
 }
@@ -89,10 +89,11 @@
         for (latency, count) in &now.0 {
             while previous.next_if(|(at, _)| at < latency).is_some() {}
             let previous = previous.next_if(|(at, _)| at == latency);
-            let grown = count.saturating_sub(previous.map_or(0, |(_, count)| *count));
-            if grown > 0 {
+            let increase = count.saturating_sub(previous.map_or(0, |(_, count)| *count));
+            if increase > 0 {
                 let latency = u64::from(*latency);
-                self.buckets.saturating_record_n(latency, u64::from(grown));
+                self.buckets
+                    .saturating_record_n(latency, u64::from(increase));
             }
         }
     }
--- a/crates/core/src/rollout/node_guard.rs
+++ b/crates/core/src/rollout/node_guard.rs
@@ -131,13 +131,13 @@
     }
 
     /// Counts one attempt, if it belongs to a service under a move.
-    pub fn record(&mut self, ended: &EndedTry) {
-        let Some(guarded) = self.rollouts.get_mut(&ended.service) else {
+    pub fn record(&mut self, attempt: &EndedTry) {
+        let Some(guarded) = self.rollouts.get_mut(&attempt.service) else {
             return;
         };
-        let new = ended.version == guarded.new;
-        if new || ended.version == guarded.old {
-            guarded.tally.record(&ended.route, new, &ended.measured);
+        let new = attempt.version == guarded.new;
+        if new || attempt.version == guarded.old {
+            guarded.tally.record(&attempt.route, new, &attempt.measured);
         }
     }
 
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -99,11 +99,13 @@
 /// bursts and for servers that fail during the step.
 const SLOT_FILL_MAX: f64 = 0.8;
 
-/// Minimum growth factor of a step, so that a move takes tens of changes
-/// instead of one per evaluation.
+/// Minimum growth factor of a step other than to [`HELD_SHARE`] or
+/// [`LAST_SHARE`], so that a move takes tens of changes instead of one per
+/// evaluation.
 const STEP_GROWTH_MIN: f64 = 1.25;
 
-/// Maximum growth factor of a step, however late the move is.
+/// Maximum growth factor of a step below [`HELD_SHARE`], however late the move
+/// is.
 const STEP_GROWTH_MAX: f64 = 2.0;
 
 /// Maximum number of points kept for the plot of a move; beyond it every second
@@ -242,10 +244,10 @@
     /// Returns the strongest evidence if a suspected version has used most of
     /// its exposure bound.
     ///
-    /// A version that fails a little more at each load level stops the growth
-    /// without ever reaching a verdict, and the calls it gets meanwhile exceed
-    /// the bound. A sound version reaches the required suspicion in fewer than
-    /// one of fifty moves.
+    /// A version that fails a little more at each load level delays its own
+    /// growth without reaching a verdict, and the calls it gets meanwhile
+    /// exceed the bound. A sound version reaches the required suspicion in
+    /// fewer than one of fifty moves.
     fn near_exposure_bound(
         &self,
         now: Duration,
@@ -256,17 +258,17 @@
         let bound = record.exposure?;
         let fraction = MoveTime::of(now, record).fraction();
         let used_fraction = bound.used_fraction(counts.new_calls, counts.calls, fraction);
-        // [`HELD_SHARE`] is still on trial: some faults appear only there, and
-        // at four fifths of the calls the bound is soon exceeded.
+        // `HELD_SHARE` is still on trial: some faults appear only there, and at
+        // four fifths of the calls the bound is soon exceeded.
         let on_trial = record.share() <= HELD_SHARE;
-        let enough = if used_fraction >= EXPOSURE_CRITICAL_FRACTION {
+        let suspicion_limit = if used_fraction >= EXPOSURE_CRITICAL_FRACTION {
             EXPOSURE_CRITICAL_SUSPICION
         } else {
             EXPOSURE_HIGH_SUSPICION
         };
         if on_trial
             && used_fraction >= EXPOSURE_HIGH_FRACTION
-            && result.suspicion >= enough
+            && result.suspicion >= suspicion_limit
         {
             return result.strongest.clone();
         }
@@ -344,16 +346,16 @@
         if last && time.since_step < time.total.mul_f64(HOLD_FRACTION) {
             return Err(Some(StepWait::LastSteps));
         }
-        let seen = self
+        let informative_since_step = self
             .step
             .map_or(0, |step| informative.saturating_sub(step.informative));
-        // Once the target reaches [`HELD_SHARE`], no step may wait for evidence:
+        // Once the target reaches `HELD_SHARE`, no step may wait for evidence:
         // twice the next share may be above every later target, and the step
         // would wait forever.
-        let behind = next.saturating_mul(QUIET_LAG_FACTOR);
-        let lagging = target >= behind.min(HELD_SHARE);
+        let lag_share = next.saturating_mul(QUIET_LAG_FACTOR);
+        let lagging = target >= lag_share.min(HELD_SHARE);
         let forced = record.if_quiet == QuietChoice::Finish && lagging;
-        if seen < record.step_calls && !forced {
+        if informative_since_step < record.step_calls && !forced {
             return Err(Some(StepWait::QuietTraffic));
         }
         let max_share_by_slots = self.max_share_by_slots(fleet);
@@ -413,8 +415,8 @@
         let waited = waited.copied().unwrap_or_default();
         let bounded = waited < time.total.mul_f64(SUSPICION_FRACTION);
         let grown_at = self.suspicion.grown_at;
-        let fresh = time.now.saturating_sub(grown_at);
-        let fresh = fresh < time.total.mul_f64(SUSPICION_FRESH_FRACTION);
+        let age = time.now.saturating_sub(grown_at);
+        let fresh = age < time.total.mul_f64(SUSPICION_FRESH_FRACTION);
         if self.suspicion.level >= level && (on_trial || fresh && bounded) {
             return Err(Some(StepWait::Suspicion));
         }
@@ -456,16 +458,16 @@
 /// Returns the share after the next step towards `target`; `None` if the target
 /// is not far enough above `share` yet.
 fn next_share(share: u16, target: u16) -> Option<u16> {
-    let far = f64::from(target) >= f64::from(share) * STEP_GROWTH_MIN;
+    let far_enough = f64::from(target) >= f64::from(share) * STEP_GROWTH_MIN;
     let milestone = target == HELD_SHARE || target == LAST_SHARE;
-    if target <= share || !(far || milestone) {
+    if target <= share || !(far_enough || milestone) {
         return None;
     }
-    let most = (f64::from(share) * STEP_GROWTH_MAX).ceil() as u16;
+    let max_share = (f64::from(share) * STEP_GROWTH_MAX).ceil() as u16;
     if share >= HELD_SHARE {
         return Some(target);
     }
-    Some(target.min(most.max(1)).min(HELD_SHARE))
+    Some(target.min(max_share.max(1)).min(HELD_SHARE))
 }
 
 fn move_counts(tally: &RolloutTally) -> MoveCounts {
--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -202,8 +202,8 @@
 
     fn increase_to(&self, now: &Self) -> TestSample {
         TestSample {
-            old: grown(self.old, now.old),
-            new: grown(self.new, now.new),
+            old: increase(self.old, now.old),
+            new: increase(self.new, now.new),
         }
     }
 }
@@ -304,7 +304,7 @@
     }
 }
 
-fn grown(before: EventCounts, now: EventCounts) -> EventCounts {
+fn increase(before: EventCounts, now: EventCounts) -> EventCounts {
     EventCounts {
         calls: now.calls.saturating_sub(before.calls),
         events: now.events.saturating_sub(before.events),
--- a/crates/core/src/rollout/rollout_record.rs
+++ b/crates/core/src/rollout/rollout_record.rs
@@ -43,8 +43,8 @@
         calls: u64,
         elapsed_fraction: f64,
     ) -> f64 {
-        let whole = calls as f64 / elapsed_fraction.max(f64::MIN_POSITIVE);
-        let allowed = whole * self.percent as f64 / 100.0 + self.calls as f64;
+        let expected_calls = calls as f64 / elapsed_fraction.max(f64::MIN_POSITIVE);
+        let allowed = expected_calls * self.percent as f64 / 100.0 + self.calls as f64;
         new_calls as f64 / allowed.max(1.0)
     }
 }
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -88,21 +88,21 @@
 fn ln_mean_ratio(sample: &TestSample, events: u64, ratio: f64) -> f64 {
     let (old, new) = (sample.old.calls as f64, sample.new.calls as f64);
     let events = events.min(sample.old.calls + sample.new.calls) as f64;
-    let least = (events - old).max(0.0);
-    let most = events.min(new);
+    let min_count = (events - old).max(0.0);
+    let max_count = events.min(new);
     // Weights of the hypergeometric distribution relative to the weight of the
     // smallest possible count, each computed from the previous one.
     let mut fair = ScaledSum::default();
     let mut tilted = ScaledSum::default();
-    let mut count = least;
-    while count < most {
-        let taken = (new - count) * (events - count);
-        let left = (count + 1.0) * (old - events + count + 1.0);
-        fair.next(taken / left);
-        tilted.next(taken / left * ratio);
+    let mut count = min_count;
+    while count < max_count {
+        let numerator = (new - count) * (events - count);
+        let denominator = (count + 1.0) * (old - events + count + 1.0);
+        fair.next(numerator / denominator);
+        tilted.next(numerator / denominator * ratio);
         count += 1.0;
     }
-    least * ratio.ln() + tilted.ln() - fair.ln()
+    min_count * ratio.ln() + tilted.ln() - fair.ln()
 }
 
 /// A sum whose terms are multiples of their predecessors, scaled so that it may
--- a/crates/core/src/rollout/share_plan.rs
+++ b/crates/core/src/rollout/share_plan.rs
@@ -65,9 +65,9 @@
     fn share_at(&self, fraction: f64) -> u16;
 
     /// Returns whether the move should be finished.
-    fn is_over(&self, elapsed: Duration, whole: Duration) -> bool {
-        let by_part = whole.mul_f64(FINISH_FRACTION);
-        elapsed >= by_part.min(whole.saturating_sub(FINISH_SLACK))
+    fn is_over(&self, elapsed: Duration, total: Duration) -> bool {
+        let by_fraction = total.mul_f64(FINISH_FRACTION);
+        elapsed >= by_fraction.min(total.saturating_sub(FINISH_SLACK))
     }
 }
 
@@ -76,7 +76,7 @@
 const CANARY_FRACTION: f64 = 0.36;
 
 /// Maximum share until then, in thousandths: enough to detect faults that
-/// appear at once or soon, at a tenth of the total exposure.
+/// appear at once or soon, and a tenth of the total exposure allowed.
 const CANARY_SHARE: f64 = 32.0;
 
 /// Duration of each later doubling, as a fraction of the time, even if the move
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -53,15 +53,15 @@
 /// Creates a guard for move 5 of `ledger` to v2. Before each of the evaluations
 /// it records ten attempts of each version; those of the new version end with
 /// `end`.
-fn guard_after(looks: u32, end: TryOutcome) -> NodeGuard {
+fn guard_after(evaluations: u32, end: TryOutcome) -> NodeGuard {
     let mut guard = NodeGuard::default();
     guard.install(&document("v1", Some(("v2", 500, 5))));
-    for look in 1..=looks {
+    for evaluation in 1..=evaluations {
         for _ in 0..10 {
             guard.record(&ended("v1", TryOutcome::Answered));
             guard.record(&ended("v2", end));
         }
-        guard.tick(EVALUATION_INTERVAL * look);
+        guard.tick(EVALUATION_INTERVAL * evaluation);
     }
     guard
 }
@@ -113,8 +113,8 @@
 fn every_report_repeats_a_stop() {
     let mut guard = guard_after(20, TryOutcome::Failed);
     let node: Arc<str> = "node-1".into();
-    let first = guard.report(&node, 7).expect("a move is on");
-    let second = guard.report(&node, 7).expect("a move is on");
+    let first = guard.report(&node, 7).expect("a move in progress");
+    let second = guard.report(&node, 7).expect("a move in progress");
     assert!(first.sequence < second.sequence);
     assert!(first.rollouts[0].stop.is_some());
     assert_eq!(first.rollouts, second.rollouts);
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -48,7 +48,7 @@
     }
 }
 
-fn sound_fleet() -> FleetSnapshot {
+fn healthy_fleet() -> FleetSnapshot {
     FleetSnapshot {
         old_slots: 30,
         new_slots: 30,
@@ -94,27 +94,27 @@
 
 fn drive(
     mut record: RolloutRecord,
-    sight: impl Fn(Duration) -> FleetSnapshot,
-    calls_each_look: u64,
+    fleet: impl Fn(Duration) -> FleetSnapshot,
+    calls_per_evaluation: u64,
 ) -> DrivenMove {
     let mut driver = RolloutDriver::new(&record);
     let mut totals = EvidenceTotals::default();
     let mut calls = 0;
     let mut new_calls = 0;
     let mut wait = None;
-    let looks = WHOLE_MS as u32 / DRIVER_INTERVAL.as_millis() as u32;
-    for look in 1..=looks {
-        let now = DRIVER_INTERVAL * look;
-        calls += calls_each_look;
-        new_calls += calls_each_look * u64::from(record.share()) / 1_000;
-        totals.record_report(now, counts(u64::from(look), calls, new_calls));
-        let change = driver.evaluate(now, &record, &sight(now), &totals);
+    let evaluations = WHOLE_MS as u32 / DRIVER_INTERVAL.as_millis() as u32;
+    for evaluation in 1..=evaluations {
+        let now = DRIVER_INTERVAL * evaluation;
+        calls += calls_per_evaluation;
+        new_calls += calls_per_evaluation * u64::from(record.share()) / 1_000;
+        totals.record_report(now, counts(u64::from(evaluation), calls, new_calls));
+        let change = driver.evaluate(now, &record, &fleet(now), &totals);
         wait = driver.wait().or(wait);
         match change {
             Some(MoveChange::Step {
                 share_per_mille, ..
             }) => record.steps.push(ShareStep {
-                version: ConfigVersion::new(1, 2 + u64::from(look)),
+                version: ConfigVersion::new(1, 2 + u64::from(evaluation)),
                 at_ms: now.as_millis() as u64,
                 share_per_mille,
             }),
@@ -140,7 +140,7 @@
 // in each sixth of the time, hold real load, and finish in time.
 #[test]
 fn a_clean_move_grows_steadily_and_holds_load() {
-    let driven = drive(record(QuietChoice::Finish), |_| sound_fleet(), 200);
+    let driven = drive(record(QuietChoice::Finish), |_| healthy_fleet(), 200);
     assert!(driven.finished_at.is_some());
     let steps = &driven.record.steps;
     for pair in steps.windows(2) {
@@ -163,11 +163,11 @@
 #[test]
 fn missing_reports_block_steps() {
     let cut = Duration::from_secs(20);
-    let sight = |now| FleetSnapshot {
+    let fleet = |now| FleetSnapshot {
         nodes_silent: if now < cut { 0 } else { 2 },
-        ..sound_fleet()
+        ..healthy_fleet()
     };
-    let driven = drive(record(QuietChoice::Finish), sight, 200);
+    let driven = drive(record(QuietChoice::Finish), fleet, 200);
     assert_eq!(driven.finished_at, None);
     assert_eq!(driven.wait, Some(StepWait::LostReporters));
     let last = driven.record.steps.last().expect("a step");
@@ -178,10 +178,10 @@
 // time or holds, as the operators chose at its start.
 #[test]
 fn a_quiet_move_follows_the_operators_choice() {
-    let finish = drive(record(QuietChoice::Finish), |_| sound_fleet(), 0);
+    let finish = drive(record(QuietChoice::Finish), |_| healthy_fleet(), 0);
     assert!(finish.finished_at.is_some());
     assert_eq!(finish.wait, Some(StepWait::QuietTraffic));
-    let hold = drive(record(QuietChoice::Hold), |_| sound_fleet(), 0);
+    let hold = drive(record(QuietChoice::Hold), |_| healthy_fleet(), 0);
     assert_eq!(hold.finished_at, None);
     assert_eq!(hold.wait, Some(StepWait::QuietTraffic));
     assert_eq!(hold.record.share(), 5);
@@ -191,13 +191,13 @@
 // the old one's slots, and the service uses 16 slots.
 #[test]
 fn no_step_asks_more_than_the_new_slots_carry() {
-    let sight = |_| FleetSnapshot {
+    let fleet = |_| FleetSnapshot {
         new_slots: 10,
-        ..sound_fleet()
+        ..healthy_fleet()
     };
     // 1,600 calls of 10 ms per second occupy 16 slots.
-    let each_look = 1_600 * DRIVER_INTERVAL.as_millis() as u64 / 1_000;
-    let driven = drive(record(QuietChoice::Finish), sight, each_look);
+    let calls_per_evaluation = 1_600 * DRIVER_INTERVAL.as_millis() as u64 / 1_000;
+    let driven = drive(record(QuietChoice::Finish), fleet, calls_per_evaluation);
     assert_eq!(driven.finished_at, None);
     assert_eq!(driven.wait, Some(StepWait::FewSlots));
     let share = f64::from(driven.record.share()) / 1_000.0;
@@ -209,11 +209,11 @@
 // step, so its callers still get the old version.
 #[test]
 fn a_node_behind_keeps_the_move_open() {
-    let sight = |_| FleetSnapshot {
+    let fleet = |_| FleetSnapshot {
         nodes_behind: 1,
-        ..sound_fleet()
+        ..healthy_fleet()
     };
-    let driven = drive(record(QuietChoice::Finish), sight, 200);
+    let driven = drive(record(QuietChoice::Finish), fleet, 200);
     assert_eq!(driven.finished_at, None);
     assert_eq!(driven.record.share(), 950);
     assert_eq!(driven.wait, Some(StepWait::NodesBehind));
@@ -229,7 +229,7 @@
 fn a_version_on_trial_gets_little_before_each_doubling() {
     let plan = BoundedPlan { first: 5 };
     let (whole, verdict) = (14_000_u64, 1_000_u64);
-    let mut got = 0.0;
+    let mut new_calls = 0.0;
     let mut before = 0;
     let mut grown_at = 0;
     for at in 0..whole {
@@ -240,12 +240,12 @@
             grown_at = at;
         }
         before = share;
-        got += f64::from(share) / 1_000.0;
+        new_calls += f64::from(share) / 1_000.0;
         // If the version is found bad at this share, it still gets calls until
         // the verdict.
         let in_step = at - grown_at <= whole * 65 / 1_000;
         if share <= 640 && in_step {
-            let reached = got + verdict as f64 * f64::from(share) / 1_000.0;
+            let reached = new_calls + verdict as f64 * f64::from(share) / 1_000.0;
             assert!(
                 reached <= whole as f64 * 274.0 / 2_240.0,
                 "{reached} at {at}"
@@ -261,16 +261,16 @@
 #[test]
 fn a_late_move_on_trial_still_holds_each_step() {
     let held_up = Duration::from_secs(40);
-    let sight = |now| FleetSnapshot {
+    let fleet = |now| FleetSnapshot {
         nodes_silent: if now < held_up { 2 } else { 0 },
-        ..sound_fleet()
+        ..healthy_fleet()
     };
     let mut record = record(QuietChoice::Finish);
     record.exposure = Some(ExposureBound {
         percent: 10,
         calls: 50,
     });
-    let driven = drive(record, sight, 200);
+    let driven = drive(record, fleet, 200);
     let steps = &driven.record.steps;
     assert!(steps.len() > 5, "{steps:?}");
     for pair in steps.windows(2) {
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -84,7 +84,7 @@
     old_failed: f64,
     new: f64,
     new_failed: f64,
-    new_left: f64,
+    new_abandoned: f64,
 }
 
 fn record() -> RolloutRecord {
@@ -111,10 +111,10 @@
 }
 
 fn report(sequence: usize, sums: CallSums) -> EvidenceReport {
-    let tally = |calls: f64, failures: f64, left: f64| TallyReport {
+    let tally = |calls: f64, failures: f64, abandoned: f64| TallyReport {
         calls: calls as u64,
         failures: failures as u64,
-        abandoned: left as u64,
+        abandoned: abandoned as u64,
         busy_us: calls as u64 * 250_000,
         latency: SketchBuckets(vec![(250_000, (calls - failures) as u32)]),
     };
@@ -127,7 +127,7 @@
             routes: vec![RouteEvidence {
                 route: "/lookup".into(),
                 old: tally(sums.old, sums.old_failed, 0.0),
-                new: tally(sums.new, sums.new_failed, sums.new_left),
+                new: tally(sums.new, sums.new_failed, sums.new_abandoned),
             }],
             stop: None,
         }],
@@ -137,9 +137,9 @@
 /// Parameters of one simulated move.
 struct MovePlan<'a> {
     seed: u64,
-    fails: FailureRate<'a>,
+    failure_rate: FailureRate<'a>,
     /// Failure rate of the old version at a given time.
-    old_fails: &'a dyn Fn(Duration) -> f64,
+    old_failure_rate: &'a dyn Fn(Duration) -> f64,
     /// Fraction of all calls whose callers disconnect before any answer.
     abandoned_rate: f64,
     /// Period in which half of the nodes do not report.
@@ -166,46 +166,46 @@
     let mut driver = RolloutDriver::new(&record);
     let mut totals = EvidenceTotals::default();
     let pool = new_servers();
-    let mut begun = vec![CallSums::default()];
-    let looks = (WHOLE.as_millis() / DRIVER_INTERVAL.as_millis()) as usize;
-    let mut shares = vec![record.share(); looks + LAG_EVALUATIONS + 2];
+    let mut started = vec![CallSums::default()];
+    let evaluations = (WHOLE.as_millis() / DRIVER_INTERVAL.as_millis()) as usize;
+    let mut shares = vec![record.share(); evaluations + LAG_EVALUATIONS + 2];
     let mut taken_back = false;
     let mut finished = false;
-    for look in 1..=looks {
-        let now = DRIVER_INTERVAL * look as u32;
-        let share = shares[look];
+    for evaluation in 1..=evaluations {
+        let now = DRIVER_INTERVAL * evaluation as u32;
+        let share = shares[evaluation];
         let due = CALLS_PER_SECOND * DRIVER_INTERVAL.as_secs_f64() * 2.0;
         let calls = draw_affected(&mut rng, due, 0.5);
         let new = draw_affected(&mut rng, calls, f64::from(share) / 1_000.0);
         let old = calls - new;
-        let mut sums = begun[look - 1];
+        let mut sums = started[evaluation - 1];
         let load = server_load(&pool, share);
-        let left = draw_affected(&mut rng, new, plan.abandoned_rate);
-        sums.new_left += left;
-        let new = new - left;
+        let abandoned = draw_affected(&mut rng, new, plan.abandoned_rate);
+        sums.new_abandoned += abandoned;
+        let new = new - abandoned;
         sums.new += new;
-        sums.new_failed += draw_affected(&mut rng, new, (plan.fails)(load));
+        sums.new_failed += draw_affected(&mut rng, new, (plan.failure_rate)(load));
         sums.old += old;
-        sums.old_failed += draw_affected(&mut rng, old, (plan.old_fails)(now));
-        begun.push(sums);
+        sums.old_failed += draw_affected(&mut rng, old, (plan.old_failure_rate)(now));
+        started.push(sums);
         if taken_back {
             continue;
         }
-        let ended = begun[look.saturating_sub(LAG_EVALUATIONS)];
-        totals.record_report(now, report(look, ended));
-        let sight = FleetSnapshot {
+        let ended = started[evaluation.saturating_sub(LAG_EVALUATIONS)];
+        totals.record_report(now, report(evaluation, ended));
+        let fleet = FleetSnapshot {
             old_slots: 24,
             new_slots: 24,
             nodes: 16,
             nodes_silent: if plan.silence.contains(&now) { 9 } else { 0 },
             nodes_behind: 0,
         };
-        let next = match driver.evaluate(now, &record, &sight, &totals) {
+        let next = match driver.evaluate(now, &record, &fleet, &totals) {
             Some(MoveChange::Step {
                 share_per_mille, ..
             }) => {
                 record.steps.push(ShareStep {
-                    version: ConfigVersion::new(1, 2 + look as u64),
+                    version: ConfigVersion::new(1, 2 + evaluation as u64),
                     at_ms: now.as_millis() as u64,
                     share_per_mille,
                 });
@@ -221,12 +221,14 @@
             }
             None | Some(MoveChange::Start { .. }) => continue,
         };
-        for later in &mut shares[look + LAG_EVALUATIONS..] {
+        for later in &mut shares[evaluation + LAG_EVALUATIONS..] {
             *later = next;
         }
     }
     MoveEnd {
-        new_calls: begun.last().map_or(0.0, |sums| sums.new + sums.new_left),
+        new_calls: started
+            .last()
+            .map_or(0.0, |sums| sums.new + sums.new_abandoned),
         finished,
     }
 }
@@ -243,7 +245,7 @@
 // smaller shares.
 #[test]
 fn a_version_that_fails_under_load_stays_within_its_bound() {
-    let fails = |load: f64| match load {
+    let failure_rate = |load: f64| match load {
         0.0..0.3 => 0.07,
         0.3..0.6 => 0.11,
         0.6..0.75 => 0.33,
@@ -252,23 +254,23 @@
     for late_ms in [0, 1_000, 2_200, 3_200] {
         let from = Duration::from_millis(6_600);
         let silence = from..from + Duration::from_millis(late_ms);
-        let mut passed = Vec::new();
+        let mut exceeded = Vec::new();
         for seed in 0..SEEDS {
             let plan = MovePlan {
                 seed,
-                fails: &fails,
-                old_fails: &|_| 0.07,
+                failure_rate: &failure_rate,
+                old_failure_rate: &|_| 0.07,
                 abandoned_rate: 0.0,
                 silence: silence.clone(),
             };
-            let got = run(&plan).new_calls;
-            if got > allowed() {
-                passed.push(got as u64);
+            let new_calls = run(&plan).new_calls;
+            if new_calls > allowed() {
+                exceeded.push(new_calls as u64);
             }
         }
         assert!(
-            passed.is_empty(),
-            "{passed:?} of {:.0}, late {late_ms}",
+            exceeded.is_empty(),
+            "{exceeded:?} of {:.0}, late {late_ms}",
             allowed()
         );
     }
@@ -280,24 +282,24 @@
 // in service in one of ten moves. Chance alone may hide it in one of fifty.
 #[test]
 fn a_bad_version_is_detected_while_the_old_one_fails_calls() {
-    for (old_fails, new_fails) in [(0.15, 0.43), (0.2, 0.55), (0.05, 0.4)] {
-        let mut passed = Vec::new();
+    for (old_failure_rate, new_fails) in [(0.15, 0.43), (0.2, 0.55), (0.05, 0.4)] {
+        let mut exceeded = Vec::new();
         for seed in 0..SEEDS {
             let plan = MovePlan {
                 seed,
-                fails: &|_| new_fails,
-                old_fails: &|_| old_fails,
+                failure_rate: &|_| new_fails,
+                old_failure_rate: &|_| old_failure_rate,
                 abandoned_rate: 0.0,
                 silence: Duration::ZERO..Duration::ZERO,
             };
-            let got = run(&plan).new_calls;
-            if got > allowed() {
-                passed.push(got as u64);
+            let new_calls = run(&plan).new_calls;
+            if new_calls > allowed() {
+                exceeded.push(new_calls as u64);
             }
         }
         assert!(
-            passed.len() * 50 <= SEEDS as usize,
-            "{passed:?} of {:.0}, {new_fails}",
+            exceeded.len() * 50 <= SEEDS as usize,
+            "{exceeded:?} of {:.0}, {new_fails}",
             allowed()
         );
     }
@@ -308,23 +310,23 @@
 // version exceeded its bound unnoticed.
 #[test]
 fn abandoned_calls_count_towards_the_exposure() {
-    let mut passed = Vec::new();
+    let mut exceeded = Vec::new();
     for seed in 0..SEEDS {
         let plan = MovePlan {
             seed,
-            fails: &|_| 0.4,
-            old_fails: &|_| 0.12,
+            failure_rate: &|_| 0.4,
+            old_failure_rate: &|_| 0.12,
             abandoned_rate: 0.35,
             silence: Duration::ZERO..Duration::ZERO,
         };
-        let got = run(&plan).new_calls;
-        if got > allowed() {
-            passed.push(got as u64);
+        let new_calls = run(&plan).new_calls;
+        if new_calls > allowed() {
+            exceeded.push(new_calls as u64);
         }
     }
     assert!(
-        passed.len() * 50 <= SEEDS as usize,
-        "{passed:?} of {:.0}",
+        exceeded.len() * 50 <= SEEDS as usize,
+        "{exceeded:?} of {:.0}",
         allowed()
     );
 }
@@ -338,8 +340,8 @@
         for seed in 0..SEEDS {
             let plan = MovePlan {
                 seed,
-                fails: &|_| part,
-                old_fails: &|_| part,
+                failure_rate: &|_| part,
+                old_failure_rate: &|_| part,
                 abandoned_rate: 0.0,
                 silence: Duration::ZERO..Duration::ZERO,
             };
@@ -359,23 +361,23 @@
         4_000..10_000 => 0.25,
         _ => 0.06,
     };
-    let mut passed = Vec::new();
+    let mut exceeded = Vec::new();
     for seed in 0..SEEDS {
         let plan = MovePlan {
             seed,
-            fails: &|_| 0.38,
-            old_fails: &troubled,
+            failure_rate: &|_| 0.38,
+            old_failure_rate: &troubled,
             abandoned_rate: 0.0,
             silence: Duration::ZERO..Duration::ZERO,
         };
-        let got = run(&plan).new_calls;
-        if got > allowed() {
-            passed.push(got as u64);
+        let new_calls = run(&plan).new_calls;
+        if new_calls > allowed() {
+            exceeded.push(new_calls as u64);
         }
     }
     assert!(
-        passed.len() * 100 <= SEEDS as usize,
-        "{passed:?} of {:.0}",
+        exceeded.len() * 100 <= SEEDS as usize,
+        "{exceeded:?} of {:.0}",
         allowed()
     );
 }
--- a/crates/core/tests/rollout_study.rs
+++ b/crates/core/tests/rollout_study.rs
@@ -194,7 +194,7 @@
     let outcome = run(busy(Behaviour::FailsLate), parts);
     assert_eq!(outcome.nodes_stopped, course::NODES, "{outcome:?}");
     assert!(outcome.stop_lag <= STOP_BOUND, "{outcome:?}");
-    let began = outcome.first_harm.expect("it turned bad");
+    let began = outcome.first_harm.expect("harmed calls");
     let withdrawal = outcome.last_new_call - began;
     assert!(withdrawal <= Duration::from_secs(10), "{withdrawal:?}");
 }
@@ -213,7 +213,7 @@
     assert_eq!(outcome.nodes_stopped, course::NODES, "{outcome:?}");
     let back = Duration::from_secs(50);
     assert!(outcome.last_new_call < back, "{outcome:?}");
-    let taken_back = outcome.taken_back_after.expect("it is taken back");
+    let taken_back = outcome.taken_back_after.expect("the move is taken back");
     assert!(taken_back < back + Duration::from_secs(5), "{outcome:?}");
     let record = outcome.record.expect("the move is kept");
     let Some(RolloutEnd::TakenBack { cause }) = record.end else {
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -231,7 +231,7 @@
                 stopped_at: None,
             });
         }
-        let record = state.rollouts().running().next().expect("it began");
+        let record = state.rollouts().running().next().expect("a running move");
         let driver = driver(&parts, record);
         let names = StudyNames {
             service: "ledger".into(),
@@ -437,7 +437,7 @@
             let Some((_, change)) = self.proposed.pop_front() else {
                 continue;
             };
-            let id = change.request_id().expect("the leader's own changes");
+            let id = change.request_id().expect("the leader proposes no start");
             self.index += 1;
             let version = ConfigVersion::new(self.term, self.index);
             let at_ms = (EPOCH + now).as_millis() as u64;
