--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_client.rs
@@ -78,7 +78,7 @@
 }
 
 /// What claims need.
-pub struct ClaimDesk {
+pub struct ClaimClient {
     node: Arc<str>,
     incarnation: u64,
     serial: Cell<u64>,
@@ -112,7 +112,7 @@
     }
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// A desk for the claims of the entry node on instance `node`.
     pub fn new(
         node: Arc<str>,
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -44,9 +44,9 @@
 use crate::call_log::LoggedId;
 use crate::call_metrics::CallMetrics;
 use crate::call_pools::CallPools;
-use crate::claim_desk::ClaimDenial;
-use crate::claim_desk::ClaimDesk;
-use crate::claim_desk::KeyedCall;
+use crate::claim_client::ClaimClient;
+use crate::claim_client::ClaimDenial;
+use crate::claim_client::KeyedCall;
 use crate::entry_task::CallRefusal;
 use crate::entry_task::EntryMessage;
 use crate::entry_task::OwnedHead;
@@ -81,7 +81,7 @@
     /// The routing task.
     pub entry: mpsc::Sender<EntryMessage>,
     /// Claims of calls with a key.
-    pub claims: Rc<ClaimDesk>,
+    pub claims: Rc<ClaimClient>,
     /// Counters of the entry side.
     pub metrics: CallMetrics,
     /// Lines about single calls.
--- a/crates/node/src/keyed_call.rs
+++ b/crates/node/src/keyed_call.rs
@@ -32,9 +32,9 @@
 use crate::call_forward::CallBody;
 use crate::call_forward::CallParts;
 use crate::call_headers;
-use crate::claim_desk::ClaimDesk;
-use crate::claim_desk::KeyedCall;
-use crate::claim_desk::OpenClaim;
+use crate::claim_client::ClaimClient;
+use crate::claim_client::KeyedCall;
+use crate::claim_client::OpenClaim;
 use crate::entry_task::CallRefusal;
 
 /// The caller's key, where the call has one and needs it.
@@ -96,7 +96,7 @@
 /// Keeps the answer of a run with its claim and passes it on; a large one
 /// passes on alone.
 pub async fn keep(
-    claims: &Rc<ClaimDesk>,
+    claims: &Rc<ClaimClient>,
     claim: OpenClaim,
     reply: HttpReply,
 ) -> Result<HttpReply, CallRefusal> {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod call_log;
 pub mod call_metrics;
 pub mod call_pools;
-pub mod claim_desk;
+pub mod claim_client;
 pub mod entry_handler;
 pub mod entry_task;
 pub mod evidence_task;
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -27,7 +27,7 @@
 use crate::call_log::CallLog;
 use crate::call_metrics::CallMetrics;
 use crate::call_pools::CallPools;
-use crate::claim_desk::ClaimDesk;
+use crate::claim_client::ClaimClient;
 use crate::entry_handler::EntryDesk;
 use crate::entry_handler::EntryHandler;
 use crate::entry_task;
@@ -237,8 +237,11 @@
             control.clone(),
             settings.evidence_pause,
         );
-        let claims =
-            ClaimDesk::new(Arc::clone(&settings.instance), entry.clone(), peers.clone());
+        let claims = ClaimClient::new(
+            Arc::clone(&settings.instance),
+            entry.clone(),
+            peers.clone(),
+        );
         actix_rt::spawn(follow_task::publish(control, seed, peers, published));
         actix_rt::spawn(server_check::run(
             Rc::clone(&pools),
