--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -67,7 +67,7 @@
 const HELD_ANSWER_MAX: usize = 128 * 1024;
 
 /// What every call of the entry side needs.
-pub struct EntryDesk {
+pub struct EntryProxy {
     /// Sends calls to other nodes.
     pub pools: Rc<CallPools>,
     /// How callers read and write headers.
@@ -90,7 +90,7 @@
 
 /// Serves one listener's calls.
 pub struct EntryHandler {
-    desk: Rc<EntryDesk>,
+    desk: Rc<EntryProxy>,
     origin: CallOrigin,
     stage: Rc<Cell<NodeStage>>,
 }
@@ -98,7 +98,7 @@
 impl EntryHandler {
     /// A handler for calls that come from `origin`, at a node in `stage`.
     pub fn new(
-        desk: Rc<EntryDesk>,
+        desk: Rc<EntryProxy>,
         origin: CallOrigin,
         stage: Rc<Cell<NodeStage>>,
     ) -> Self {
@@ -133,7 +133,7 @@
     }
 }
 
-impl EntryDesk {
+impl EntryProxy {
     /// Serves a call whole, over all of its tries; refuses it where a node in
     /// `stage` takes none like it.
     pub async fn serve(
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -21,7 +21,7 @@
 use cowslip_wire::http_reply;
 use cowslip_wire::http_reply::HttpReply;
 
-use crate::entry_handler::EntryDesk;
+use crate::entry_handler::EntryProxy;
 use crate::gate_task::GateMessage;
 use crate::node_stage::NodeStage;
 
@@ -45,12 +45,12 @@
 /// Serves the backend server's local listener.
 pub struct LocalHandler {
     gate: mpsc::UnboundedSender<GateMessage>,
-    calls: Rc<EntryDesk>,
+    calls: Rc<EntryProxy>,
 }
 
 impl LocalHandler {
     /// Announcements go to `gate`, outbound calls to `calls`.
-    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, calls: Rc<EntryDesk>) -> Self {
+    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, calls: Rc<EntryProxy>) -> Self {
         Self { gate, calls }
     }
 }
@@ -130,7 +130,7 @@
 /// it all the same.
 async fn drain(
     gate: &mpsc::UnboundedSender<GateMessage>,
-    calls: &EntryDesk,
+    calls: &EntryProxy,
     request: &Request,
 ) -> HttpReply {
     let anyway = request.uri().query() == Some("anyway");
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -28,8 +28,8 @@
 use crate::call_metrics::CallMetrics;
 use crate::call_pools::CallPools;
 use crate::claim_client::ClaimClient;
-use crate::entry_handler::EntryDesk;
 use crate::entry_handler::EntryHandler;
+use crate::entry_handler::EntryProxy;
 use crate::entry_task;
 use crate::evidence_task;
 use crate::follow_metrics::FollowMetrics;
@@ -249,7 +249,7 @@
             checks,
             gate.clone(),
         ));
-        let desk = Rc::new(EntryDesk {
+        let desk = Rc::new(EntryProxy {
             pools: Rc::clone(&pools),
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
