--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -45,8 +45,8 @@
 use crate::local_handler::LocalHandler;
 use crate::node_settings::NodeSettings;
 use crate::node_stage::NodeStage;
-use crate::peer_handler::PeerDesk;
 use crate::peer_handler::PeerHandler;
+use crate::peer_handler::PeerProxy;
 use crate::server_check;
 use crate::server_check::ServerExpectation;
 
@@ -260,7 +260,7 @@
             metrics: entry_metrics,
             log: CallLog::new("entry"),
         });
-        let peer_desk = PeerDesk {
+        let peer_desk = PeerProxy {
             pools,
             dialect,
             view: gate_view,
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -55,7 +55,7 @@
 const REFUSAL_BYTES_MAX: usize = 4 * 1024;
 
 /// What every call of the server side needs.
-pub struct PeerDesk {
+pub struct PeerProxy {
     /// Sends calls to the backend server.
     pub pools: Rc<CallPools>,
     /// How the backend server reads headers.
@@ -78,12 +78,12 @@
 
 /// Serves the listener for other nodes.
 pub struct PeerHandler {
-    desk: Rc<PeerDesk>,
+    desk: Rc<PeerProxy>,
 }
 
 impl PeerHandler {
     /// A handler over `desk`.
-    pub fn new(desk: PeerDesk) -> Self {
+    pub fn new(desk: PeerProxy) -> Self {
         Self {
             desk: Rc::new(desk),
         }
@@ -104,7 +104,7 @@
     }
 }
 
-impl PeerDesk {
+impl PeerProxy {
     async fn serve(&self, request: Request) -> HttpReply {
         if is_claim(&request) {
             return self.claim(request).await.unwrap_or_else(|refused| refused);
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -25,8 +25,8 @@
 use cowslip_node::gate_task::GatePlace;
 use cowslip_node::gate_task::GateView;
 use cowslip_node::holder_task;
-use cowslip_node::peer_handler::PeerDesk;
 use cowslip_node::peer_handler::PeerHandler;
+use cowslip_node::peer_handler::PeerProxy;
 use cowslip_wire::access_key::AccessKey;
 use cowslip_wire::access_key::KEY_HEADER;
 use cowslip_wire::http_listener::HttpHandler;
@@ -83,7 +83,7 @@
     let announce = GateMessage::Announce(announced, server, reply);
     gate.send(announce).unwrap();
     gate.send(GateMessage::Configure(bounds)).unwrap();
-    let desk = PeerDesk {
+    let desk = PeerProxy {
         pools: CallPools::new(),
         dialect: Rc::default(),
         view: GateView::default(),
