--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -51,7 +51,7 @@
 use crate::entry_task::EntryMessage;
 use crate::entry_task::OwnedHead;
 use crate::entry_task::PlannedTry;
-use crate::entry_task::TryAnswer;
+use crate::entry_task::RoutingResult;
 use crate::gate_task::GateView;
 use crate::hop::HopAnswer;
 use crate::keyed_call;
@@ -218,7 +218,7 @@
         }))
     }
 
-    async fn admit(&self, head: OwnedHead, stage: NodeStage) -> TryAnswer {
+    async fn admit(&self, head: OwnedHead, stage: NodeStage) -> RoutingResult {
         if !stage.takes(head.deadline) {
             return Err(not_run(RefusalReason::Stopping));
         }
@@ -346,9 +346,9 @@
     async fn ask(
         &self,
         message: EntryMessage,
-        answer: oneshot::Receiver<TryAnswer>,
+        answer: oneshot::Receiver<RoutingResult>,
         so_far: CallVerdict,
-    ) -> TryAnswer {
+    ) -> RoutingResult {
         let stopping = CallRefusal {
             reason: RefusalReason::Stopping,
             verdict: so_far,
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -98,15 +98,15 @@
 }
 
 /// What became of a question to the task.
-pub type TryAnswer = Result<PlannedTry, CallRefusal>;
+pub type RoutingResult = Result<PlannedTry, CallRefusal>;
 
 /// What others ask of the task.
 #[derive(Debug)]
 pub enum EntryMessage {
     /// A new call.
-    Admit(OwnedHead, oneshot::Sender<TryAnswer>),
+    Admit(OwnedHead, oneshot::Sender<RoutingResult>),
     /// A try failed; what now?
-    Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<TryAnswer>),
+    Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<RoutingResult>),
     /// A try's answer has been passed on whole, or was given up; what
     /// the server's node told of its load with it.
     Ended(TryReport, Option<ReportedLoad>),
@@ -241,14 +241,18 @@
     }
 
     /// Answers, and takes the try back where its caller has left meanwhile.
-    fn hand_over(&mut self, reply: oneshot::Sender<TryAnswer>, answer: TryAnswer) {
+    fn hand_over(
+        &mut self,
+        reply: oneshot::Sender<RoutingResult>,
+        answer: RoutingResult,
+    ) {
         if let Err(Ok(unused)) = reply.send(answer) {
             let now = self.started.elapsed();
             self.router.abandoned(now, &unused.server.instance);
         }
     }
 
-    fn take_call(&mut self, head: OwnedHead, reply: oneshot::Sender<TryAnswer>) {
+    fn take_call(&mut self, head: OwnedHead, reply: oneshot::Sender<RoutingResult>) {
         match self.admit(&head) {
             Ok(planned) => self.hand_over(reply, Ok(planned)),
             Err(refusal) => {
@@ -269,7 +273,7 @@
         }
     }
 
-    fn admit(&mut self, head: &OwnedHead) -> TryAnswer {
+    fn admit(&mut self, head: &OwnedHead) -> RoutingResult {
         let now = self.started.elapsed();
         let repeats = head.repeats;
         let head = CallHead {
@@ -303,7 +307,7 @@
         now: Duration,
         mut plan: CallPlan,
         retry: Option<RetryReason>,
-    ) -> TryAnswer {
+    ) -> RoutingResult {
         match self.router.begin(now, &mut plan) {
             Ok(server) => Ok(PlannedTry {
                 measured: self.router.guard().measures(&plan.service),
@@ -322,7 +326,7 @@
         }
     }
 
-    fn failed(&mut self, failed: PlannedTry, failure: TryFailure) -> TryAnswer {
+    fn failed(&mut self, failed: PlannedTry, failure: TryFailure) -> RoutingResult {
         let now = self.started.elapsed();
         if let Some(load) = failed.told_load {
             self.router.record_load(
--- a/crates/node/src/start_calls.rs
+++ b/crates/node/src/start_calls.rs
@@ -12,7 +12,7 @@
 
 use crate::entry_task::CallRefusal;
 use crate::entry_task::OwnedHead;
-use crate::entry_task::TryAnswer;
+use crate::entry_task::RoutingResult;
 
 /// A call that waits.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// Its head, as it came.
     pub head: OwnedHead,
     /// Where its answer goes.
-    pub reply: oneshot::Sender<TryAnswer>,
+    pub reply: oneshot::Sender<RoutingResult>,
     /// When it came, from the node's start.
     arrived_at: Duration,
     until: Duration,
@@ -64,7 +64,7 @@
         now: Duration,
         head: OwnedHead,
         refusal: CallRefusal,
-        reply: oneshot::Sender<TryAnswer>,
+        reply: oneshot::Sender<RoutingResult>,
     ) {
         let until = startup_wait::wait_until(now, head.deadline, self.calls.len());
         let Some(until) = until.filter(|_| may_pass(refusal)) else {
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -26,7 +26,7 @@
 use cowslip_node::entry_task;
 use cowslip_node::entry_task::EntryMessage;
 use cowslip_node::entry_task::OwnedHead;
-use cowslip_node::entry_task::TryAnswer;
+use cowslip_node::entry_task::RoutingResult;
 use cowslip_node::install_hooks::InstallHooks;
 use cowslip_node::server_check::ServerExpectation;
 use cowslip_wire::http_listener::ListenerTimes;
@@ -54,7 +54,7 @@
     entry: &mpsc::Sender<EntryMessage>,
     path: &str,
     deadline_ms: u64,
-) -> oneshot::Receiver<TryAnswer> {
+) -> oneshot::Receiver<RoutingResult> {
     let head = OwnedHead {
         host: "one.example".to_owned(),
         path: path.to_owned(),
