--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -106,7 +106,7 @@
 /// A request's body on its way.
 pub enum CallBody {
     /// Held whole; may be sent again.
-    Held(Bytes),
+    Buffered(Bytes),
     /// Streams, once.
     Stream {
         /// Bytes that came before the stream.
@@ -133,7 +133,7 @@
             let next = actix_rt::time::timeout(BODY_PAUSE_MAX, rest.next()).await;
             match next {
                 Ok(Some(Ok(chunk))) => first.extend_from_slice(&chunk),
-                Ok(None) => return Ok(Self::Held(first.freeze())),
+                Ok(None) => return Ok(Self::Buffered(first.freeze())),
                 Ok(Some(Err(_))) | Err(_) => return Err(RefusalReason::BodyTruncated),
             }
         }
@@ -146,13 +146,13 @@
 
     /// True where another try could send it.
     pub fn is_held(&self) -> bool {
-        matches!(self, Self::Held(_))
+        matches!(self, Self::Buffered(_))
     }
 
     /// The part that is known before it is sent: all of it where held.
     pub fn known(&self) -> &[u8] {
         match self {
-            Self::Held(bytes) => bytes,
+            Self::Buffered(bytes) => bytes,
             Self::Stream { first, .. } => first,
             Self::Spent => &[],
         }
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -286,7 +286,7 @@
     mut first: BytesMut,
     body: &mut CallBody,
 ) -> Result<(), ExchangeError> {
-    if let CallBody::Held(bytes) = body {
+    if let CallBody::Buffered(bytes) = body {
         first.extend_from_slice(bytes);
         return Ok(writer.write_all(&first).await?);
     }
@@ -417,8 +417,8 @@
 impl CallBody {
     fn size(&self) -> BodySize {
         match self {
-            Self::Held(bytes) if bytes.is_empty() => BodySize::None,
-            Self::Held(bytes) => BodySize::Sized(bytes.len() as u64),
+            Self::Buffered(bytes) if bytes.is_empty() => BodySize::None,
+            Self::Buffered(bytes) => BodySize::Sized(bytes.len() as u64),
             Self::Stream { length, .. } => {
                 length.map_or(BodySize::Stream, BodySize::Sized)
             }
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -130,7 +130,7 @@
         headers,
         echoed: dialect.request_id.clone(),
     };
-    let mut body = CallBody::Held(Bytes::new());
+    let mut body = CallBody::Buffered(Bytes::new());
     let sending = pools.send(check.address, &request, &mut body, CHECK_TIME);
     let mut answer = sending.await.ok()?;
     if answer.head.status != StatusCode::OK {
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -111,7 +111,7 @@
     address: SocketAddr,
     id: &str,
 ) -> Result<HopAnswer, TryFailure> {
-    let mut body = CallBody::Held(Bytes::new());
+    let mut body = CallBody::Buffered(Bytes::new());
     pools.send(address, &request(id), &mut body, LEFT).await
 }
 
@@ -192,7 +192,7 @@
     System::new().block_on(async {
         let server = ScriptedServer::spawn(vec![(answer("1", "too long"), false)]).await;
         let pools = CallPools::new();
-        let mut body = CallBody::Held(Bytes::from(vec![b'x'; 32 * 1024 * 1024]));
+        let mut body = CallBody::Buffered(Bytes::from(vec![b'x'; 32 * 1024 * 1024]));
         let mut long = request("1");
         long.method = Method::POST;
         let sending = pools.send(server.address, &long, &mut body, LEFT);
