--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -116,7 +116,7 @@
     Tried(EndedTry),
     /// Look at the counts of moves; a report is due where true, and comes at
     /// once where a version was stopped.
-    Look(bool, oneshot::Sender<Option<EvidenceReport>>),
+    CheckRollouts(bool, oneshot::Sender<Option<EvidenceReport>>),
     /// Whether a move still needs this node's backend server.
     IsLastOfOld(oneshot::Sender<bool>),
     /// News from a control instance.
@@ -224,7 +224,7 @@
                 self.take_waiting();
             }
             EntryMessage::Tried(ended) => self.router.guard().record(&ended),
-            EntryMessage::Look(due, reply) => {
+            EntryMessage::CheckRollouts(due, reply) => {
                 let _ = reply.send(self.look(due));
             }
             EntryMessage::IsLastOfOld(reply) => {
--- a/crates/node/src/evidence_task.rs
+++ b/crates/node/src/evidence_task.rs
@@ -46,7 +46,11 @@
         since_report += between;
         let (reply, report) = oneshot::channel();
         let due = since_report >= pause;
-        if entry.send(EntryMessage::Look(due, reply)).await.is_err() {
+        if entry
+            .send(EntryMessage::CheckRollouts(due, reply))
+            .await
+            .is_err()
+        {
             return;
         }
         let Ok(report) = report.await else {
