--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -124,7 +124,7 @@
     /// The node's report of itself.
     Report(oneshot::Sender<NodeReport>),
     /// A control instance that proved itself fresh has answered.
-    Heard,
+    SourceConfirmed,
     /// Who holds the claim of this key.
     Holders(KeyDigest, oneshot::Sender<KeyHolders>),
 }
@@ -233,7 +233,7 @@
             EntryMessage::Report(reply) => {
                 let _ = reply.send(self.report());
             }
-            EntryMessage::Heard => self.heard = Some(BootInstant::now()),
+            EntryMessage::SourceConfirmed => self.heard = Some(BootInstant::now()),
             EntryMessage::Holders(key, reply) => {
                 let _ = reply.send(self.holders(&key));
             }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -239,7 +239,7 @@
             FollowStep::Ask | FollowStep::Fetch { .. } => {}
         }
         // The entry task ends only with the node.
-        let _ = self.plan.entry.send(EntryMessage::Heard).await;
+        let _ = self.plan.entry.send(EntryMessage::SourceConfirmed).await;
         if self.ring.answered(self.started.elapsed(), &domain) {
             self.current.send_replace(self.ring.current());
         }
