--- a/crates/node/src/call_dialect.rs
+++ b/crates/node/src/call_dialect.rs
@@ -17,7 +17,7 @@
     /// refuses it.
     pub server_run: HeaderName,
     /// On a backend server's health page: its run.
-    pub healthy_run: HeaderName,
+    pub health_page_run: HeaderName,
     /// Service whose instance the request came from.
     pub caller_service: HeaderName,
     /// Set by a server that did not run the request.
@@ -35,7 +35,7 @@
             deadline_ms: HeaderName::from_static(call_headers::DEADLINE_MS),
             request_id: HeaderName::from_static(call_headers::REQUEST_ID),
             server_run: HeaderName::from_static(call_headers::SERVER_RUN),
-            healthy_run: HeaderName::from_static(call_headers::SERVER_RUN),
+            health_page_run: HeaderName::from_static(call_headers::SERVER_RUN),
             caller_service: HeaderName::from_static(call_headers::CALLER_SERVICE),
             not_run: HeaderName::from_static(call_headers::NOT_RUN),
             fractions: false,
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -136,7 +136,7 @@
     if answer.head.status != StatusCode::OK {
         return None;
     }
-    let run = answer.head.headers().get(&dialect.healthy_run)?;
+    let run = answer.head.headers().get(&dialect.health_page_run)?;
     let run = Arc::from(run.to_str().ok()?);
     answer.body.hold(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
