--- a/crates/node/src/call_dialect.rs
+++ b/crates/node/src/call_dialect.rs
@@ -23,7 +23,7 @@
     /// Set by a server that did not run the request.
     pub not_run: HeaderName,
     /// True where callers read fractions of a second in `Retry-After`.
-    pub fractions: bool,
+    pub fractional_retry_after: bool,
     /// True where backend servers send their own calls by the callers'
     /// listener, where nothing tells them from those of callers.
     pub mixed_callers: bool,
@@ -38,7 +38,7 @@
             health_page_run: HeaderName::from_static(call_headers::SERVER_RUN),
             caller_service: HeaderName::from_static(call_headers::CALLER_SERVICE),
             not_run: HeaderName::from_static(call_headers::NOT_RUN),
-            fractions: false,
+            fractional_retry_after: false,
             mixed_callers: false,
         }
     }
--- a/crates/node/src/refusal_reply.rs
+++ b/crates/node/src/refusal_reply.rs
@@ -28,11 +28,11 @@
     let later = matches!(status.as_u16(), 429 | 503);
     let caller = CallerTime {
         left,
-        fractions: dialect.fractions,
+        fractions: dialect.fractional_retry_after,
     };
     let after = retry_delay::retry_after(refusal.reason, caller, &mut rand::rng());
     if let Some(after) = after.filter(|_| later) {
-        let seconds = if dialect.fractions {
+        let seconds = if dialect.fractional_retry_after {
             format!("{:.2}", after.as_secs_f64())
         } else {
             after.as_secs().to_string()
