--- a/crates/node/src/call_dialect.rs
+++ b/crates/node/src/call_dialect.rs
@@ -26,7 +26,7 @@
     pub fractional_retry_after: bool,
     /// True where backend servers send their own calls by the callers'
     /// listener, where nothing tells them from those of callers.
-    pub mixed_callers: bool,
+    pub servers_use_caller_listener: bool,
 }
 
 impl Default for CallDialect {
@@ -39,7 +39,7 @@
             caller_service: HeaderName::from_static(call_headers::CALLER_SERVICE),
             not_run: HeaderName::from_static(call_headers::NOT_RUN),
             fractional_retry_after: false,
-            mixed_callers: false,
+            servers_use_caller_listener: false,
         }
     }
 }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -187,7 +187,7 @@
             idempotent: call_headers::is_idempotent(request.method()),
             deadline,
             repeats: match origin {
-                CallOrigin::Outside if !self.dialect.mixed_callers => {
+                CallOrigin::Outside if !self.dialect.servers_use_caller_listener => {
                     RepeatProbability::FIRST
                 }
                 _ => self.view.repeats(),
