--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -267,7 +267,7 @@
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
-            tickets: Cell::new(0),
+            next_ticket: Cell::new(0),
             metrics: server_metrics,
             log: CallLog::new("server"),
         };
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -69,7 +69,7 @@
     /// This node's memory of claims.
     pub holder: mpsc::Sender<HolderMessage>,
     /// Ticket of the next call.
-    pub tickets: Cell<CallTicket>,
+    pub next_ticket: Cell<CallTicket>,
     /// Counters of the server side.
     pub metrics: CallMetrics,
     /// Lines about single calls.
@@ -233,8 +233,8 @@
         &self,
         call: OfferedCall,
     ) -> Result<(SlotGrant, SlotGuard), TryFailure> {
-        let ticket = self.tickets.get();
-        self.tickets.set(ticket + 1);
+        let ticket = self.next_ticket.get();
+        self.next_ticket.set(ticket + 1);
         let (reply, answer) = oneshot::channel();
         // The gate's task ends only with the node.
         let _ = self.gate.send(GateMessage::Begin(ticket, call, reply));
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -90,7 +90,7 @@
         system_key: AccessKey::new(KEY),
         gate,
         holder: holder_task::spawn(),
-        tickets: Cell::new(0),
+        next_ticket: Cell::new(0),
         log: CallLog::new("server"),
         metrics: CallMetrics::new(&mut Registry::default(), "server"),
     };
