--- a/crates/node/src/call_dialect.rs
+++ b/crates/node/src/call_dialect.rs
@@ -1,31 +1,31 @@
-//! How callers and backend servers of a fleet name what they say in headers.
+//! Header names and conventions of a fleet's callers and backend servers.
 
 use actix_http::header::HeaderName;
 
 use crate::call_headers;
 
-/// Names of the headers between callers, nodes and backend servers. Nodes
-/// among themselves always use those of [`call_headers`].
+/// Header names and conventions of callers and backend servers. Between nodes,
+/// the names in [`call_headers`] are always used.
 #[derive(Clone, Debug)]
 pub struct CallDialect {
-    /// Time that the caller gives, in whole milliseconds.
+    /// Deadline of the caller, in whole milliseconds from now.
     pub deadline_ms: HeaderName,
-    /// Names a request; the server echoes it, so that answers which crossed
-    /// are told apart.
+    /// Request id. The server echoes it, so that an answer to another request is
+    /// detected.
     pub request_id: HeaderName,
-    /// Names the run of the server that a request is meant for; another one
-    /// refuses it.
+    /// Run of the server that a request is meant for; a server with another run
+    /// refuses the request.
     pub server_run: HeaderName,
-    /// On a backend server's health page: its run.
+    /// Run of the backend server, in the response of its health page.
     pub health_page_run: HeaderName,
-    /// Service whose instance the request came from.
+    /// Service whose instance sent the request.
     pub caller_service: HeaderName,
-    /// Set by a server that did not run the request.
+    /// Set by a server if it did not run the request.
     pub not_run: HeaderName,
-    /// True where callers read fractions of a second in `Retry-After`.
+    /// Whether callers accept fractions of a second in `Retry-After`.
     pub fractional_retry_after: bool,
-    /// True where backend servers send their own calls by the callers'
-    /// listener, where nothing tells them from those of callers.
+    /// Whether backend servers send their own calls to the callers' listener,
+    /// where they cannot be distinguished from callers' calls.
     pub servers_use_caller_listener: bool,
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl CallDialect {
-    /// Whether a header is written anew on the way, so that a caller's own
-    /// is never passed on.
+    /// Returns whether nodes set this header themselves, so that a caller's value
+    /// is never forwarded.
     pub fn rewrites(&self, name: &HeaderName) -> bool {
         *name == self.deadline_ms
             || *name == self.server_run
--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -1,4 +1,4 @@
-//! Passes a call on to the next hop and its answer back, streaming.
+//! Forwards calls to the next hop and streams the answers back.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -38,37 +38,39 @@
 use crate::hop::HopAnswer;
 use crate::hop::HopRequest;
 
-/// Headers that one hop adds.
+/// Headers that a hop adds to a request.
 pub type HopHeaders = Vec<(HeaderName, String)>;
 
-/// Bodies up to this size are held whole, so that a try that did not run
-/// can be repeated; larger ones stream and get one try.
-pub const HELD_BYTES_MAX: usize = 64 * 1024;
+/// Size up to which request bodies are buffered, so that an attempt that did not
+/// run can be retried. Larger bodies are streamed and get one attempt.
+pub const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
-/// Largest body of a call, in bytes. Export paperwork is a few megabytes.
+/// Largest request body of a stated length, in bytes. Export papers have a few
+/// megabytes.
 const BODY_BYTES_MAX: u64 = 64 * 1024 * 1024;
 
-/// Longest pause within a body; a slow sender holds a connection no longer.
-const BODY_PAUSE_MAX: Duration = Duration::from_secs(10);
+/// Timeout for the next chunk of a request body, so that a stalled sender does
+/// not occupy a connection for longer.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The parts of a call that every try sends.
+/// The parts of a call that all attempts send.
 pub struct CallParts {
-    /// Method.
+    /// Request method.
     pub method: Method,
     /// Path with its query.
     pub target: Uri,
-    /// Headers that pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
 }
 
 impl CallParts {
-    /// The parts of `request`, with its host, and without the headers that
-    /// `dialect` writes anew.
+    /// Copies the parts of `request`: the headers to forward and `Host`, without
+    /// those that `dialect` rewrites.
     pub fn of(request: &Request, dialect: &CallDialect) -> Self {
         let mut headers = HeaderMap::new();
         for (name, value) in request.headers() {
-            let passes = call_headers::passes_on(name) && !dialect.rewrites(name);
-            if passes || *name == HOST {
+            let forwarded = call_headers::is_forwarded(name) && !dialect.rewrites(name);
+            if forwarded || *name == HOST {
                 headers.append(name.clone(), value.clone());
             }
         }
@@ -82,12 +84,13 @@
         }
     }
 
-    /// The request of one hop, with what it adds.
+    /// Builds the request of one hop; `added` headers replace those of the same
+    /// name. A header whose value is not printable is left out and logged.
     pub fn hop_request(&self, dialect: &CallDialect, added: HopHeaders) -> HopRequest {
         let mut headers = self.headers.clone();
         for (name, value) in added {
-            // Names and figures of our own are printable; a name that is not
-            // came from a document that validation let pass.
+            // The node's own names and numbers are printable; an unprintable
+            // value comes from a document that passed validation.
             let Ok(value) = HeaderValue::from_str(&value) else {
                 warn!("event=header-unprintable process=node header={name}");
                 continue;
@@ -103,25 +106,30 @@
     }
 }
 
-/// A request's body on its way.
+/// Body of a request.
 pub enum CallBody {
-    /// Held whole; may be sent again.
+    /// Completely buffered; can be sent again.
     Buffered(Bytes),
-    /// Streams, once.
+    /// Streamed; can be sent only once.
     Stream {
-        /// Bytes that came before the stream.
+        /// Bytes already read from the stream.
         first: Bytes,
-        /// Stated length, if any.
+        /// Length in bytes, if stated.
         length: Option<u64>,
-        /// The rest.
+        /// Rest of the stream.
         rest: Payload,
     },
-    /// A stream that has been sent.
+    /// A stream that has already been sent.
     Spent,
 }
 
 impl CallBody {
-    /// Takes the body of `request`: held where it is small.
+    /// Takes the body of `request` and buffers it if it is small.
+    ///
+    /// # Errors
+    ///
+    /// Refuses a body whose stated length is too large, and one that breaks off
+    /// or stalls while it is read.
     pub async fn take(request: &mut Request) -> Result<Self, RefusalReason> {
         let length = stated_length(request.headers());
         if length.is_some_and(|length| length > BODY_BYTES_MAX) {
@@ -129,8 +137,8 @@
         }
         let mut rest = request.take_payload();
         let mut first = BytesMut::new();
-        while first.len() <= HELD_BYTES_MAX {
-            let next = actix_rt::time::timeout(BODY_PAUSE_MAX, rest.next()).await;
+        while first.len() <= BUFFERED_BYTES_MAX {
+            let next = actix_rt::time::timeout(BODY_READ_TIMEOUT, rest.next()).await;
             match next {
                 Ok(Some(Ok(chunk))) => first.extend_from_slice(&chunk),
                 Ok(None) => return Ok(Self::Buffered(first.freeze())),
@@ -144,13 +152,14 @@
         })
     }
 
-    /// True where another try could send it.
-    pub fn is_held(&self) -> bool {
+    /// Returns whether the body is buffered and can be sent again.
+    pub fn is_buffered(&self) -> bool {
         matches!(self, Self::Buffered(_))
     }
 
-    /// The part that is known before it is sent: all of it where held.
-    pub fn known(&self) -> &[u8] {
+    /// Returns the bytes read so far: all of a buffered body, the start of a
+    /// streamed one.
+    pub fn buffered(&self) -> &[u8] {
         match self {
             Self::Buffered(bytes) => bytes,
             Self::Stream { first, .. } => first,
@@ -159,15 +168,15 @@
     }
 }
 
-/// Length of a body as its head states it, in bytes.
+/// Returns the body length that the headers state, in bytes.
 pub fn stated_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Turns the next hop's answer into ours; `on_end` is dropped when the body
-/// has been passed on or given up. A body that is still on its way at
-/// `give_up_at` is cut.
-pub fn pass_back<G: 'static>(
+/// Converts the next hop's answer to a reply that streams its body. `on_end` is
+/// dropped when the body has been forwarded or abandoned. A body that is not
+/// complete at `give_up_at` is cut off.
+pub fn forward_answer<G: 'static>(
     answer: HopAnswer,
     method: &Method,
     give_up_at: BootInstant,
@@ -176,7 +185,7 @@
     let HopAnswer { head, body } = answer;
     let mut reply = Response::new(head.status);
     for (name, value) in &head.headers {
-        if call_headers::passes_on(name) {
+        if call_headers::is_forwarded(name) {
             reply.headers_mut().append(name.clone(), value.clone());
         }
     }
@@ -184,39 +193,40 @@
     if *method == Method::HEAD {
         return reply.set_body(BoxBody::new(HeadBody(length)));
     }
-    let passed = PassedBody {
+    let forwarded = ForwardedBody {
         body,
         give_up_at,
         _on_end: on_end,
     };
-    let parts = Box::pin(passed.into_parts());
+    let parts = Box::pin(forwarded.into_parts());
     reply.set_body(match length {
         Some(length) => BoxBody::new(SizedStream::new(length, parts)),
         None => BoxBody::new(BodyStream::new(parts)),
     })
 }
 
-/// The next hop's answer, passed on as it arrives.
-struct PassedBody<G> {
+/// Body of the next hop's answer, forwarded as it arrives.
+struct ForwardedBody<G> {
     body: AnswerBody,
     give_up_at: BootInstant,
     _on_end: G,
 }
 
-impl<G: 'static> PassedBody<G> {
+impl<G: 'static> ForwardedBody<G> {
+    /// Returns the body as a stream that fails at `give_up_at`.
     fn into_parts(self) -> impl Stream<Item = Result<Bytes, PayloadError>> {
-        futures_util::stream::try_unfold(self, |mut passed| async move {
-            let left = passed
+        futures_util::stream::try_unfold(self, |mut forwarded| async move {
+            let left = forwarded
                 .give_up_at
                 .saturating_duration_since(BootInstant::now());
-            let next = actix_rt::time::timeout(left, passed.body.next_part());
+            let next = actix_rt::time::timeout(left, forwarded.body.next_part());
             let part = next.await.map_err(|_| PayloadError::Incomplete(None))??;
-            Ok(part.map(|part| (part, passed)))
+            Ok(part.map(|part| (part, forwarded)))
         })
     }
 }
 
-/// The body of an answer to HEAD: none, of a stated length.
+/// Body of an answer to HEAD: empty, with the stated length.
 struct HeadBody(Option<u64>);
 
 impl MessageBody for HeadBody {
--- a/crates/node/src/call_headers.rs
+++ b/crates/node/src/call_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a call: which are ours, which pass on, which do not.
+//! Names of the headers of calls, and which headers are forwarded.
 
 use std::time::Duration;
 
@@ -6,58 +6,60 @@
 use actix_http::header::HeaderName;
 use actix_http::Method;
 
-/// Customer on whose behalf the caller calls.
+/// Customer on whose behalf the call is made.
 pub const CUSTOMER: &str = "cowslip-customer";
-/// Time the caller gives the call, in milliseconds.
+/// Deadline of the call, in milliseconds from now.
 pub const DEADLINE_MS: &str = "cowslip-deadline-ms";
 /// Whether the request may have run.
 pub const VERDICT: &str = "cowslip-verdict";
 /// Why a call was refused.
 pub const REASON: &str = "cowslip-reason";
-/// Between nodes: the service that the entry node wants.
+/// Between nodes: service that the call is for.
 pub const SERVICE: &str = "cowslip-service";
-/// Between nodes: path of the route that matched.
+/// Between nodes: path of the matched route.
 pub const ROUTE: &str = "cowslip-route";
-/// Between nodes: urgency of the route.
+/// Between nodes: priority of the route.
 pub const PRIORITY: &str = "cowslip-priority";
-/// Between nodes: milliseconds since the call came to its entry node.
+/// Between nodes: milliseconds since the call arrived at its entry node.
 pub const WAITED_MS: &str = "cowslip-waited-ms";
-/// Between nodes: milliseconds until the answer is worth less.
+/// Between nodes: milliseconds until the route's target latency has passed.
 pub const TARGET_MS: &str = "cowslip-target-ms";
-/// Between nodes: milliseconds that the call waits for a slot at most.
+/// Between nodes: longest expected wait for a slot, in milliseconds, at which
+/// the server's node queues the call instead of refusing it.
 pub const WAIT_MAX_MS: &str = "cowslip-wait-max-ms";
-/// Between nodes: milliseconds that a call would wait for a slot now.
+/// Between nodes: milliseconds that a new call would wait for a slot.
 pub const WAIT_MS: &str = "cowslip-wait-ms";
-/// Between nodes: milliseconds that a job on the call's route takes lately.
+/// Between nodes: recent service time of the call's route, in milliseconds.
 pub const WORK_MS: &str = "cowslip-work-ms";
-/// Between nodes: there where a backend server makes the call.
+/// Between nodes: present if a backend server makes the call.
 pub const INNER: &str = "cowslip-inner";
-/// Between nodes: thousandths of likelihood that the call repeats work at a
-/// backend server; absent for none.
+/// Between nodes: probability, in thousandths, that the call repeats earlier
+/// work at a backend server; absent if zero.
 pub const REPEATS: &str = "cowslip-repeats";
-/// Between nodes: 1 where the backend server is past its cold start.
+/// Between nodes: 1 if the backend server is past its cold start.
 pub const WARM: &str = "cowslip-warm";
-/// Names a request; backend servers echo it.
+/// Request id; backend servers echo it.
 pub const REQUEST_ID: &str = "cowslip-request-id";
-/// To a backend server: the run of it that the request is meant for.
+/// To a backend server: run of the server that the request is meant for.
 pub const SERVER_RUN: &str = "cowslip-server-run";
-/// Service beside whose node the request came in.
+/// Service of the backend server beside the request's entry node.
 pub const CALLER_SERVICE: &str = "cowslip-caller";
-/// From a backend server: the request has not run and will not.
+/// From a backend server: the request has not run and will not run.
 pub const NOT_RUN: &str = "cowslip-not-run";
-/// Names a non-idempotent call, so that a resend does not run again.
+/// Key of a non-idempotent call, so that a resend does not run again.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Says that the answer is the one kept from the call's first run.
+/// Marks an answer that was stored by the first run of the call.
 pub const REPLAYED: &str = "cowslip-replayed";
 
-/// Longest idempotency key taken; UUIDs have 36.
+/// Longest accepted idempotency key, in bytes; a UUID has 36.
 pub const KEY_BYTES_MAX: usize = 256;
 
-/// Longest customer's name taken; names are kept while calls wait.
+/// Longest accepted customer name, in bytes; names are kept in memory while
+/// calls wait.
 pub const CUSTOMER_BYTES_MAX: usize = 128;
 
-/// Headers that belong to one connection, not to the call.
+/// Hop-by-hop headers, which belong to one connection and not to the call.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -70,8 +72,8 @@
     "upgrade",
 ];
 
-/// Headers that each hop writes anew, so a caller's or a backend server's
-/// own are never passed on.
+/// Headers that each hop sets itself, so that the values of a caller or a
+/// backend server are never forwarded.
 const REWRITTEN: [&str; 21] = [
     "host",
     "content-length",
@@ -96,13 +98,13 @@
     REPEATS,
 ];
 
-/// Whether a header goes on to the next hop as it is.
-pub fn passes_on(name: &HeaderName) -> bool {
+/// Returns whether a header is forwarded unchanged to the next hop.
+pub fn is_forwarded(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_BY_HOP.contains(&name) && !REWRITTEN.contains(&name)
 }
 
-/// Methods that may be run twice without harm, by their definition.
+/// Returns whether HTTP defines the method as idempotent.
 pub fn is_idempotent(method: &Method) -> bool {
     matches!(
         *method,
@@ -115,16 +117,24 @@
     )
 }
 
-/// A deadline header that is not a number of milliseconds.
+/// Error for a deadline header that is not a number of milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadDeadline;
 
-/// The time that the caller gives; `None` where it says nothing.
+/// Returns the caller's deadline; `None` if the header is absent.
+///
+/// # Errors
+///
+/// Fails if the header is not a number of milliseconds.
 pub fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, BadDeadline> {
     deadline_in(headers, &HeaderName::from_static(DEADLINE_MS))
 }
 
-/// The same, under another name of the header.
+/// Like [`deadline`], but reads the header `name`.
+///
+/// # Errors
+///
+/// Fails if the header is not a number of milliseconds.
 pub fn deadline_in(
     headers: &HeaderMap,
     name: &HeaderName,
--- a/crates/node/src/call_log.rs
+++ b/crates/node/src/call_log.rs
@@ -1,9 +1,10 @@
-//! Lines about single calls, so that a failed one can be explained by its
-//! request's id.
+//! Log lines about individual calls, so that operators can look up a failed call
+//! by its request id.
 //!
-//! Load pattern: thousands of refusals a second. A line for each would cost
-//! more processor time than the refusals, just when there is none. Each kind
-//! of line has so many a second; what is left out is counted and said.
+//! Load pattern: thousands of refusals a second. Logging each would cost more CPU
+//! time than the refusals themselves, at a time when there is none to spare. Lines
+//! are therefore limited per second and reason; suppressed lines are counted and
+//! their number is logged.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,35 +22,36 @@
 use cowslip_wire::http_reply;
 use cowslip_wire::process_log::LogValue;
 
-/// Lines of one kind in one second: at 3 us a line under 1 ms of a node's
-/// time for all kinds together.
+/// Maximum number of lines for one reason in one second. At 3 us a line, all
+/// reasons together cost a node under 1 ms of CPU time a second.
 const LINES_PER_SECOND: u32 = 20;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Longest request id that is written; they are 16 letters.
+/// Longest logged request id, in bytes; ids usually have 16 characters.
 const ID_BYTES_MAX: usize = 64;
 
 #[derive(Debug)]
-struct KindCount {
+struct LineCount {
     since: BootInstant,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
-/// Writes and counts one side's lines.
+/// Rate-limited log of the calls on one side of a node.
 #[derive(Debug)]
 pub struct CallLog {
     side: &'static str,
-    kinds: RefCell<HashMap<RefusalReason, KindCount>>,
+    counts: RefCell<HashMap<RefusalReason, LineCount>>,
 }
 
-/// A request's id as logs name it; `-` where it has none.
+/// Request id for log lines; `-` if the request has none.
 #[derive(Clone, Debug)]
 pub struct LoggedId(String);
 
 impl LoggedId {
-    /// The id that `request` carries under `name`.
+    /// Reads the id from the header `name` of `request`, cut to
+    /// [`ID_BYTES_MAX`].
     pub fn of(request: &Request, name: &HeaderName) -> Self {
         let id = http_reply::header(request, name.as_str()).unwrap_or("-");
         let end = id.len().min(ID_BYTES_MAX);
@@ -64,17 +66,17 @@
 }
 
 impl CallLog {
-    /// A log of the `entry` or the `server` side.
+    /// Creates the log of a side: `entry` or `server`.
     pub fn new(side: &'static str) -> Self {
         Self {
             side,
-            kinds: RefCell::default(),
+            counts: RefCell::default(),
         }
     }
 
-    /// The call got no answer of a backend server.
+    /// Logs a call that was refused.
     pub fn refused(&self, id: &LoggedId, reason: RefusalReason, verdict: CallVerdict) {
-        if self.admits(reason) {
+        if self.admit_line(reason) {
             info!(
                 "event=call-refused process=node side={} request={id} reason={reason} verdict={}",
                 self.side,
@@ -83,9 +85,9 @@
         }
     }
 
-    /// A try of the call failed, and another server is asked.
+    /// Logs a failed attempt of a call that is tried again.
     pub fn retried(&self, id: &LoggedId, server: &str, failure: TryFailure) {
-        if self.admits(failure.reason) {
+        if self.admit_line(failure.reason) {
             info!(
                 "event=call-retried process=node side={} request={id} server={server} reason={} verdict={}",
                 self.side,
@@ -95,9 +97,9 @@
         }
     }
 
-    /// The call was answered later than its answer is worth most.
+    /// Logs a call that was answered after its route's target latency.
     pub fn late(&self, id: &LoggedId, server: &str, took: Duration) {
-        if self.admits(RefusalReason::QueueTimeout) {
+        if self.admit_line(RefusalReason::QueueTimeout) {
             info!(
                 "event=call-late process=node side={} request={id} server={server} took_ms={}",
                 self.side,
@@ -106,29 +108,31 @@
         }
     }
 
-    fn admits(&self, kind: RefusalReason) -> bool {
-        let mut kinds = self.kinds.borrow_mut();
+    /// Returns whether a line for reason `kind` may be written, and counts it.
+    /// Logs how many lines of the last period were suppressed.
+    fn admit_line(&self, kind: RefusalReason) -> bool {
+        let mut counts = self.counts.borrow_mut();
         let now = BootInstant::now();
-        let count = kinds.entry(kind).or_insert(KindCount {
+        let count = counts.entry(kind).or_insert(LineCount {
             since: now,
             written: 0,
-            left_out: 0,
+            suppressed: 0,
         });
         if now.saturating_duration_since(count.since) >= SECOND {
-            if count.left_out > 0 {
+            if count.suppressed > 0 {
                 info!(
                     "event=lines-left-out process=node side={} reason={kind} lines={}",
-                    self.side, count.left_out
+                    self.side, count.suppressed
                 );
             }
-            *count = KindCount {
+            *count = LineCount {
                 since: now,
                 written: 0,
-                left_out: 0,
+                suppressed: 0,
             };
         }
         if count.written == LINES_PER_SECOND {
-            count.left_out += 1;
+            count.suppressed += 1;
             return false;
         }
         count.written += 1;
--- a/crates/node/src/call_metrics.rs
+++ b/crates/node/src/call_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a node: one for each refusal and each retry reason.
+//! Call counters of a node, with one for each refusal and retry reason.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
     reason: String,
 }
 
-/// Counters of the calls that a node serves.
+/// Counters of the calls on one side of a node.
 #[derive(Clone, Default)]
 pub struct CallMetrics {
     answered: Counter,
@@ -25,8 +25,8 @@
 }
 
 impl CallMetrics {
-    /// Counters registered under `side`, `entry` or `server`. Every reason
-    /// is there from the start, at zero.
+    /// Registers the counters of a side, `entry` or `server`. All reasons are
+    /// exported from the start, with value zero.
     pub fn new(registry: &mut Registry, side: &str) -> Self {
         let refusals = Family::<ReasonLabel, Counter>::default();
         let retries = Family::<ReasonLabel, Counter>::default();
@@ -59,19 +59,19 @@
         }
     }
 
-    /// A backend server answered.
+    /// Counts a call that a backend server answered.
     pub fn answered(&self) {
         self.answered.inc();
     }
 
-    /// A call was refused.
+    /// Counts a refused call.
     pub fn refused(&self, reason: RefusalReason) {
         if let Some(counter) = self.refused.get(&reason) {
             counter.inc();
         }
     }
 
-    /// A call is tried again.
+    /// Counts a retry.
     pub fn retried(&self, reason: RetryReason) {
         if let Some(counter) = self.retried.get(&reason) {
             counter.inc();
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -1,4 +1,4 @@
-//! Kept connections for calls, one set for each server.
+//! Connection pools for calls, one for each server.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,23 +18,23 @@
 use crate::hop::HopPlan;
 use crate::hop::HopRequest;
 
-/// Time to connect to another node or the backend server. The kernel answers
-/// within a round trip, 25 ms between regions, and 100 ms more where a thin
-/// link is full; a lost packet is sent again after a second only.
+/// Timeout for connecting to another node or the backend server. The kernel
+/// accepts within a round trip: 25 ms between regions, and up to 100 ms more
+/// over a congested narrow link. A lost packet is resent only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Sets of connections by server.
+/// Connection pools by server.
 pub struct CallPools {
-    care: RefCell<ConnectionRenewal>,
+    renewal: RefCell<ConnectionRenewal>,
     client: HopClient,
     started: BootInstant,
 }
 
 impl CallPools {
-    /// No connections yet.
+    /// Creates the pools without any connections.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
-            care: RefCell::new(ConnectionRenewal::default()),
+            renewal: RefCell::new(ConnectionRenewal::default()),
             client: HopClient::new(HopPlan {
                 connect: CONNECT_TIMEOUT,
             }),
@@ -42,7 +42,12 @@
         })
     }
 
-    /// Sends one try and waits for the answer's head up to `left`.
+    /// Sends one attempt and waits for the answer's head, for up to `left`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection cannot be opened, breaks, or has no answer in
+    /// time.
     pub async fn send(
         &self,
         server: SocketAddr,
@@ -51,58 +56,60 @@
         left: Duration,
     ) -> Result<HopAnswer, TryFailure> {
         let generation = self.begin(server);
-        let mut watch = SilenceWatch {
+        let mut guard = SilenceGuard {
             pools: self,
             server,
             generation,
             began: BootInstant::now(),
             left,
-            heard: false,
+            answered: false,
         };
         let sending = self.client.send(server, generation, request, body, left);
         let ended = sending.await;
-        watch.heard = ended
+        guard.answered = ended
             .as_ref()
             .map_or_else(TryFailure::ended_before_deadline, |_| true);
         ended
     }
 
+    /// Returns the connection generation to use, and drops the pools of servers
+    /// that are no longer called.
     fn begin(&self, server: SocketAddr) -> PoolGeneration {
         let now = self.started.elapsed();
-        let mut care = self.care.borrow_mut();
-        for forgotten in care.sweep(now) {
-            self.client.forget(forgotten);
+        let mut renewal = self.renewal.borrow_mut();
+        for unused in renewal.sweep(now) {
+            self.client.forget(unused);
         }
-        care.begin(now, server)
+        renewal.begin(now, server)
     }
 }
 
-/// Condemns the connections of a try that ended with its time and without a
-/// byte of an answer.
+/// Retires the connections of a server if an attempt used up its time without
+/// receiving a byte of an answer.
 ///
-/// Guards against a try that is dropped just before its own timer fires:
-/// the node above gives up a moment earlier and closes its connection, and
-/// the silence of the one below would be forgotten, so that the next call
-/// is lost on it too. Being dropped counts from nine tenths of the time on.
-struct SilenceWatch<'a> {
+/// The attempt may be dropped just before its own timer fires: the upstream node
+/// gives up a moment earlier and closes its connection. The silence of the
+/// downstream connection would then go unrecorded, and the next call would be
+/// lost on it too. A drop after nine tenths of the time therefore counts as well.
+struct SilenceGuard<'a> {
     pools: &'a CallPools,
     server: SocketAddr,
     generation: PoolGeneration,
     began: BootInstant,
     left: Duration,
-    heard: bool,
+    answered: bool,
 }
 
-impl Drop for SilenceWatch<'_> {
+impl Drop for SilenceGuard<'_> {
     fn drop(&mut self) {
-        if self.heard || self.began.elapsed() * 10 < self.left * 9 {
+        if self.answered || self.began.elapsed() * 10 < self.left * 9 {
             return;
         }
         info!(
             "event=connection-silent process=node server={}",
             self.server
         );
-        let mut care = self.pools.care.borrow_mut();
-        care.report_silent(self.server, self.generation);
+        let mut renewal = self.pools.renewal.borrow_mut();
+        renewal.report_silent(self.server, self.generation);
     }
 }
--- a/crates/node/src/claim_client.rs
+++ b/crates/node/src/claim_client.rs
@@ -1,7 +1,7 @@
-//! Claims keys at their holders before a non-idempotent call runs, and
-//! writes there how the run ended.
+//! Claims idempotency keys at their holders before non-idempotent calls run, and
+//! records there how the runs ended.
 //!
-//! The decisions are those of `cowslip_core::claim`; this carries its
+//! The protocol is implemented in `cowslip_core::claim`; this module sends its
 //! messages.
 
 use std::cell::Cell;
@@ -38,46 +38,51 @@
 use crate::entry_task::EntryMessage;
 use crate::entry_task::KeyHolders;
 
-/// A holder that has not answered by then counts as lost. A hundred times
-/// the round trip between two failure domains of the users'.
-const HOLDER_PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout of a request to a holder; a holder that has not answered by then
+/// counts as lost. A hundred times the round trip between two of the users'
+/// failure domains.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest pause after being outbid; a few round trips.
+/// Longest random pause after being outbid by another proposal, in
+/// milliseconds; a few round trips.
 const OUTBID_PAUSE_MS: u64 = 15;
 
-/// Tries to write a run's end before it is left to its time.
-const END_TRIES: u32 = 3;
+/// Attempts to write the end of a run; after them the claim stays as it is
+/// until it expires.
+const END_WRITE_TRIES: u32 = 3;
 
-/// Pause between them, so that a holder that is being replaced is back.
-const END_PAUSE: Duration = Duration::from_secs(1);
+/// Pause after each attempt to write the end of a run, long enough for a holder
+/// that is being replaced to be back.
+const END_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Longest time that an answer waits for being kept: one lost holder.
-const KEEP_PATIENCE: Duration = Duration::from_millis(350);
+/// Longest time that an answer is delayed by storing it; enough for the timeout
+/// of one lost holder.
+const END_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// A call that carries a key.
+/// Key and digest of a call with an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyedCall {
-    /// The key in its customer and path.
+    /// Key, scoped to the customer and the path.
     pub key: ClaimKey,
-    /// Digest of the request.
+    /// Digest of the request; a key must not be reused for another request.
     pub request: KeyDigest,
 }
 
-/// Why a keyed call does not run now.
+/// Reason why a call with a key does not run.
 pub enum ClaimDenial {
-    /// It is refused.
+    /// The call is refused.
     Refused(CallRefusal),
-    /// It has run; this is its answer.
+    /// The call has already run; this is the stored answer.
     Answered(KeptAnswer),
 }
 
-/// A claim that was granted, until its run is over.
+/// A claim in progress, or granted until the end of its run is recorded.
 pub struct OpenClaim {
     proposal: ClaimProposal,
     addresses: HashMap<Arc<str>, SocketAddr>,
 }
 
-/// What claims need.
+/// Client of the claim protocol on an entry node.
 pub struct ClaimClient {
     node: Arc<str>,
     incarnation: u64,
@@ -90,7 +95,7 @@
     ClaimDenial::Refused(CallRefusal { reason, verdict })
 }
 
-/// What a caller is told of a key that is not granted.
+/// Returns the denial for a claim that ended with `outcome`.
 fn denial(outcome: ClaimOutcome) -> ClaimDenial {
     match outcome {
         ClaimOutcome::Answered(answer) => ClaimDenial::Answered(answer),
@@ -101,8 +106,8 @@
         ClaimOutcome::Unanswered => {
             refused(RefusalReason::ClaimUnanswered, CallVerdict::MayHaveRun)
         }
-        // Nothing runs now; but without a majority nobody knows of earlier
-        // sends of the call.
+        // The call does not run now, but without a majority it is unknown
+        // whether an earlier send of it has run.
         ClaimOutcome::NoMajority
         | ClaimOutcome::Granted
         | ClaimOutcome::Settled
@@ -113,7 +118,7 @@
 }
 
 impl ClaimClient {
-    /// A desk for the claims of the entry node on instance `node`.
+    /// Creates the client of the entry node on instance `node`.
     pub fn new(
         node: Arc<str>,
         entry: mpsc::Sender<EntryMessage>,
@@ -129,12 +134,18 @@
     }
 
     /// Claims the call's key for one run.
+    ///
+    /// # Errors
+    ///
+    /// Returns the stored answer if the call has already been answered, and a
+    /// refusal if the key cannot be claimed.
     pub async fn open(
         self: &Rc<Self>,
         call: KeyedCall,
     ) -> Result<OpenClaim, ClaimDenial> {
-        // Guards against a key whose time lies ahead: holders would take it
-        // for younger than their own start and vote on what they forgot.
+        // A key with a time in the future would seem to holders to be made
+        // after their own start, so restarted holders would vote on a key whose
+        // state they have lost.
         let latest = (wall_clock::since_epoch() + CLOCK_SKEW).as_millis() as u64;
         if call.key.born_ms.is_some_and(|born| born > latest) {
             return Err(refused(RefusalReason::BadHeader, CallVerdict::NotRun));
@@ -151,10 +162,10 @@
         }
     }
 
-    /// What to tell the caller of a call that is refused before its claim. An
-    /// earlier send of the same call may have run, and then "not run" would
-    /// be untrue.
-    pub async fn refuse(
+    /// Returns the denial for a call that is refused before its key is claimed.
+    /// An earlier send of the same call may have run, and then the verdict "not
+    /// run" would be wrong.
+    pub async fn resolve_refusal(
         self: &Rc<Self>,
         call: KeyedCall,
         refusal: CallRefusal,
@@ -170,6 +181,7 @@
         }
     }
 
+    /// Creates the proposal for a call, with the current holders of its key.
     async fn prepare(
         &self,
         call: KeyedCall,
@@ -188,6 +200,7 @@
         }
     }
 
+    /// Returns a new token, unique to one run.
     fn token(&self) -> RunToken {
         let serial = self.serial.get();
         self.serial.set(serial + 1);
@@ -198,60 +211,67 @@
         }
     }
 
+    /// Asks the routing task for the key's holders; none if it has ended.
     async fn holders(&self, key: KeyDigest) -> KeyHolders {
         let (reply, answer) = oneshot::channel();
-        let asked = EntryMessage::Holders(key, reply);
-        if self.entry.send(asked).await.is_err() {
+        let query = EntryMessage::Holders(key, reply);
+        if self.entry.send(query).await.is_err() {
             return KeyHolders::default();
         }
         answer.await.unwrap_or_default()
     }
 
-    /// Writes how a granted run ended; waits for it a short while and goes on
-    /// behind the caller's back after that.
-    pub async fn end(self: &Rc<Self>, claim: OpenClaim, end: RunEnd) {
+    /// Records how a granted run ended. Waits for that up to
+    /// [`END_WRITE_TIMEOUT`]; after that the write continues in the background.
+    pub async fn record_end(self: &Rc<Self>, claim: OpenClaim, end: RunEnd) {
         let Some(state) = end.state() else {
             return;
         };
-        let desk = Rc::clone(self);
-        let writing = actix_rt::spawn(async move { desk.write_end(claim, state).await });
-        let _ = actix_rt::time::timeout(KEEP_PATIENCE, writing).await;
+        let client = Rc::clone(self);
+        let writing =
+            actix_rt::spawn(async move { client.write_end(claim, state).await });
+        let _ = actix_rt::time::timeout(END_WRITE_TIMEOUT, writing).await;
     }
 
+    /// Writes the end of a granted run in one round trip, and with full
+    /// proposals if that fails.
     async fn write_end(self: Rc<Self>, mut claim: OpenClaim, state: ClaimState) {
         let (proposal, request) = claim.proposal.end_granted(state.clone());
         claim.proposal = proposal;
         let first = self.drive(&mut claim, ClaimStep::Send(request)).await;
         if first != ClaimOutcome::Settled {
-            self.write_again(claim, state).await;
+            self.retry_end(claim, state).await;
         }
     }
 
-    /// Frees a key whose claim was not granted and whose call does not run.
+    /// Releases, in the background, a key whose claim was not granted and whose
+    /// call does not run.
     fn release(self: &Rc<Self>, claim: OpenClaim) {
         if claim.addresses.is_empty() {
             return;
         }
-        let desk = Rc::clone(self);
+        let client = Rc::clone(self);
         actix_rt::spawn(async move {
-            desk.write_again(claim, ClaimState::Released).await;
+            client.retry_end(claim, ClaimState::Released).await;
         });
     }
 
-    async fn write_again(&self, mut claim: OpenClaim, state: ClaimState) {
-        for _ in 0..END_TRIES {
+    /// Writes `state` with up to [`END_WRITE_TRIES`] proposals.
+    async fn retry_end(&self, mut claim: OpenClaim, state: ClaimState) {
+        for _ in 0..END_WRITE_TRIES {
             claim.proposal = claim.proposal.end(state.clone());
             let step = claim.proposal.begin();
             if self.drive(&mut claim, step).await == ClaimOutcome::Settled {
                 return;
             }
-            actix_rt::time::sleep(END_PAUSE).await;
+            actix_rt::time::sleep(END_RETRY_PAUSE).await;
         }
     }
 
-    /// Carries messages until the proposal is over.
+    /// Exchanges messages with the holders, from the step `first` until the
+    /// proposal is done.
     async fn drive(&self, claim: &mut OpenClaim, first: ClaimStep) -> ClaimOutcome {
-        let (replies, mut arrived) = mpsc::unbounded_channel();
+        let (replies, mut received) = mpsc::unbounded_channel();
         let mut step = first;
         let mut stage = 0;
         loop {
@@ -269,13 +289,15 @@
                 }
                 ClaimStep::Wait => {}
             }
-            let Some(reply) = arrived.recv().await else {
+            let Some(reply) = received.recv().await else {
                 return ClaimOutcome::NoMajority;
             };
-            step = take(&mut claim.proposal, stage, reply);
+            step = apply_reply(&mut claim.proposal, stage, reply);
         }
     }
 
+    /// Sends `request` to all holders, each in its own task that passes the
+    /// reply to `replies`.
     fn send(
         &self,
         claim: &OpenClaim,
@@ -293,11 +315,11 @@
             actix_rt::spawn(async move {
                 let reply = match address {
                     Some(address) => {
-                        peers.send(address, &call, HOLDER_PATIENCE).await.ok()
+                        peers.send(address, &call, HOLDER_TIMEOUT).await.ok()
                     }
                     None => None,
                 };
-                // Nobody waits any more once a majority has answered.
+                // The receiver is gone once a majority has answered.
                 let _ = replies.send(HolderReply {
                     holder,
                     stage,
@@ -308,14 +330,20 @@
     }
 }
 
-/// What came back from a holder; nothing where it is lost.
+/// Reply of a holder to the request of a stage; `None` if the holder is lost.
 struct HolderReply {
     holder: Arc<str>,
     stage: u32,
     reply: Option<ClaimReply>,
 }
 
-fn take(proposal: &mut ClaimProposal, stage: u32, reply: HolderReply) -> ClaimStep {
+/// Passes a reply to the proposal. A lost holder counts only in the current
+/// stage.
+fn apply_reply(
+    proposal: &mut ClaimProposal,
+    stage: u32,
+    reply: HolderReply,
+) -> ClaimStep {
     match reply.reply {
         Some(answer) => proposal.handle(&reply.holder, answer),
         None if reply.stage == stage => proposal.lost(&reply.holder),
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -1,4 +1,5 @@
-//! The callers' side of a node: from a caller's request to its answer.
+//! Entry side of a node: handles callers' requests, sends each to a server's
+//! node and returns the answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -62,48 +63,50 @@
 
 mod try_guard;
 
-/// Bytes of an answer that are held before any is passed on. Lookups answer
-/// with some kilobytes; nine nodes with 110 MB each hold 50 of this size.
-const HELD_ANSWER_MAX: usize = 128 * 1024;
+/// Bytes of an answer that are buffered before any is forwarded. Lookups
+/// answer with a few kilobytes. Each of nine nodes with 110 MB of memory holds 50
+/// answers of this size.
+const BUFFERED_ANSWER_MAX: usize = 128 * 1024;
 
-/// What every call of the entry side needs.
+/// Proxies callers' requests to the backend servers' nodes, with retries.
 pub struct EntryProxy {
     /// Sends calls to other nodes.
     pub pools: Rc<CallPools>,
-    /// How callers read and write headers.
+    /// Header names that callers use.
     pub dialect: Rc<CallDialect>,
-    /// Service of the backend server beside this node, where it is told.
+    /// Service of the backend server beside this node, if configured.
     pub service: Option<Arc<str>>,
-    /// Key between nodes.
+    /// Access key that nodes send to each other.
     pub system_key: AccessKey,
-    /// What can be seen of the gate beside this node's backend server.
+    /// Current state of the gate in front of this node's backend server.
     pub view: GateView,
-    /// The routing task.
+    /// Channel to the routing task.
     pub entry: mpsc::Sender<EntryMessage>,
-    /// Claims of calls with a key.
+    /// Claims the keys of calls that carry an idempotency key.
     pub claims: Rc<ClaimClient>,
     /// Counters of the entry side.
     pub metrics: CallMetrics,
-    /// Lines about single calls.
+    /// Log lines about individual calls.
     pub log: CallLog,
 }
 
-/// Serves one listener's calls.
+/// HTTP handler of one listener for calls.
 pub struct EntryHandler {
-    desk: Rc<EntryProxy>,
+    proxy: Rc<EntryProxy>,
     origin: CallOrigin,
     stage: Rc<Cell<NodeStage>>,
 }
 
 impl EntryHandler {
-    /// A handler for calls that come from `origin`, at a node in `stage`.
+    /// Creates a handler for calls from `origin`; `stage` is the node's current
+    /// stage.
     pub fn new(
-        desk: Rc<EntryProxy>,
+        proxy: Rc<EntryProxy>,
         origin: CallOrigin,
         stage: Rc<Cell<NodeStage>>,
     ) -> Self {
         Self {
-            desk,
+            proxy,
             origin,
             stage,
         }
@@ -112,11 +115,11 @@
 
 impl HttpHandler for EntryHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
-        let desk = Rc::clone(&self.desk);
+        let proxy = Rc::clone(&self.proxy);
         let origin = self.origin;
         let stage = Rc::clone(&self.stage);
         Box::pin(async move {
-            let mut reply = desk.serve(request, origin, stage.get()).await;
+            let mut reply = proxy.serve(request, origin, stage.get()).await;
             if stage.get() != NodeStage::Open {
                 let head = reply.head_mut();
                 head.set_connection_type(ConnectionType::Close);
@@ -134,8 +137,8 @@
 }
 
 impl EntryProxy {
-    /// Serves a call whole, over all of its tries; refuses it where a node in
-    /// `stage` takes none like it.
+    /// Handles a call with all of its attempts and returns the reply. The call
+    /// is refused if a node in `stage` does not accept it.
     pub async fn serve(
         self: &Rc<Self>,
         request: Request,
@@ -144,11 +147,11 @@
     ) -> HttpReply {
         let id = LoggedId::of(&request, &self.dialect.request_id);
         let began = BootInstant::now();
-        // One that cannot be read is refused below.
-        let named = &self.dialect.deadline_ms;
-        let given = call_headers::deadline_in(request.headers(), named);
-        let given = given.ok().flatten();
-        match self.call(request, &id, origin, stage).await {
+        // `handle_call` refuses a deadline that cannot be parsed.
+        let header = &self.dialect.deadline_ms;
+        let deadline = call_headers::deadline_in(request.headers(), header);
+        let deadline = deadline.ok().flatten();
+        match self.handle_call(request, &id, origin, stage).await {
             Ok(reply) => {
                 self.metrics.answered();
                 reply
@@ -156,29 +159,30 @@
             Err(refusal) => {
                 self.metrics.refused(refusal.reason);
                 self.log.refused(&id, refusal.reason, refusal.verdict);
-                let left = given.map(|given| given.saturating_sub(began.elapsed()));
+                let left =
+                    deadline.map(|deadline| deadline.saturating_sub(began.elapsed()));
                 refusal_reply(refusal, &self.dialect, left)
             }
         }
     }
 
-    async fn call(
+    async fn handle_call(
         self: &Rc<Self>,
         mut request: Request,
         id: &LoggedId,
         origin: CallOrigin,
         stage: NodeStage,
     ) -> Result<HttpReply, CallRefusal> {
-        let named = &self.dialect.deadline_ms;
-        let deadline = call_headers::deadline_in(request.headers(), named);
+        let header = &self.dialect.deadline_ms;
+        let deadline = call_headers::deadline_in(request.headers(), header);
         let deadline = deadline.map_err(|_| not_run(RefusalReason::BadHeader))?;
         let customer = http_reply::header(&request, call_headers::CUSTOMER);
         let customer = customer.unwrap_or_default();
         if customer.len() > call_headers::CUSTOMER_BYTES_MAX {
             return Err(not_run(RefusalReason::BadHeader));
         }
-        let key = keyed_call::key_of(&request).map_err(not_run)?;
-        let named = Arc::<str>::from(customer);
+        let key = keyed_call::idempotency_key(&request).map_err(not_run)?;
+        let customer_name = Arc::<str>::from(customer);
         let head = OwnedHead {
             host: host_of(&request),
             path: request.path().to_owned(),
@@ -196,7 +200,8 @@
         let parts = CallParts::of(&request, &self.dialect);
         let mut body = CallBody::take(&mut request).await.map_err(not_run)?;
         let path = request.path();
-        let call = key.map(|key| KeyedCall::new(&named, path, &key, &parts, &body));
+        let call =
+            key.map(|key| KeyedCall::new(&customer_name, path, &key, &parts, &body));
         let planned = match self.admit(head, stage).await {
             Ok(planned) => planned,
             Err(refusal) => return self.refuse(call, refusal).await,
@@ -204,12 +209,13 @@
         let Some(call) = call else {
             return self.run(id, planned, &parts, &mut body).await;
         };
-        let desk = Rc::clone(self);
-        // Goes on where the caller leaves, so that its resend finds the
-        // answer and not a run of which nobody knows the end.
+        let proxy = Rc::clone(self);
+        // The task continues if the caller disconnects, so that a resend finds
+        // the stored answer rather than a claim with an unknown outcome.
         let id = id.clone();
         let running = actix_rt::spawn(async move {
-            desk.run_claimed(&id, call, planned, &parts, &mut body)
+            proxy
+                .run_claimed(&id, call, planned, &parts, &mut body)
                 .await
         });
         running.await.unwrap_or(Err(CallRefusal {
@@ -218,15 +224,18 @@
         }))
     }
 
+    /// Asks the routing task for the first attempt's server.
     async fn admit(&self, head: OwnedHead, stage: NodeStage) -> RoutingResult {
         if !stage.takes(head.deadline) {
             return Err(not_run(RefusalReason::Stopping));
         }
         let (reply, answer) = oneshot::channel();
         let message = EntryMessage::Admit(head, reply);
-        self.ask(message, answer, CallVerdict::NotRun).await
+        self.ask_router(message, answer, CallVerdict::NotRun).await
     }
 
+    /// Returns the reply to a refused call: the stored answer if a call with
+    /// the same key has already been answered, else the refusal.
     async fn refuse(
         &self,
         call: Option<KeyedCall>,
@@ -235,13 +244,14 @@
         let Some(call) = call else {
             return Err(refusal);
         };
-        match self.claims.refuse(call, refusal).await {
+        match self.claims.resolve_refusal(call, refusal).await {
             ClaimDenial::Answered(answer) => Ok(keyed_call::replay(&answer)),
             ClaimDenial::Refused(refusal) => Err(refusal),
         }
     }
 
-    /// Runs a call under its key, at most once.
+    /// Claims the call's key, runs the call and stores its answer. A key is
+    /// run at most once.
     async fn run_claimed(
         &self,
         id: &LoggedId,
@@ -253,6 +263,7 @@
         let claim = match self.claims.open(call).await {
             Ok(claim) => claim,
             Err(denial) => {
+                // Reports the planned attempt to the routing task as abandoned.
                 drop(TryGuard::new(self.entry.clone(), &planned));
                 return match denial {
                     ClaimDenial::Answered(answer) => Ok(keyed_call::replay(&answer)),
@@ -262,10 +273,10 @@
         };
         let running = self.run(id, planned, parts, body);
         match actix_rt::time::timeout(RUN_TIME_MAX, running).await {
-            Ok(Ok(reply)) => keyed_call::keep(&self.claims, claim, reply).await,
+            Ok(Ok(reply)) => keyed_call::store_answer(&self.claims, claim, reply).await,
             Ok(Err(refusal)) => {
                 let end = RunEnd::refused(refusal.verdict);
-                self.claims.end(claim, end).await;
+                self.claims.record_end(claim, end).await;
                 Err(refusal)
             }
             Err(_) => Err(CallRefusal {
@@ -275,7 +286,7 @@
         }
     }
 
-    /// Tries until a backend server has answered or the call is given up.
+    /// Makes attempts until a backend server answers or the call is refused.
     async fn run(
         &self,
         id: &LoggedId,
@@ -283,16 +294,17 @@
         parts: &CallParts,
         body: &mut CallBody,
     ) -> Result<HttpReply, CallRefusal> {
-        // An answer by which a server failed the call, while another server
-        // is asked. Where no other helps, the caller gets it as it came.
+        // A server's error answer while the call is retried elsewhere. The
+        // caller gets it unchanged if no further attempt is possible.
         let mut failed_answer: Option<HopAnswer> = None;
         loop {
             let mut guard = TryGuard::new(self.entry.clone(), &planned);
             let started = BootInstant::now();
             let tried = self.attempt(&mut planned, parts, body).await;
-            self.measure(&planned, started.elapsed(), &tried).await;
+            self.record_evidence(&planned, started.elapsed(), &tried)
+                .await;
             let failure = match tried {
-                Ok(answer) if may_ask_another(&answer, &planned, body) => {
+                Ok(answer) if may_retry_elsewhere(&answer, &planned, body) => {
                     failed_answer = Some(answer);
                     TryFailure {
                         verdict: CallVerdict::Ran,
@@ -306,28 +318,31 @@
                         self.log
                             .late(id, server, started.elapsed() + planned.waited);
                     }
-                    guard.answered(&planned.plan, &answer, started.elapsed());
+                    guard.set_answered(&planned.plan, &answer, started.elapsed());
                     let give_up_at = started + planned.left;
-                    return Ok(pass_answer(answer, parts, give_up_at, guard));
+                    return Ok(caller_reply(answer, parts, give_up_at, guard));
                 }
                 Err(failure) => failure,
             };
             guard.disarm();
-            if !body.is_held() {
+            if !body.is_buffered() {
                 planned.plan.forbid_retry();
             }
             let server = Arc::clone(&planned.server.instance);
             let (reply, answer) = oneshot::channel();
             let so_far = planned.plan.verdict.max(failure.verdict);
             let failed = EntryMessage::Failed(Box::new(planned), failure, reply);
-            planned = match (self.ask(failed, answer, so_far).await, failed_answer.take())
-            {
-                (Ok(next), held) => {
-                    failed_answer = held;
+            planned = match (
+                self.ask_router(failed, answer, so_far).await,
+                failed_answer.take(),
+            ) {
+                (Ok(next), previous) => {
+                    failed_answer = previous;
                     next
                 }
                 (Err(_), Some(answer)) => {
-                    return Ok(pass_answer(answer, parts, BootInstant::now(), ()));
+                    // The answer is completely buffered and needs no more time.
+                    return Ok(caller_reply(answer, parts, BootInstant::now(), ()));
                 }
                 (Err(refusal), None) => return Err(refusal),
             };
@@ -340,10 +355,11 @@
         }
     }
 
-    /// Asks the routing task. Where it has ended, the call is refused with
-    /// the verdict of its tries so far: "not run" after a broken try would
-    /// make its caller repeat a non-idempotent call that may have run.
-    async fn ask(
+    /// Sends `message` to the routing task and waits for `answer`. If the task
+    /// has ended, the call is refused with `so_far`, the verdict of its attempts:
+    /// "not run" after a broken attempt would make the caller repeat a
+    /// non-idempotent call that may have run.
+    async fn ask_router(
         &self,
         message: EntryMessage,
         answer: oneshot::Receiver<RoutingResult>,
@@ -359,25 +375,33 @@
         answer.await.unwrap_or(Err(stopping))
     }
 
+    /// Sends one attempt and buffers the start of its answer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the answer does not arrive in time, breaks off while it is
+    /// buffered, or is a refusal by the server's node.
     async fn attempt(
         &self,
         planned: &mut PlannedTry,
         parts: &CallParts,
         body: &mut CallBody,
     ) -> Result<HopAnswer, TryFailure> {
-        let request =
-            parts.hop_request(&self.dialect, self.peer_headers(planned, body.is_held()));
+        let request = parts.hop_request(
+            &self.dialect,
+            self.peer_headers(planned, body.is_buffered()),
+        );
         let address = planned.server.address;
         let give_up_at = BootInstant::now() + planned.left;
         let sending = self.pools.send(address, &request, body, planned.left);
         let mut answer = sending.await?;
-        planned.told_load = told_load(&answer);
-        // Short answers are held until they are whole: one that breaks off
-        // can then still be asked for again, where that does no harm.
+        planned.reported_load = reported_load(&answer);
+        // A short answer is buffered completely before it is forwarded, so that
+        // an idempotent call can still be retried if the answer breaks off.
         let left = give_up_at.saturating_duration_since(BootInstant::now());
-        let holding = answer.body.hold(HELD_ANSWER_MAX);
-        let held = actix_rt::time::timeout(left, holding).await;
-        let broken = match held {
+        let buffering = answer.body.hold(BUFFERED_ANSWER_MAX);
+        let buffered = actix_rt::time::timeout(left, buffering).await;
+        let broken = match buffered {
             Ok(Ok(_)) => None,
             Ok(Err(_)) => Some(RefusalReason::ConnectionBroken),
             Err(_) => Some(RefusalReason::DeadlinePassed),
@@ -394,11 +418,12 @@
         }
     }
 
+    /// Returns the headers that tell the server's node about this attempt.
     fn peer_headers(&self, planned: &PlannedTry, repeatable: bool) -> HopHeaders {
         let plan = &planned.plan;
         let left = deadline_budget::for_next_hop(planned.left);
         let waited_ms = planned.waited.as_millis().to_string();
-        let mut told = vec![
+        let mut fields = vec![
             (KEY_HEADER, self.system_key.secret().to_owned()),
             (call_headers::SERVICE, plan.service.to_string()),
             (call_headers::ROUTE, plan.route.to_string()),
@@ -407,31 +432,32 @@
             (call_headers::DEADLINE_MS, left.as_millis().to_string()),
         ];
         if let Some(target) = planned.target_left {
-            told.push((call_headers::TARGET_MS, target.as_millis().to_string()));
+            fields.push((call_headers::TARGET_MS, target.as_millis().to_string()));
         }
-        // A body that streams is spent with the first offer.
-        if let Some(most) = planned.server.wait_max.filter(|_| repeatable) {
-            told.push((call_headers::WAIT_MAX_MS, most.as_millis().to_string()));
+        // A streamed body can be sent only once, so the server's node must not
+        // refuse the call because of its wait.
+        if let Some(wait_max) = planned.server.wait_max.filter(|_| repeatable) {
+            fields.push((call_headers::WAIT_MAX_MS, wait_max.as_millis().to_string()));
         }
         if plan.origin == CallOrigin::Backend {
-            told.push((call_headers::INNER, "1".to_owned()));
+            fields.push((call_headers::INNER, "1".to_owned()));
         }
         if plan.repeats > RepeatProbability::FIRST {
             let share = plan.repeats.per_mille().to_string();
-            told.push((call_headers::REPEATS, share));
+            fields.push((call_headers::REPEATS, share));
         }
         if let Some(service) = &self.service {
-            told.push((call_headers::CALLER_SERVICE, service.to_string()));
+            fields.push((call_headers::CALLER_SERVICE, service.to_string()));
         }
-        let mut added = Vec::new();
-        for (name, value) in told {
-            added.push((HeaderName::from_static(name), value));
+        let mut headers = Vec::new();
+        for (name, value) in fields {
+            headers.push((HeaderName::from_static(name), value));
         }
-        added
+        headers
     }
 
-    /// Counts a try of a service under a move as evidence.
-    async fn measure(
+    /// Records an attempt as rollout evidence if its service is under a move.
+    async fn record_evidence(
         &self,
         planned: &PlannedTry,
         took: Duration,
@@ -451,18 +477,20 @@
         };
         let ended = ended_try(planned, MeasuredTry { took, end, warm });
         // The entry task ends only with the node.
-        let _ = self.entry.send(EntryMessage::Tried(ended)).await;
+        let _ = self.entry.send(EntryMessage::Measured(ended)).await;
     }
 
-    /// Whether a move still needs the backend server beside this node.
+    /// Returns whether the backend server beside this node is the last one of
+    /// the old version of a service under a move, so that the move still needs
+    /// it. False if the routing task has ended.
     pub async fn is_last_old_server(&self) -> bool {
         let (reply, answer) = oneshot::channel();
-        let asked = self.entry.send(EntryMessage::IsLastOfOld(reply)).await;
+        let asked = self.entry.send(EntryMessage::IsLastOldServer(reply)).await;
         asked.is_ok() && answer.await.unwrap_or(false)
     }
 }
 
-/// A try of a service under a move, as evidence.
+/// Builds the rollout evidence of an attempt.
 fn ended_try(planned: &PlannedTry, measured: MeasuredTry) -> EndedTry {
     EndedTry {
         service: Arc::clone(&planned.plan.service),
@@ -472,7 +500,8 @@
     }
 }
 
-/// Host that the caller names, without a port.
+/// Returns the requested host in lower case and without the port; empty if
+/// there is none.
 fn host_of(request: &Request) -> String {
     let named = http_reply::header(request, HOST.as_str());
     let authority = request
@@ -484,9 +513,14 @@
     name.to_ascii_lowercase()
 }
 
-/// Whether a server's failure may be mended by another server: the call is
-/// idempotent, and both its body and the answer are held whole.
-fn may_ask_another(answer: &HopAnswer, planned: &PlannedTry, body: &CallBody) -> bool {
+/// Returns whether a server's error answer may be retried on another server:
+/// the call comes from outside and is idempotent, and both its body and the
+/// answer are buffered completely.
+fn may_retry_elsewhere(
+    answer: &HopAnswer,
+    planned: &PlannedTry,
+    body: &CallBody,
+) -> bool {
     let failed = [
         StatusCode::INTERNAL_SERVER_ERROR,
         StatusCode::BAD_GATEWAY,
@@ -495,37 +529,41 @@
     failed.contains(&answer.head.status)
         && planned.plan.is_idempotent()
         && planned.plan.origin == CallOrigin::Outside
-        && body.is_held()
+        && body.is_buffered()
         && answer.body.is_whole()
 }
 
-fn pass_answer<G: 'static>(
+/// Converts a backend server's answer to the caller's reply.
+fn caller_reply<G: 'static>(
     answer: HopAnswer,
     parts: &CallParts,
     give_up_at: BootInstant,
     guard: G,
 ) -> HttpReply {
-    let mut reply = call_forward::pass_back(answer, &parts.method, give_up_at, guard);
+    let mut reply =
+        call_forward::forward_answer(answer, &parts.method, give_up_at, guard);
     let verdict = CallVerdict::Ran.as_str();
     http_reply::set_header(&mut reply, call_headers::VERDICT, verdict);
     reply
 }
 
-/// How long a call would wait at the server now, as its node says.
-fn told_load(answer: &HopAnswer) -> Option<ReportedLoad> {
+/// Returns the load that the server's node reports in the answer's headers.
+fn reported_load(answer: &HopAnswer) -> Option<ReportedLoad> {
     Some(ReportedLoad {
-        wait: told_time(answer, call_headers::WAIT_MS)?,
-        work: told_time(answer, call_headers::WORK_MS),
+        wait: header_millis(answer, call_headers::WAIT_MS)?,
+        work: header_millis(answer, call_headers::WORK_MS),
     })
 }
 
-fn told_time(answer: &HopAnswer, name: &str) -> Option<Duration> {
+/// Returns a header's value, in milliseconds, as a duration.
+fn header_millis(answer: &HopAnswer, name: &str) -> Option<Duration> {
     let value = answer.head.headers().get(name)?;
     let millis = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
-/// What the server's node says where no backend server answered.
+/// Returns the failure that the server's node reports if the backend server
+/// did not answer.
 fn refused_by_peer(answer: &HopAnswer) -> Option<TryFailure> {
     let text = |name: &str| answer.head.headers().get(name)?.to_str().ok();
     let verdict = CallVerdict::parse(text(call_headers::VERDICT)?)?;
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -1,4 +1,4 @@
-//! The end of a try, told in every case.
+//! Drop guard that reports the end of an attempt to the routing task.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,24 +17,24 @@
 use crate::hop::HopAnswer;
 
 use super::ended_try;
-use super::told_load;
+use super::reported_load;
 
-/// Tells the routing task that a try is over when it is dropped, so that
-/// no way out of a call can forget it.
+/// Reports the end of an attempt to the routing task on drop, so that every
+/// path out of a call reports it.
 pub(super) struct TryGuard {
     entry: mpsc::Sender<EntryMessage>,
     message: Option<EntryMessage>,
-    /// What is counted of a try under a move whose caller leaves. Guards
-    /// against a bound on what a new version gets that is passed unseen while
-    /// many callers leave early.
-    left: Option<EndedTry>,
+    /// Evidence to record if the caller disconnects during an attempt of a
+    /// service under a move. Without it, the bound on calls to the new version
+    /// would be exceeded unnoticed while many callers disconnect early.
+    abandoned: Option<EndedTry>,
 }
 
 impl TryGuard {
-    /// A guard of a try without an answer so far.
+    /// Creates a guard of an attempt that has no answer yet.
     pub(super) fn new(entry: mpsc::Sender<EntryMessage>, planned: &PlannedTry) -> Self {
         let instance = Arc::clone(&planned.server.instance);
-        let left = MeasuredTry {
+        let abandoned = MeasuredTry {
             took: Duration::ZERO,
             end: TryOutcome::Abandoned,
             warm: false,
@@ -42,12 +42,13 @@
         Self {
             entry,
             message: Some(EntryMessage::Abandoned(instance)),
-            left: planned.measured.then(|| ended_try(planned, left)),
+            abandoned: planned.measured.then(|| ended_try(planned, abandoned)),
         }
     }
 
-    /// The answer's head is there, `taken` after the try's start.
-    pub(super) fn answered(
+    /// Records that the answer's head arrived, `taken` after the attempt's
+    /// start.
+    pub(super) fn set_answered(
         &mut self,
         plan: &CallPlan,
         answer: &HopAnswer,
@@ -67,17 +68,20 @@
             bytes: call_forward::stated_length(answer.head.headers())
                 .or(Some(answer.body.held().len() as u64)),
         };
-        self.message = Some(EntryMessage::Ended(report, told_load(answer)));
-        self.left = None;
+        self.message = Some(EntryMessage::Ended(report, reported_load(answer)));
+        self.abandoned = None;
     }
 
-    /// The task is told of the end by another message.
+    /// Drops the guard without a report, because another message reports the
+    /// end.
     pub(super) fn disarm(mut self) {
         self.message = None;
-        self.left = None;
+        self.abandoned = None;
     }
 
-    fn tell(&self, message: EntryMessage) {
+    /// Sends `message` to the routing task, in a new task if the channel is
+    /// full.
+    fn notify(&self, message: EntryMessage) {
         if let Err(mpsc::error::TrySendError::Full(message)) =
             self.entry.try_send(message)
         {
@@ -90,10 +94,10 @@
 impl Drop for TryGuard {
     fn drop(&mut self) {
         if let Some(message) = self.message.take() {
-            self.tell(message);
+            self.notify(message);
         }
-        if let Some(left) = self.left.take() {
-            self.tell(EntryMessage::Tried(left));
+        if let Some(abandoned) = self.abandoned.take() {
+            self.notify(EntryMessage::Measured(abandoned));
         }
     }
 }
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the entry side's routing state.
+//! Task that owns the routing state of the entry side.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,102 +40,106 @@
 use crate::install_hooks::InstallHooks;
 use crate::start_calls::StartCalls;
 
-/// Messages waiting for the task; beyond them calls wait at their sockets.
+/// Capacity of the task's channel. When it is full, senders wait, and with them
+/// the calls on their connections.
 const MESSAGES_MAX: usize = 4_096;
 
-/// How often calls that wait for the first configuration are looked at; a
-/// tenth of the shortest time that callers give.
-const START_TICK: Duration = Duration::from_millis(20);
+/// Interval of the expiry checks for calls that wait for the first
+/// configuration; a tenth of the shortest deadline that callers send.
+const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A call's head, owned, as it goes to the task.
+/// Owned form of [`CallHead`], as sent to the routing task.
 #[derive(Clone, Debug)]
 pub struct OwnedHead {
-    /// Host that the caller names, without a port.
+    /// Requested host, without a port.
     pub host: String,
     /// Path without the query.
     pub path: String,
-    /// Listener it came in by.
+    /// Listener that received the call.
     pub origin: CallOrigin,
-    /// Customer it is made for; empty where the caller names none.
+    /// Customer on whose behalf the call is made; empty if the caller names
+    /// none.
     pub customer: String,
-    /// True where running it twice does no harm.
+    /// Whether the method is idempotent, so that the call may run twice.
     pub idempotent: bool,
-    /// Time the caller gives it.
+    /// Deadline from the caller, relative to now.
     pub deadline: Option<Duration>,
-    /// How likely a request that is itself a repeat makes this call.
+    /// Probability that the request that makes this call is itself a repeat.
     pub repeats: RepeatProbability,
 }
 
-/// A call and the server that gets its next try.
+/// A call and the server chosen for its next attempt.
 #[derive(Debug)]
 pub struct PlannedTry {
-    /// The call over all its tries.
+    /// Plan of the call, shared by all of its attempts.
     pub plan: CallPlan,
-    /// The server.
+    /// Server of this attempt.
     pub server: ServerTry,
-    /// Time left for the try.
+    /// Time left until the call's deadline.
     pub left: Duration,
-    /// Time since the call came in.
+    /// Time since the call arrived.
     pub waited: Duration,
-    /// Time left in which the answer is worth most.
+    /// Time left until the route's target latency has passed.
     pub target_left: Option<Duration>,
-    /// What the server's node told of its load.
-    pub told_load: Option<ReportedLoad>,
-    /// Why this is not the first try.
+    /// Load that the server's node reported with its answer.
+    pub reported_load: Option<ReportedLoad>,
+    /// Reason for the retry; `None` for the first attempt.
     pub retry: Option<RetryReason>,
-    /// True where the service is under a move, so that the try counts as
-    /// evidence.
+    /// Whether the service is under a move, so that the attempt counts as
+    /// rollout evidence.
     pub measured: bool,
 }
 
-/// A call that is not served.
+/// Refusal of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallRefusal {
-    /// Why.
+    /// Reason given to the caller.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the call may have run.
     pub verdict: CallVerdict,
 }
 
-/// What became of a question to the task.
+/// Decision of the routing task: the next attempt, or a refusal.
 pub type RoutingResult = Result<PlannedTry, CallRefusal>;
 
-/// What others ask of the task.
+/// Message to the routing task.
 #[derive(Debug)]
 pub enum EntryMessage {
-    /// A new call.
+    /// Routes a new call.
     Admit(OwnedHead, oneshot::Sender<RoutingResult>),
-    /// A try failed; what now?
+    /// An attempt failed; asks for a retry or a refusal.
     Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<RoutingResult>),
-    /// A try's answer has been passed on whole, or was given up; what
-    /// the server's node told of its load with it.
+    /// The answer of an attempt was forwarded completely or abandoned, with
+    /// the load that the server's node reported in it.
     Ended(TryReport, Option<ReportedLoad>),
-    /// A try at the instance was given up before any answer.
+    /// An attempt at this instance was abandoned before any answer.
     Abandoned(Arc<str>),
-    /// What a try of a service under a move came to.
-    Tried(EndedTry),
-    /// Look at the counts of moves; a report is due where true, and comes at
-    /// once where a version was stopped.
+    /// Outcome of an attempt of a service under a move.
+    Measured(EndedTry),
+    /// Evaluates the evidence of the moves in progress. The reply has a report
+    /// if the flag is true, which means that one is due, or if a version has
+    /// just been stopped.
     CheckRollouts(bool, oneshot::Sender<Option<EvidenceReport>>),
-    /// Whether a move still needs this node's backend server.
-    IsLastOfOld(oneshot::Sender<bool>),
-    /// News from a control instance.
+    /// Asks whether this node's backend server is the last one of the old
+    /// version of a service under a move.
+    IsLastOldServer(oneshot::Sender<bool>),
+    /// Installs a configuration and endpoint records from a control instance.
     Install(Option<ConfigSnapshot>, Vec<EndpointRecord>),
-    /// The node's report of itself.
+    /// Asks for this node's report.
     Report(oneshot::Sender<NodeReport>),
-    /// A control instance that proved itself fresh has answered.
+    /// A control instance answered and proved that its state is fresh.
     SourceConfirmed,
-    /// Who holds the claim of this key.
+    /// Asks for the holders of this key.
     Holders(KeyDigest, oneshot::Sender<KeyHolders>),
 }
 
-/// Who holds a key's claim, and where.
+/// Holders of a key and their addresses.
 #[derive(Debug, Default)]
 pub struct KeyHolders {
-    /// Sets of holders; a majority of each is needed. Empty where this node
+    /// Sets of holders; a claim needs a majority of each. Empty if this node
     /// must not claim.
     pub sets: Vec<Vec<Arc<str>>>,
-    /// Where they listen, as far as is known.
+    /// Addresses of the holders that the directory knows.
     pub addresses: HashMap<Arc<str>, SocketAddr>,
 }
 
@@ -146,13 +150,14 @@
     gate: mpsc::UnboundedSender<GateMessage>,
     hooks: InstallHooks,
     waiting: StartCalls,
-    refused: Option<ConfigVersion>,
-    heard: Option<BootInstant>,
+    refused_version: Option<ConfigVersion>,
+    source_confirmed_at: Option<BootInstant>,
     started: BootInstant,
     incarnation: u64,
 }
 
-/// Starts the task.
+/// Starts the routing task and returns the channel to it. `seed` is for its
+/// random choices.
 pub fn spawn(
     instance: Arc<str>,
     failure_domain: Arc<str>,
@@ -169,8 +174,8 @@
         waiting: StartCalls::default(),
         instance,
         failure_domain,
-        refused: None,
-        heard: None,
+        refused_version: None,
+        source_confirmed_at: None,
         started: BootInstant::now(),
     };
     actix_rt::spawn(task.run(receiver));
@@ -180,18 +185,20 @@
 impl EntryTask {
     async fn run(mut self, mut receiver: mpsc::Receiver<EntryMessage>) {
         while let Some(message) = self.next(&mut receiver).await {
-            self.take(message);
+            self.handle(message);
         }
     }
 
-    /// The next message; calls whose wait ends before it comes are refused.
+    /// Receives the next message. While calls wait for a configuration, refuses
+    /// those whose wait has ended. `None` once all senders are gone.
     async fn next(
         &mut self,
         receiver: &mut mpsc::Receiver<EntryMessage>,
     ) -> Option<EntryMessage> {
         while !self.waiting.is_empty() {
             self.waiting.refuse_late(self.started.elapsed());
-            let next = actix_rt::time::timeout(START_TICK, receiver.recv()).await;
+            let next =
+                actix_rt::time::timeout(WAIT_CHECK_INTERVAL, receiver.recv()).await;
             if let Ok(message) = next {
                 return message;
             }
@@ -199,18 +206,18 @@
         receiver.recv().await
     }
 
-    fn take(&mut self, message: EntryMessage) {
+    fn handle(&mut self, message: EntryMessage) {
         match message {
             EntryMessage::Admit(head, reply) => {
-                self.take_call(head, reply);
+                self.admit_or_wait(head, reply);
             }
             EntryMessage::Failed(failed, failure, reply) => {
-                let answer = self.failed(*failed, failure);
-                self.hand_over(reply, answer);
+                let answer = self.next_try(*failed, failure);
+                self.reply_or_abandon(reply, answer);
             }
-            EntryMessage::Ended(report, told_load) => {
+            EntryMessage::Ended(report, reported_load) => {
                 let now = self.started.elapsed();
-                if let Some(load) = told_load {
+                if let Some(load) = reported_load {
                     self.router
                         .record_load(now, &report.instance, &report.route, load);
                 }
@@ -221,27 +228,30 @@
             }
             EntryMessage::Install(snapshot, endpoints) => {
                 self.install(snapshot, endpoints);
-                self.take_waiting();
+                self.retry_waiting();
             }
-            EntryMessage::Tried(ended) => self.router.guard().record(&ended),
+            EntryMessage::Measured(ended) => self.router.guard().record(&ended),
             EntryMessage::CheckRollouts(due, reply) => {
-                let _ = reply.send(self.look(due));
+                let _ = reply.send(self.check_rollouts(due));
             }
-            EntryMessage::IsLastOfOld(reply) => {
+            EntryMessage::IsLastOldServer(reply) => {
                 let _ = reply.send(self.router.is_last_old_server(&self.instance));
             }
             EntryMessage::Report(reply) => {
                 let _ = reply.send(self.report());
             }
-            EntryMessage::SourceConfirmed => self.heard = Some(BootInstant::now()),
+            EntryMessage::SourceConfirmed => {
+                self.source_confirmed_at = Some(BootInstant::now())
+            }
             EntryMessage::Holders(key, reply) => {
                 let _ = reply.send(self.holders(&key));
             }
         }
     }
 
-    /// Answers, and takes the try back where its caller has left meanwhile.
-    fn hand_over(
+    /// Sends the answer. If the receiver is gone, reports the planned attempt
+    /// as abandoned.
+    fn reply_or_abandon(
         &mut self,
         reply: oneshot::Sender<RoutingResult>,
         answer: RoutingResult,
@@ -252,9 +262,10 @@
         }
     }
 
-    fn take_call(&mut self, head: OwnedHead, reply: oneshot::Sender<RoutingResult>) {
+    /// Routes a new call, or lets it wait if a later configuration may help.
+    fn admit_or_wait(&mut self, head: OwnedHead, reply: oneshot::Sender<RoutingResult>) {
         match self.admit(&head) {
-            Ok(planned) => self.hand_over(reply, Ok(planned)),
+            Ok(planned) => self.reply_or_abandon(reply, Ok(planned)),
             Err(refusal) => {
                 let now = self.started.elapsed();
                 self.waiting.keep_or_refuse(now, head, refusal, reply);
@@ -262,17 +273,18 @@
         }
     }
 
-    /// Tries those again that wait for what has just been installed.
-    fn take_waiting(&mut self) {
+    /// Routes the waiting calls again after an installation.
+    fn retry_waiting(&mut self) {
         for call in self.waiting.take() {
             let head = call.head_at(self.started.elapsed());
             match self.admit(&head) {
-                Ok(planned) => self.hand_over(call.reply, Ok(planned)),
+                Ok(planned) => self.reply_or_abandon(call.reply, Ok(planned)),
                 Err(refusal) => self.waiting.put_back(call, refusal),
             }
         }
     }
 
+    /// Plans a new call and its first attempt.
     fn admit(&mut self, head: &OwnedHead) -> RoutingResult {
         let now = self.started.elapsed();
         let repeats = head.repeats;
@@ -288,21 +300,23 @@
             reason,
             verdict: CallVerdict::NotRun,
         })?;
-        if self.may_be_own_server(&plan) {
+        if self.may_come_from_own_server(&plan) {
             self.router.charge_repeats(&mut plan, repeats);
         }
-        self.begin(now, plan, None)
+        self.begin_try(now, plan, None)
     }
 
-    /// False where the backend server beside this node does not make the
-    /// call: servers do not call their own service.
-    fn may_be_own_server(&self, plan: &CallPlan) -> bool {
+    /// Returns whether the backend server beside this node may have made the
+    /// call. A call from outside to the server's own service is not its call,
+    /// because servers do not call their own service.
+    fn may_come_from_own_server(&self, plan: &CallPlan) -> bool {
         let own = self.router.directory().get(&self.instance);
         plan.origin == CallOrigin::Backend
             || own.is_some_and(|record| record.service != plan.service)
     }
 
-    fn begin(
+    /// Chooses the server of the next attempt.
+    fn begin_try(
         &mut self,
         now: Duration,
         mut plan: CallPlan,
@@ -314,7 +328,7 @@
                 left: plan.deadline_at.saturating_sub(now),
                 waited: now.saturating_sub(plan.arrived_at),
                 target_left: plan.target_at.map(|at| at.saturating_sub(now)),
-                told_load: None,
+                reported_load: None,
                 plan,
                 server,
                 retry,
@@ -326,9 +340,10 @@
         }
     }
 
-    fn failed(&mut self, failed: PlannedTry, failure: TryFailure) -> RoutingResult {
+    /// Decides how a call continues after a failed attempt.
+    fn next_try(&mut self, failed: PlannedTry, failure: TryFailure) -> RoutingResult {
         let now = self.started.elapsed();
-        if let Some(load) = failed.told_load {
+        if let Some(load) = failed.reported_load {
             self.router.record_load(
                 now,
                 &failed.server.instance,
@@ -339,7 +354,7 @@
         let mut plan = failed.plan;
         let server = &failed.server;
         match self.router.failed(now, &mut plan, server, failure) {
-            NextStep::Retry(reason) => self.begin(now, plan, Some(reason)),
+            NextStep::Retry(reason) => self.begin_try(now, plan, Some(reason)),
             NextStep::Refuse(reason) => Err(CallRefusal {
                 reason,
                 verdict: plan.verdict,
@@ -347,6 +362,8 @@
         }
     }
 
+    /// Applies endpoint records and, if given, a configuration. A faulty
+    /// configuration is refused and the current one stays in use.
     fn install(
         &mut self,
         snapshot: Option<ConfigSnapshot>,
@@ -368,7 +385,7 @@
             }
             Ok(false) => {}
             Err(faults) => {
-                self.refused = Some(version);
+                self.refused_version = Some(version);
                 warn!(
                     "event=version-refused process=node instance={} version={version} faults={}",
                     self.instance,
@@ -378,7 +395,9 @@
         }
     }
 
-    fn look(&mut self, due: bool) -> Option<EvidenceReport> {
+    /// Stops new versions that the evidence shows to be bad. Returns a report
+    /// if it is due or a version was stopped.
+    fn check_rollouts(&mut self, due: bool) -> Option<EvidenceReport> {
         let now = self.started.elapsed();
         let guard = self.router.guard();
         let stopped = guard.tick(now);
@@ -397,12 +416,16 @@
         guard.report(&self.instance, self.incarnation)
     }
 
+    /// Returns the holders of `key`; none if this node must not claim.
     fn holders(&self, key: &KeyDigest) -> KeyHolders {
         let mut holders = KeyHolders::default();
-        // Guards against a node cut off from the source while the roster
-        // changes: it would claim at holders that nobody asks any more. The
-        // roster's second step waits for this lease to have ended.
-        if self.heard.is_none_or(|at| at.elapsed() > ROSTER_LEASE) {
+        // A node that is cut off from the control plane while the roster changes
+        // would claim at holders that no other node asks any more. The second
+        // step of a roster change waits until this lease has expired.
+        if self
+            .source_confirmed_at
+            .is_none_or(|at| at.elapsed() > ROSTER_LEASE)
+        {
             return holders;
         }
         holders.sets = self.router.holder_sets(key);
@@ -414,6 +437,7 @@
         holders
     }
 
+    /// Sends the queue bounds of all services to the gate.
     fn configure_gate(&self) {
         let mut bounds = GateBounds::new();
         for service in self.router.services() {
@@ -428,7 +452,7 @@
             node: Arc::clone(&self.instance),
             failure_domain: Arc::clone(&self.failure_domain),
             applied: self.router.version(),
-            refused: self.refused,
+            refused: self.refused_version,
         }
     }
 }
--- a/crates/node/src/holder_task.rs
+++ b/crates/node/src/holder_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns this node's memory of other nodes' claims.
+//! Task that holds claims on idempotency keys for the fleet's entry nodes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,19 +12,19 @@
 use cowslip_core::claim::ClaimRequest;
 use cowslip_wire::wall_clock;
 
-/// Requests waiting for the task; beyond them claimants wait at their
-/// sockets.
+/// Capacity of the task's channel. When it is full, senders wait, and with them
+/// the claimants' connections.
 const MESSAGES_MAX: usize = 1_024;
 
-/// A claimant's request and where its answer goes.
+/// A claimant's request and the channel for its reply.
 pub struct HolderMessage {
-    /// The request.
+    /// Request of the claimant.
     pub request: ClaimRequest,
-    /// Takes the answer.
+    /// Channel for the reply.
     pub reply: oneshot::Sender<ClaimReply>,
 }
 
-/// Starts the task with an empty memory.
+/// Starts the task without any claims and returns the channel to it.
 pub fn spawn() -> mpsc::Sender<HolderMessage> {
     let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
     actix_rt::spawn(run(receiver));
@@ -33,26 +33,27 @@
 
 async fn run(mut receiver: mpsc::Receiver<HolderMessage>) {
     let clock = HolderClock {
-        started: wall_clock::since_epoch(),
-        running: Instant::now(),
+        started_wall: wall_clock::since_epoch(),
+        started_instant: Instant::now(),
     };
     let mut holder = ClaimHolder::new(clock.now());
     info!("event=claims-empty process=node");
     while let Some(message) = receiver.recv().await {
         let reply = holder.handle(clock.now(), message.request);
-        // A claimant that has given up asks again.
+        // The claimant may have timed out; it then asks again.
         let _ = message.reply.send(reply);
     }
 }
 
-/// Wall-clock time that a step of the wall clock cannot move back.
+/// Clock that starts at the wall-clock time and is monotonic from then on, so
+/// that a step of the wall clock cannot move it back.
 struct HolderClock {
-    started: Duration,
-    running: Instant,
+    started_wall: Duration,
+    started_instant: Instant,
 }
 
 impl HolderClock {
     fn now(&self) -> Duration {
-        self.started + self.running.elapsed()
+        self.started_wall + self.started_instant.elapsed()
     }
 }
--- a/crates/node/src/keyed_call.rs
+++ b/crates/node/src/keyed_call.rs
@@ -1,4 +1,5 @@
-//! A call with an idempotency key, from its claim to its kept answer.
+//! Calls with an idempotency key: reading the key, storing the answer and
+//! replaying it.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -37,8 +38,14 @@
 use crate::claim_client::OpenClaim;
 use crate::entry_task::CallRefusal;
 
-/// The caller's key, where the call has one and needs it.
-pub fn key_of(request: &Request) -> Result<Option<Arc<str>>, RefusalReason> {
+/// Returns the idempotency key of a request; `None` if it has none or its method
+/// is idempotent and needs none.
+///
+/// # Errors
+///
+/// Refuses a key that is empty, longer than [`call_headers::KEY_BYTES_MAX`] or
+/// not text.
+pub fn idempotency_key(request: &Request) -> Result<Option<Arc<str>>, RefusalReason> {
     if call_headers::is_idempotent(request.method()) {
         return Ok(None);
     }
@@ -54,8 +61,9 @@
 }
 
 impl KeyedCall {
-    /// The call to `path` for `customer`. A body that is held counts whole
-    /// in its digest; of one that streams, what is known at its start.
+    /// Creates the key and digest of a call to `path` for `customer`. The digest
+    /// covers all of a buffered body, but only the buffered start of a streamed
+    /// one.
     pub fn new(
         customer: &str,
         path: &str,
@@ -67,7 +75,7 @@
         let digested = [
             parts.method.as_str().as_bytes(),
             target.as_bytes(),
-            body.known(),
+            body.buffered(),
         ];
         Self {
             key: ClaimKey::new(customer, path, key),
@@ -76,7 +84,7 @@
     }
 }
 
-/// A kept answer, given again.
+/// Builds the reply from a stored answer.
 pub fn replay(answer: &KeptAnswer) -> HttpReply {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let body = Bytes::copy_from_slice(&answer.body);
@@ -93,9 +101,13 @@
     reply
 }
 
-/// Keeps the answer of a run with its claim and passes it on; a large one
-/// passes on alone.
-pub async fn keep(
+/// Stores the answer of a run with its claim and returns the reply. An answer
+/// above [`ANSWER_BYTES_MAX`] is returned without being stored.
+///
+/// # Errors
+///
+/// Refuses the call if the answer breaks off while it is read.
+pub async fn store_answer(
     claims: &Rc<ClaimClient>,
     claim: OpenClaim,
     reply: HttpReply,
@@ -105,41 +117,42 @@
         headers: kept_headers(&reply),
         body: ByteBlob::new(&[]),
     };
-    let room = ANSWER_BYTES_MAX.saturating_sub(answer.bytes());
+    let bytes_left = ANSWER_BYTES_MAX.saturating_sub(answer.bytes());
     let (mut head, mut body) = reply.into_parts();
     let size = body.size();
-    let mut kept = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(chunk) = next_chunk(&mut body).await {
         let Ok(chunk) = chunk else {
-            // The caller has had nothing yet, so it can be told plainly.
-            claims.end(claim, RunEnd::Unknown).await;
+            // Nothing has been sent to the caller, so it can still get a refusal.
+            claims.record_end(claim, RunEnd::Unknown).await;
             return Err(CallRefusal {
                 reason: RefusalReason::ConnectionBroken,
                 verdict: CallVerdict::MayHaveRun,
             });
         };
-        kept.extend_from_slice(&chunk);
-        if kept.len() > room {
-            claims.end(claim, RunEnd::AnsweredLarge).await;
-            return Ok(head.set_body(rejoin(kept.freeze(), body, size)));
+        buffered.extend_from_slice(&chunk);
+        if buffered.len() > bytes_left {
+            claims.record_end(claim, RunEnd::AnsweredLarge).await;
+            return Ok(head.set_body(prepend_chunk(buffered.freeze(), body, size)));
         }
     }
-    let kept = kept.freeze();
-    answer.body = ByteBlob::new(&kept);
-    claims.end(claim, RunEnd::Answered(answer)).await;
+    let buffered = buffered.freeze();
+    answer.body = ByteBlob::new(&buffered);
+    claims.record_end(claim, RunEnd::Answered(answer)).await;
     head.headers_mut()
         .remove(actix_http::header::CONTENT_LENGTH);
-    Ok(head.set_body(BoxBody::new(kept)))
+    Ok(head.set_body(BoxBody::new(buffered)))
 }
 
+/// Returns the headers that are stored with an answer.
 fn kept_headers(reply: &HttpReply) -> Vec<(Arc<str>, ByteBlob)> {
-    let mut kept = Vec::new();
+    let mut headers = Vec::new();
     for (name, value) in reply.headers() {
-        if call_headers::passes_on(name) {
-            kept.push((name.as_str().into(), ByteBlob::new(value.as_bytes())));
+        if call_headers::is_forwarded(name) {
+            headers.push((name.as_str().into(), ByteBlob::new(value.as_bytes())));
         }
     }
-    kept
+    headers
 }
 
 async fn next_chunk(
@@ -148,8 +161,8 @@
     poll_fn(|cx| body.as_pin_mut().poll_next(cx)).await
 }
 
-/// What was read of a body, and the rest of it as it comes.
-fn rejoin(first: Bytes, rest: BoxBody, size: BodySize) -> BoxBody {
+/// Returns a body of the chunk `first`, already read, followed by `rest`.
+fn prepend_chunk(first: Bytes, rest: BoxBody, size: BodySize) -> BoxBody {
     let parts = futures_util::stream::unfold(
         (Some(first), rest),
         |(first, mut rest)| async move {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -1,5 +1,5 @@
-//! The other nodes' side of a node: from an entry node's try to the backend
-//! server beside this one.
+//! Server side of a node: handles the attempts that entry nodes send to the
+//! backend server beside this node.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -50,50 +50,50 @@
 use crate::hop::HopAnswer;
 use crate::refusal_reply::refusal_reply;
 
-/// Bytes of a server's refusal that are read so that its connection can be
-/// used again; refusals are a line of text.
+/// Bytes read of a backend server's refusal, so that its connection can be
+/// reused. A refusal is a line of text.
 const REFUSAL_BYTES_MAX: usize = 4 * 1024;
 
-/// What every call of the server side needs.
+/// Queues calls of entry nodes and forwards them to the backend server.
 pub struct PeerProxy {
     /// Sends calls to the backend server.
     pub pools: Rc<CallPools>,
-    /// How the backend server reads headers.
+    /// Header names that the backend server uses.
     pub dialect: Rc<CallDialect>,
-    /// Key between nodes.
+    /// Access key that nodes send to each other.
     pub system_key: AccessKey,
-    /// What can be seen of the gate.
+    /// Current state of the gate.
     pub view: GateView,
-    /// The gate's task.
+    /// Channel to the gate's task.
     pub gate: mpsc::UnboundedSender<GateMessage>,
-    /// This node's memory of claims.
+    /// Channel to the task that holds claims for other nodes.
     pub holder: mpsc::Sender<HolderMessage>,
-    /// Ticket of the next call.
+    /// Ticket for the next call.
     pub next_ticket: Cell<CallTicket>,
     /// Counters of the server side.
     pub metrics: CallMetrics,
-    /// Lines about single calls.
+    /// Log lines about individual calls.
     pub log: CallLog,
 }
 
-/// Serves the listener for other nodes.
+/// HTTP handler of the listener for other nodes.
 pub struct PeerHandler {
-    desk: Rc<PeerProxy>,
+    proxy: Rc<PeerProxy>,
 }
 
 impl PeerHandler {
-    /// A handler over `desk`.
-    pub fn new(desk: PeerProxy) -> Self {
+    /// Creates a handler that passes its requests to `proxy`.
+    pub fn new(proxy: PeerProxy) -> Self {
         Self {
-            desk: Rc::new(desk),
+            proxy: Rc::new(proxy),
         }
     }
 }
 
 impl HttpHandler for PeerHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
-        let desk = Rc::clone(&self.desk);
-        Box::pin(async move { desk.serve(request).await })
+        let proxy = Rc::clone(&self.proxy);
+        Box::pin(async move { proxy.serve(request).await })
     }
 }
 
@@ -107,11 +107,14 @@
 impl PeerProxy {
     async fn serve(&self, request: Request) -> HttpReply {
         if is_claim(&request) {
-            return self.claim(request).await.unwrap_or_else(|refused| refused);
+            return self
+                .handle_claim(request)
+                .await
+                .unwrap_or_else(|refused| refused);
         }
         let id = LoggedId::of(&request, &self.dialect.request_id);
         let route = http_reply::header(&request, call_headers::ROUTE).map(str::to_owned);
-        let mut reply = match self.call(request).await {
+        let mut reply = match self.handle_call(request).await {
             Ok(reply) => {
                 self.metrics.answered();
                 reply
@@ -137,9 +140,16 @@
         reply
     }
 
-    async fn call(&self, mut request: Request) -> Result<HttpReply, TryFailure> {
-        let offered = http_reply::header(&request, KEY_HEADER).unwrap_or_default();
-        if !self.system_key.admits(offered.as_bytes()) {
+    /// Waits for a slot of the backend server, sends the call and forwards the
+    /// answer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the request is invalid, gets no slot in time, or is refused or
+    /// not answered by the backend server.
+    async fn handle_call(&self, mut request: Request) -> Result<HttpReply, TryFailure> {
+        let key = http_reply::header(&request, KEY_HEADER).unwrap_or_default();
+        if !self.system_key.admits(key.as_bytes()) {
             return Err(not_run(RefusalReason::BadHeader));
         }
         let arrived = BootInstant::now();
@@ -150,7 +160,7 @@
         let parts = CallParts::of(&request, &self.dialect);
         let mut body = CallBody::take(&mut request).await.map_err(not_run)?;
         call.left = time_left(left, arrived)?;
-        let (grant, mut slot) = self.slot(call).await?;
+        let (grant, mut slot) = self.acquire_slot(call).await?;
         let left = deadline_budget::for_next_hop(time_left(left, arrived)?);
         let sent = BootInstant::now();
         let request = parts.hop_request(
@@ -175,13 +185,14 @@
         };
         if self.is_not_run(&answer) {
             slot.outcome = SlotOutcome::Shed;
-            // Read to its end, so that the connection can be used again.
+            // Read to its end, so that the connection can be reused.
             let whole = answer.body.hold(REFUSAL_BYTES_MAX).await;
             debug!("event=server-refused process=node whole={whole:?}");
             return Err(not_run(RefusalReason::ServerRefused));
         }
         let give_up_at = sent + left;
-        let mut reply = call_forward::pass_back(answer, &parts.method, give_up_at, slot);
+        let mut reply =
+            call_forward::forward_answer(answer, &parts.method, give_up_at, slot);
         let verdict = CallVerdict::Ran.as_str();
         http_reply::set_header(&mut reply, call_headers::VERDICT, verdict);
         let warm = u8::from(grant.warm).to_string();
@@ -189,6 +200,7 @@
         Ok(reply)
     }
 
+    /// Returns the headers that the backend server gets with the call.
     fn server_headers(
         &self,
         left: Duration,
@@ -207,14 +219,15 @@
         added
     }
 
-    /// Whether the server says that it has not run the request.
+    /// Returns whether the server answered that it has not run the request.
     fn is_not_run(&self, answer: &HopAnswer) -> bool {
         let head = &answer.head;
-        let told = head.headers().contains_key(&self.dialect.not_run);
-        told || head.status == StatusCode::MISDIRECTED_REQUEST
+        let flagged = head.headers().contains_key(&self.dialect.not_run);
+        flagged || head.status == StatusCode::MISDIRECTED_REQUEST
     }
 
-    async fn claim(&self, mut request: Request) -> Result<HttpReply, HttpReply> {
+    /// Passes a claim request to the holder task and encodes its reply.
+    async fn handle_claim(&self, mut request: Request) -> Result<HttpReply, HttpReply> {
         let call: ClaimCall = message_reply::read(&mut request, &self.system_key).await?;
         let (reply, answer) = oneshot::channel();
         let request = call.request;
@@ -229,7 +242,8 @@
         Ok(message_reply::encoded(&reply))
     }
 
-    async fn slot(
+    /// Waits for a slot of the backend server. Dropping the guard releases it.
+    async fn acquire_slot(
         &self,
         call: OfferedCall,
     ) -> Result<(SlotGrant, SlotGuard), TryFailure> {
@@ -238,7 +252,8 @@
         let (reply, answer) = oneshot::channel();
         // The gate's task ends only with the node.
         let _ = self.gate.send(GateMessage::Begin(ticket, call, reply));
-        // Before the wait, so that a caller who leaves gives up its place.
+        // Created before the wait, so that a caller that disconnects leaves the
+        // queue.
         let slot = SlotGuard {
             gate: self.gate.clone(),
             ticket,
@@ -249,13 +264,15 @@
     }
 }
 
-/// Whether the request is a claim and no call. A call may have any path,
-/// this one too; but entry nodes name its service, and no claim has one.
+/// Returns whether the request is a claim rather than a call. A call may have
+/// any path, even that of claims, but it always names its service in a header,
+/// which a claim never does.
 fn is_claim(request: &Request) -> bool {
     request.path() == ClaimCall::PATH
         && !request.headers().contains_key(call_headers::SERVICE)
 }
 
+/// Returns what remains of `left` since `since`, or a failure if nothing does.
 fn time_left(left: Duration, since: BootInstant) -> Result<Duration, TryFailure> {
     let left = left.saturating_sub(since.elapsed());
     if left.is_zero() {
@@ -264,7 +281,7 @@
     Ok(left)
 }
 
-/// What the entry node says of the call.
+/// Reads the call's properties from the headers that the entry node set.
 fn offered_call(request: &Request) -> Result<OfferedCall, TryFailure> {
     let bad = not_run(RefusalReason::BadHeader);
     let text = |name: &str| http_reply::header(request, name);
@@ -294,8 +311,8 @@
     })
 }
 
-/// Gives a slot, or a place in the queue, back when it is dropped, so that
-/// no way out of a call can forget it.
+/// Releases a slot, or a place in the queue, on drop, so that every path out of
+/// a call releases it.
 struct SlotGuard {
     gate: mpsc::UnboundedSender<GateMessage>,
     ticket: CallTicket,
--- a/crates/node/src/refusal_reply.rs
+++ b/crates/node/src/refusal_reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a call that is not served.
+//! Reply to a refused call.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::call_headers;
 use crate::entry_task::CallRefusal;
 
-/// The answer to a call that is not served, whose caller has `left`, if it
-/// says so.
+/// Builds the reply to a refused call. `left` is the time left until the
+/// caller's deadline, if it sent one; it limits `Retry-After`.
 pub fn refusal_reply(
     refusal: CallRefusal,
     dialect: &CallDialect,
@@ -25,17 +25,17 @@
     let mut reply = http_reply::text(status, refusal.reason.as_str());
     http_reply::set_header(&mut reply, call_headers::VERDICT, refusal.verdict.as_str());
     http_reply::set_header(&mut reply, call_headers::REASON, refusal.reason.as_str());
-    let later = matches!(status.as_u16(), 429 | 503);
+    let retryable = matches!(status.as_u16(), 429 | 503);
     let caller = CallerTime {
         left,
         fractions: dialect.fractional_retry_after,
     };
-    let after = retry_delay::retry_after(refusal.reason, caller, &mut rand::rng());
-    if let Some(after) = after.filter(|_| later) {
+    let delay = retry_delay::retry_after(refusal.reason, caller, &mut rand::rng());
+    if let Some(delay) = delay.filter(|_| retryable) {
         let seconds = if dialect.fractional_retry_after {
-            format!("{:.2}", after.as_secs_f64())
+            format!("{:.2}", delay.as_secs_f64())
         } else {
-            after.as_secs().to_string()
+            delay.as_secs().to_string()
         };
         http_reply::set_header(&mut reply, "retry-after", &seconds);
     }
