--- a/crates/node/tests/call_metrics.rs
+++ b/crates/node/tests/call_metrics.rs
@@ -1,4 +1,4 @@
-//! Every refusal and every retry has its counter, from the start.
+//! Refusal and retry reasons: their counters, texts and documentation.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
@@ -13,8 +13,8 @@
     text
 }
 
-// A reason without a counter is a refusal that no operator ever sees. Each
-// variant is counted once and must read 1 on its own line.
+// Guards against a reason without a counter, whose refusals or retries operators
+// would never see. Each counter starts at zero and reads 1 after one count.
 #[test]
 fn every_reason_is_counted() {
     let mut registry = Registry::default();
@@ -33,8 +33,9 @@
     }
 }
 
+// Guards against a reason that other nodes cannot parse from its header.
 #[test]
-fn a_reason_reads_back_from_its_word() {
+fn reasons_parse_from_their_own_text() {
     for reason in RefusalReason::ALL {
         assert_eq!(RefusalReason::parse(reason.as_str()), Some(*reason));
         assert!(reason.status() >= 400);
@@ -44,13 +45,13 @@
     }
 }
 
-// The operators' page must have a line for each word that a caller can be
-// told, or an operator looks it up in vain.
+// Guards against a reason that callers or operators see but that the operators'
+// documentation does not explain.
 #[test]
-fn every_reason_stands_on_the_operators_page() {
+fn every_reason_is_documented_for_operators() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = root.join("docs/operators/refusals.md");
-    let page = std::fs::read_to_string(page).expect("the page is there");
+    let page = std::fs::read_to_string(page).expect("the page can be read");
     for reason in RefusalReason::ALL {
         assert!(page.contains(&format!("`{reason}`")), "refusal {reason}");
     }
--- a/crates/node/tests/decoders.rs
+++ b/crates/node/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes arrive, decoders give a value or an error and no panic.
+//! Decoders return a value or an error for any input and never panic.
 
 use actix_http::header::HeaderMap;
 use actix_http::header::HeaderName;
@@ -38,28 +38,30 @@
 }
 
 proptest! {
-    // Anybody who reaches a listener can send anything. A panic would end
-    // every call in flight on the node.
+    // Anyone who can connect to a listener can send any bytes. A panic would end
+    // all calls in flight on the node.
     #[test]
     fn any_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         decode_all(&bytes);
     }
 
-    // Bytes that begin like a message get further into the decoders: every
-    // place of a real one is cut, or changed, in turn.
+    // Truncated or altered messages get further into the decoders than random
+    // bytes. A valid message is cut off at a position, or has its byte changed
+    // there.
     #[test]
     fn broken_messages_decode_or_fail(at in 0..200_usize, byte in any::<u8>()) {
         let call = MovesCall { version: None };
-        let mut bytes = encode(&call).expect("a message");
-        bytes.extend(encode(&"key").expect("a string"));
+        let mut bytes = encode(&call).expect("the message can be encoded");
+        bytes.extend(encode(&"key").expect("the string can be encoded"));
         let at = at % bytes.len();
         decode_all(&bytes[..at]);
         bytes[at] = byte;
         decode_all(&bytes);
     }
 
+    // Guards against a panic on an unusual value of the deadline header.
     #[test]
-    fn any_header_reads_or_fails(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn any_deadline_parses_or_fails(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         let Ok(value) = HeaderValue::from_bytes(&bytes) else {
             return Ok(());
         };
@@ -68,8 +70,9 @@
         let _ = call_headers::deadline(&headers);
     }
 
+    // Guards against a panic on header texts that callers and other nodes choose.
     #[test]
-    fn any_text_reads_or_fails(text in ".{0,60}") {
+    fn any_text_parses_or_fails(text in ".{0,60}") {
         let _ = CallVerdict::parse(&text);
         let _ = RefusalReason::parse(&text);
         let _ = ClaimKey::new("", "", &text);
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a real node in front of its backend server, on loopback.
+//! Queue of a node in front of its backend server, tested over loopback.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -36,18 +36,18 @@
 
 const KEY: &str = "a-key-between-the-nodes-of-this-test";
 
-/// A backend server that answers when it is given a permit.
-struct HeldServer {
-    begun: Rc<Semaphore>,
+/// Backend server whose answers each wait for a permit.
+struct PermitServer {
+    started: Rc<Semaphore>,
     permits: Rc<Semaphore>,
 }
 
-impl HttpHandler for HeldServer {
+impl HttpHandler for PermitServer {
     fn handle(&self, _request: Request) -> ReplyFuture {
         let permits = Rc::clone(&self.permits);
-        self.begun.add_permits(1);
+        self.started.add_permits(1);
         Box::pin(async move {
-            let _held = permits.acquire().await;
+            let _permit = permits.acquire().await;
             http_reply::text(StatusCode::OK, "a whole answer")
         })
     }
@@ -57,9 +57,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The node's listener for other nodes, for a server of one slot and a
-/// queue of `room`.
-fn node(server: SocketAddr, room: usize) -> HttpListener {
+/// Starts a node's listener for other nodes, in front of a server with one slot
+/// and with a queue for `queue_calls` calls.
+fn spawn_node(server: SocketAddr, queue_calls: usize) -> HttpListener {
     let (records, _) = mpsc::unbounded_channel();
     let place = GatePlace {
         instance: "records-1".into(),
@@ -75,7 +75,7 @@
     };
     let bounds = QueueBounds {
         slots_floor: 25,
-        calls: room,
+        calls: queue_calls,
         wait: Duration::from_secs(60),
     };
     let bounds = GateBounds::from([("records".into(), bounds)]);
@@ -83,7 +83,7 @@
     let announce = GateMessage::Announce(announced, server, reply);
     gate.send(announce).unwrap();
     gate.send(GateMessage::Configure(bounds)).unwrap();
-    let desk = PeerProxy {
+    let proxy = PeerProxy {
         pools: CallPools::new(),
         dialect: Rc::default(),
         view: GateView::default(),
@@ -94,15 +94,15 @@
         log: CallLog::new("server"),
         metrics: CallMetrics::new(&mut Registry::default(), "server"),
     };
-    HttpListener::bind(loopback(), 100, Rc::new(PeerHandler::new(desk))).unwrap()
+    HttpListener::bind(loopback(), 100, Rc::new(PeerHandler::new(proxy))).unwrap()
 }
 
-/// What an entry node receives.
+/// Parts of the answer that an entry node receives.
 struct Answer {
     status: u16,
     reason: Option<String>,
     verdict: Option<String>,
-    comes_back: bool,
+    has_retry_after: bool,
 }
 
 async fn call(node: SocketAddr) -> Answer {
@@ -122,38 +122,38 @@
         status: response.status().as_u16(),
         reason: text(call_headers::REASON),
         verdict: text(call_headers::VERDICT),
-        comes_back: text("retry-after").is_some(),
+        has_retry_after: text("retry-after").is_some(),
     }
 }
 
-// Three buyers ask a server of one slot whose queue holds one. The first
-// runs and one waits; the other must read at once that nothing has run, why,
-// and when to come back, while the two are still held. They then get whole
-// answers.
+// Guards against a call that waits although the queue is full, or that is refused
+// without a reason, verdict or retry time. Three calls go to a server with one
+// slot and a queue for one call: while one runs and one waits, the third is
+// refused at once. The other two then get complete answers.
 #[test]
-fn one_runs_one_waits_and_one_is_told_at_once() {
+fn call_beyond_full_queue_is_refused_at_once() {
     actix_rt::System::new().block_on(async {
-        let begun = Rc::new(Semaphore::new(0));
+        let started = Rc::new(Semaphore::new(0));
         let permits = Rc::new(Semaphore::new(0));
-        let server = HeldServer {
-            begun: Rc::clone(&begun),
+        let server = PermitServer {
+            started: Rc::clone(&started),
             permits: Rc::clone(&permits),
         };
         let server = HttpListener::bind(loopback(), 10, Rc::new(server)).unwrap();
-        let node = node(server.address(), 1);
+        let node = spawn_node(server.address(), 1);
         let address = node.address();
         let first = actix_rt::spawn(call(address));
-        begun.acquire().await.unwrap().forget();
+        started.acquire().await.unwrap().forget();
         let (answers, mut received) = mpsc::unbounded_channel();
         for _ in 0..2 {
             let answers = answers.clone();
             actix_rt::spawn(async move { answers.send(call(address).await).ok() });
         }
-        let told = received.recv().await.unwrap();
-        assert_eq!(told.status, 503);
-        assert_eq!(told.reason.as_deref(), Some("queue-full"));
-        assert_eq!(told.verdict.as_deref(), Some("not-run"));
-        assert!(told.comes_back);
+        let refused = received.recv().await.unwrap();
+        assert_eq!(refused.status, 503);
+        assert_eq!(refused.reason.as_deref(), Some("queue-full"));
+        assert_eq!(refused.verdict.as_deref(), Some("not-run"));
+        assert!(refused.has_retry_after);
         permits.add_permits(1);
         let waited = received.recv().await.unwrap();
         for answer in [first.await.unwrap(), waited] {
