--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -27,9 +27,9 @@
 use crate::call_log::CallLog;
 use crate::call_metrics::CallMetrics;
 use crate::call_pools::CallPools;
-use crate::claim_desk::ClaimDesk;
-use crate::entry_handler::EntryDesk;
+use crate::claim_client::ClaimClient;
 use crate::entry_handler::EntryHandler;
+use crate::entry_handler::EntryProxy;
 use crate::entry_task;
 use crate::evidence_task;
 use crate::follow_metrics::FollowMetrics;
@@ -45,8 +45,8 @@
 use crate::local_handler::LocalHandler;
 use crate::node_settings::NodeSettings;
 use crate::node_stage::NodeStage;
-use crate::peer_handler::PeerDesk;
 use crate::peer_handler::PeerHandler;
+use crate::peer_handler::PeerProxy;
 use crate::server_check;
 use crate::server_check::ServerExpectation;
 
@@ -237,8 +237,11 @@
             control.clone(),
             settings.evidence_pause,
         );
-        let claims =
-            ClaimDesk::new(Arc::clone(&settings.instance), entry.clone(), peers.clone());
+        let claims = ClaimClient::new(
+            Arc::clone(&settings.instance),
+            entry.clone(),
+            peers.clone(),
+        );
         actix_rt::spawn(follow_task::publish(control, seed, peers, published));
         actix_rt::spawn(server_check::run(
             Rc::clone(&pools),
@@ -246,7 +249,7 @@
             checks,
             gate.clone(),
         ));
-        let desk = Rc::new(EntryDesk {
+        let desk = Rc::new(EntryProxy {
             pools: Rc::clone(&pools),
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
@@ -257,14 +260,14 @@
             metrics: entry_metrics,
             log: CallLog::new("entry"),
         });
-        let peer_desk = PeerDesk {
+        let peer_desk = PeerProxy {
             pools,
             dialect,
             view: gate_view,
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
-            tickets: Cell::new(0),
+            next_ticket: Cell::new(0),
             metrics: server_metrics,
             log: CallLog::new("server"),
         };
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -130,13 +130,13 @@
         headers,
         echoed: dialect.request_id.clone(),
     };
-    let mut body = CallBody::Held(Bytes::new());
+    let mut body = CallBody::Buffered(Bytes::new());
     let sending = pools.send(check.address, &request, &mut body, CHECK_TIME);
     let mut answer = sending.await.ok()?;
     if answer.head.status != StatusCode::OK {
         return None;
     }
-    let run = answer.head.headers().get(&dialect.healthy_run)?;
+    let run = answer.head.headers().get(&dialect.health_page_run)?;
     let run = Arc::from(run.to_str().ok()?);
     answer.body.hold(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
