--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -45,7 +45,7 @@
 
 /// Longest deadline of a call with a key: a fifth of [`KEEP_TIME`], so that
 /// a run has ended well before its key may be forgotten.
-pub const RUN_TIME_MAX: Duration = Duration::from_secs(60);
+pub const KEYED_DEADLINE_MAX: Duration = Duration::from_secs(60);
 
 /// Greatest difference assumed between the wall clocks of two nodes. Clocks
 /// that follow NTP stay within a tenth of it.
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 use cowslip_core::claim::RunEnd;
-use cowslip_core::claim::RUN_TIME_MAX;
+use cowslip_core::claim::KEYED_DEADLINE_MAX;
 use cowslip_core::entry_router::CallOrigin;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::deadline_budget;
@@ -261,7 +261,7 @@
             }
         };
         let running = self.run(id, planned, parts, body);
-        match actix_rt::time::timeout(RUN_TIME_MAX, running).await {
+        match actix_rt::time::timeout(KEYED_DEADLINE_MAX, running).await {
             Ok(Ok(reply)) => keyed_call::keep(&self.claims, claim, reply).await,
             Ok(Err(refusal)) => {
                 let end = RunEnd::refused(refusal.verdict);
