--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -206,7 +206,7 @@
     /// It ran, with this answer.
     Answered(KeptAnswer),
     /// It ran, and its answer is too large to keep.
-    AnsweredLarge,
+    AnswerTooLarge,
 }
 
 impl RunEnd {
@@ -216,7 +216,7 @@
             Self::NotRun => Some(ClaimState::Released),
             Self::Unknown => None,
             Self::Answered(answer) => Some(ClaimState::Answered(answer)),
-            Self::AnsweredLarge => Some(ClaimState::AnswerNotKept),
+            Self::AnswerTooLarge => Some(ClaimState::AnswerNotKept),
         }
     }
 
--- a/crates/node/src/keyed_call.rs
+++ b/crates/node/src/keyed_call.rs
@@ -120,7 +120,7 @@
         };
         kept.extend_from_slice(&chunk);
         if kept.len() > room {
-            claims.end(claim, RunEnd::AnsweredLarge).await;
+            claims.end(claim, RunEnd::AnswerTooLarge).await;
             return Ok(head.set_body(rejoin(kept.freeze(), body, size)));
         }
     }
