--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -221,7 +221,7 @@
     }
 
     /// The end of a run that was refused with `verdict`.
-    pub fn refused(verdict: CallVerdict) -> Self {
+    pub fn from_verdict(verdict: CallVerdict) -> Self {
         match verdict {
             CallVerdict::NotRun => Self::NotRun,
             CallVerdict::MayHaveRun | CallVerdict::Ran => Self::Unknown,
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -264,7 +264,7 @@
         match actix_rt::time::timeout(KEYED_DEADLINE_MAX, running).await {
             Ok(Ok(reply)) => keyed_call::keep(&self.claims, claim, reply).await,
             Ok(Err(refusal)) => {
-                let end = RunEnd::refused(refusal.verdict);
+                let end = RunEnd::from_verdict(refusal.verdict);
                 self.claims.end(claim, end).await;
                 Err(refusal)
             }
