--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -211,7 +211,7 @@
 
 impl RunEnd {
     /// What to write; `None` where the claim stays.
-    pub fn state(self) -> Option<ClaimState> {
+    pub fn into_state(self) -> Option<ClaimState> {
         match self {
             Self::NotRun => Some(ClaimState::Released),
             Self::Unknown => None,
--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_desk.rs
@@ -210,7 +210,7 @@
     /// Writes how a granted run ended; waits for it a short while and goes on
     /// behind the caller's back after that.
     pub async fn end(self: &Rc<Self>, claim: OpenClaim, end: RunEnd) {
-        let Some(state) = end.state() else {
+        let Some(state) = end.into_state() else {
             return;
         };
         let desk = Rc::clone(self);
