--- a/crates/core/src/claim/holder.rs
+++ b/crates/core/src/claim/holder.rs
@@ -156,7 +156,7 @@
         if now >= self.started + KEEP_TIME + CLOCK_SKEW {
             return true;
         }
-        let born = key.born_ms.map(Duration::from_millis);
+        let born = key.created_ms.map(Duration::from_millis);
         born.is_some_and(|born| born > self.started + 2 * CLOCK_SKEW)
     }
 
--- a/crates/core/src/claim/key.rs
+++ b/crates/core/src/claim/key.rs
@@ -51,7 +51,8 @@
     pub digest: KeyDigest,
     /// When the caller made the key, in milliseconds since 1970, where the
     /// key tells: version 7 UUIDs do.
-    pub born_ms: Option<u64>,
+    #[serde(rename = "born_ms")]
+    pub created_ms: Option<u64>,
 }
 
 impl ClaimKey {
@@ -60,7 +61,7 @@
         let parts = [customer.as_bytes(), path.as_bytes(), key.as_bytes()];
         Self {
             digest: KeyDigest::of(&parts),
-            born_ms: uuid_time(key),
+            created_ms: uuid_time(key),
         }
     }
 }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -95,7 +95,7 @@
         let mut named = ClaimKey::new("anna", "/contracts", &format!("key-{key}"));
         if key.is_multiple_of(2) {
             let latest = (self.now + CLOCK_SKEW).as_millis() as u64;
-            named.born_ms = Some(*self.born.entry(key).or_insert(latest));
+            named.created_ms = Some(*self.born.entry(key).or_insert(latest));
         }
         named
     }
@@ -399,7 +399,7 @@
     assert_eq!(world.outcome(key, "sale", 2), ClaimOutcome::NoMajority);
     let mut young = ClaimKey::new("anna", "/contracts", "young");
     let later = world.now + 2 * CLOCK_SKEW + Duration::from_millis(1);
-    young.born_ms = Some(later.as_millis() as u64);
+    young.created_ms = Some(later.as_millis() as u64);
     assert_eq!(world.outcome(young, "sale", 3), ClaimOutcome::Granted);
     world.now += KEEP_TIME + CLOCK_SKEW;
     assert_eq!(world.outcome(key, "sale", 4), ClaimOutcome::Granted);
--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_desk.rs
@@ -136,7 +136,7 @@
         // Guards against a key whose time lies ahead: holders would take it
         // for younger than their own start and vote on what they forgot.
         let latest = (wall_clock::since_epoch() + CLOCK_SKEW).as_millis() as u64;
-        if call.key.born_ms.is_some_and(|born| born > latest) {
+        if call.key.created_ms.is_some_and(|born| born > latest) {
             return Err(refused(RefusalReason::BadHeader, CallVerdict::NotRun));
         }
         let mut claim = self.prepare(call, ClaimProposal::claim).await;
