--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -111,7 +111,7 @@
 
     /// Only looks how the key stands, for a call that does not run now but
     /// may have run before.
-    pub fn look(subject: ClaimSubject) -> Self {
+    pub fn inspect(subject: ClaimSubject) -> Self {
         Self::new(subject, ClaimIntent::Look)
     }
 
--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_desk.rs
@@ -159,7 +159,7 @@
         call: KeyedCall,
         refusal: CallRefusal,
     ) -> ClaimDenial {
-        let mut claim = self.prepare(call, ClaimProposal::look).await;
+        let mut claim = self.prepare(call, ClaimProposal::inspect).await;
         let step = claim.proposal.begin();
         match self.drive(&mut claim, step).await {
             ClaimOutcome::Free => ClaimDenial::Refused(refusal),
