--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -215,13 +215,13 @@
                 self.outbid = Some(self.outbid.unwrap_or(0).max(round));
                 self.vote(holder, HolderVote::Against)
             }
-            (_, ClaimReply::Abstains { .. }) => self.lost(holder),
+            (_, ClaimReply::Abstains { .. }) => self.holder_unavailable(holder),
             _ => ClaimStep::Wait,
         }
     }
 
     /// A holder did not answer in time, or cannot be reached.
-    pub fn lost(&mut self, holder: &Arc<str>) -> ClaimStep {
+    pub fn holder_unavailable(&mut self, holder: &Arc<str>) -> ClaimStep {
         if self.votes.contains_key(holder) {
             return ClaimStep::Wait;
         }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -293,7 +293,7 @@
         WorldStep::GiveUp(pick, holder) if !world.claimants.is_empty() => {
             let at = pick % world.claimants.len();
             if let Some(proposal) = &mut world.claimants[at] {
-                let step = proposal.lost(&name(holder));
+                let step = proposal.holder_unavailable(&name(holder));
                 world.take(at, step);
             }
         }
--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_desk.rs
@@ -318,7 +318,7 @@
 fn take(proposal: &mut ClaimProposal, stage: u32, reply: HolderReply) -> ClaimStep {
     match reply.reply {
         Some(answer) => proposal.handle(&reply.holder, answer),
-        None if reply.stage == stage => proposal.lost(&reply.holder),
+        None if reply.stage == stage => proposal.holder_unavailable(&reply.holder),
         None => ClaimStep::Wait,
     }
 }
