--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -47,7 +47,7 @@
     /// No majority of the holders votes; nothing was granted.
     NoMajority,
     /// The end of the run is written.
-    Settled,
+    EndWritten,
     /// Looked at only: no run stands under the key.
     Free,
 }
@@ -271,7 +271,7 @@
         }
         let outcome = match self.intent {
             ClaimIntent::Run | ClaimIntent::Look => ClaimOutcome::Granted,
-            ClaimIntent::End(_) => ClaimOutcome::Settled,
+            ClaimIntent::End(_) => ClaimOutcome::EndWritten,
         };
         self.over(outcome)
     }
@@ -286,7 +286,7 @@
             },
             ClaimIntent::End(state) => {
                 let write = self.ended(state, standing);
-                write.ok_or(ClaimOutcome::Settled)
+                write.ok_or(ClaimOutcome::EndWritten)
             }
         };
         let write = match write {
--- a/crates/node/src/claim_desk.rs
+++ b/crates/node/src/claim_desk.rs
@@ -105,7 +105,7 @@
         // sends of the call.
         ClaimOutcome::NoMajority
         | ClaimOutcome::Granted
-        | ClaimOutcome::Settled
+        | ClaimOutcome::EndWritten
         | ClaimOutcome::Free => {
             refused(RefusalReason::ClaimNoMajority, CallVerdict::MayHaveRun)
         }
@@ -222,7 +222,7 @@
         let (proposal, request) = claim.proposal.end_granted(state.clone());
         claim.proposal = proposal;
         let first = self.drive(&mut claim, ClaimStep::Send(request)).await;
-        if first != ClaimOutcome::Settled {
+        if first != ClaimOutcome::EndWritten {
             self.write_again(claim, state).await;
         }
     }
@@ -242,7 +242,7 @@
         for _ in 0..END_TRIES {
             claim.proposal = claim.proposal.end(state.clone());
             let step = claim.proposal.begin();
-            if self.drive(&mut claim, step).await == ClaimOutcome::Settled {
+            if self.drive(&mut claim, step).await == ClaimOutcome::EndWritten {
                 return;
             }
             actix_rt::time::sleep(END_PAUSE).await;
