--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -159,11 +159,11 @@
     let began = Instant::now();
     for number in 0..KEYS {
         let key = ClaimKey::new("anna", "/contracts", &number.to_string());
-        black_box(roster.sets(&key.digest));
+        black_box(roster.holder_sets(&key.digest));
     }
     let draw = began.elapsed();
     let mut held = holders();
-    let sets = roster.sets(&KeyDigest::of(&[b"any"]));
+    let sets = roster.holder_sets(&KeyDigest::of(&[b"any"]));
     let began = Instant::now();
     for number in 0..KEYS {
         black_box(call(subject(number, sets.clone()), &mut held, &mut None));
@@ -187,7 +187,7 @@
 
 fn memory() {
     for keys in [1_000, 5_000, 10_000] {
-        let sets = roster(9).sets(&KeyDigest::of(&[b"any"]));
+        let sets = roster(9).holder_sets(&KeyDigest::of(&[b"any"]));
         let mut held = holders();
         let before = HELD.load(Ordering::Relaxed);
         for number in 0..keys {
--- a/crates/core/src/claim/roster.rs
+++ b/crates/core/src/claim/roster.rs
@@ -65,7 +65,7 @@
     }
 
     /// The sets of holders of a key; a majority of each decides.
-    pub fn sets(&self, key: &KeyDigest) -> Vec<Vec<Arc<str>>> {
+    pub fn holder_sets(&self, key: &KeyDigest) -> Vec<Vec<Arc<str>>> {
         let set = draw(&self.seats, key);
         if self.before.is_empty() {
             return vec![set];
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -145,7 +145,7 @@
         if roster.is_empty() {
             return Vec::new();
         }
-        roster.sets(key)
+        roster.holder_sets(key)
     }
 
     /// Replaces the snapshot in use. Returns `Ok(false)` if the new one is not
