--- a/crates/control/src/roster_task.rs
+++ b/crates/control/src/roster_task.rs
@@ -10,7 +10,7 @@
 use cowslip_core::change::ChangeEntry;
 use cowslip_core::change::ConfigChange;
 use cowslip_core::claim::HolderRoster;
-use cowslip_core::claim::RosterKeeper;
+use cowslip_core::claim::RosterPlanner;
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::wall_clock;
 
@@ -25,11 +25,11 @@
 /// Watches for ever; proposes changes while this instance leads.
 pub async fn run(agreed: AgreedHandle, fanout: mpsc::Sender<FanoutMessage>) {
     let started = Instant::now();
-    let mut keeper = RosterKeeper::default();
+    let mut planner = RosterPlanner::default();
     loop {
         actix_rt::time::sleep(LOOK_EVERY).await;
         if !agreed.leader.borrow().leading() {
-            keeper = RosterKeeper::default();
+            planner = RosterPlanner::default();
             continue;
         }
         let Some(snapshot) = fanout_task::ask(&fanout, FanoutMessage::Show).await else {
@@ -44,7 +44,7 @@
             continue;
         }
         let held = &snapshot.document.holders;
-        let wanted = keeper.handle(started.elapsed(), held, &records);
+        let wanted = planner.handle(started.elapsed(), held, &records);
         if let Some(roster) = wanted {
             propose(&agreed, snapshot.version, roster).await;
         }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -30,7 +30,7 @@
 pub use self::proposal::ClaimSubject;
 pub use self::roster::HolderRoster;
 pub use self::roster::HolderSeat;
-pub use self::roster::RosterKeeper;
+pub use self::roster::RosterPlanner;
 
 mod bytes;
 mod holder;
--- a/crates/core/src/claim/roster.rs
+++ b/crates/core/src/claim/roster.rs
@@ -137,14 +137,14 @@
 /// The leader's watch over the roster: says when it is to change. Its times
 /// begin anew with each leader, which only makes a change later.
 #[derive(Debug, Default)]
-pub struct RosterKeeper {
+pub struct RosterPlanner {
     known: Vec<HolderSeat>,
     known_since: Duration,
     both_since: Option<Duration>,
     gone_since: BTreeMap<Arc<str>, Duration>,
 }
 
-impl RosterKeeper {
+impl RosterPlanner {
     /// Looks at the roster in force and the directory; the roster to propose,
     /// if it is to change.
     pub fn handle(
