--- a/crates/core/src/server_presence.rs
+++ b/crates/core/src/server_presence.rs
@@ -90,7 +90,7 @@
 
     /// Nothing listens at the server's address. True where it is to be
     /// withdrawn now.
-    pub fn unreachable(&mut self) -> bool {
+    pub fn mark_unreachable(&mut self) -> bool {
         let news = !self.lost && !self.node_stopping && self.draining_since.is_none();
         self.lost |= news;
         news
--- a/crates/core/tests/server_presence.rs
+++ b/crates/core/tests/server_presence.rs
@@ -44,7 +44,7 @@
     presence.stop();
     let again = presence.announce(Duration::from_secs(3_600), address(1), 0);
     assert_eq!(again, Err(PresenceRefusal::NodeStopping));
-    assert!(!presence.unreachable());
+    assert!(!presence.mark_unreachable());
     assert!(!presence.reachable());
 }
 
@@ -54,10 +54,10 @@
 #[test]
 fn a_lost_server_comes_back_and_a_drained_one_does_not() {
     let mut presence = ServerPresence::default();
-    assert!(presence.unreachable());
-    assert!(!presence.unreachable());
+    assert!(presence.mark_unreachable());
+    assert!(!presence.mark_unreachable());
     assert!(presence.reachable());
     presence.drain(Duration::ZERO);
-    assert!(!presence.unreachable());
+    assert!(!presence.mark_unreachable());
     assert!(!presence.reachable());
 }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -387,7 +387,7 @@
             return;
         }
         if result == ProbeResult::Refused {
-            if self.presence.unreachable() {
+            if self.presence.mark_unreachable() {
                 self.withdraw("server-lost");
             }
             return;
