--- a/crates/core/src/server_presence.rs
+++ b/crates/core/src/server_presence.rs
@@ -98,7 +98,7 @@
 
     /// Something listens there again. True where the server is to be offered
     /// again: it did not say that it leaves, nor announce itself meanwhile.
-    pub fn reachable(&mut self) -> bool {
+    pub fn mark_reachable(&mut self) -> bool {
         let back = self.lost && !self.node_stopping && self.draining_since.is_none();
         self.lost = false;
         back
--- a/crates/core/tests/server_presence.rs
+++ b/crates/core/tests/server_presence.rs
@@ -45,7 +45,7 @@
     let again = presence.announce(Duration::from_secs(3_600), address(1), 0);
     assert_eq!(again, Err(PresenceRefusal::NodeStopping));
     assert!(!presence.mark_unreachable());
-    assert!(!presence.reachable());
+    assert!(!presence.mark_reachable());
 }
 
 // A backend server crashes and something restarts it on the same port. It is
@@ -56,8 +56,8 @@
     let mut presence = ServerPresence::default();
     assert!(presence.mark_unreachable());
     assert!(!presence.mark_unreachable());
-    assert!(presence.reachable());
+    assert!(presence.mark_reachable());
     presence.drain(Duration::ZERO);
     assert!(!presence.mark_unreachable());
-    assert!(!presence.reachable());
+    assert!(!presence.mark_reachable());
 }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -349,7 +349,7 @@
 
     /// A run that was lost reports again, or says something new of itself.
     fn go_on(&mut self, server: AnnouncedServer) {
-        let back = self.presence.reachable();
+        let back = self.presence.mark_reachable();
         if !back && self.gate.announced() == Some(&server) {
             return;
         }
@@ -392,7 +392,7 @@
             }
             return;
         }
-        if !self.presence.reachable() {
+        if !self.presence.mark_reachable() {
             return;
         }
         if let Some(server) = self.gate.announced().cloned() {
