--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -45,7 +45,7 @@
 
 impl ServerRuns {
     /// Takes a report.
-    pub fn hear(&mut self, report: RunReport) -> ReportEffect {
+    pub fn apply(&mut self, report: RunReport) -> ReportEffect {
         let Some(held) = &mut self.held else {
             return self.begin(report);
         };
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -22,14 +22,14 @@
 fn a_late_report_of_a_crashed_run_changes_nothing() {
     let mut runs = ServerRuns::default();
     assert_eq!(
-        runs.hear(report("i-1", 100, 1, false)),
+        runs.apply(report("i-1", 100, 1, false)),
         ReportEffect::Begins
     );
     assert_eq!(
-        runs.hear(report("i-2", 200, 1, false)),
+        runs.apply(report("i-2", 200, 1, false)),
         ReportEffect::Begins
     );
-    assert_eq!(runs.hear(report("i-1", 100, 9, false)), ReportEffect::Stale);
+    assert_eq!(runs.apply(report("i-1", 100, 9, false)), ReportEffect::Stale);
     assert_eq!(runs.run().map(|run| &**run), Some("i-2"));
 }
 
@@ -39,15 +39,15 @@
 #[test]
 fn a_leaving_run_is_not_revived_but_its_next_start_is() {
     let mut runs = ServerRuns::default();
-    runs.hear(report("i-1", 100, 1, false));
-    assert_eq!(runs.hear(report("i-1", 100, 3, true)), ReportEffect::Leaves);
-    assert_eq!(runs.hear(report("i-1", 100, 2, false)), ReportEffect::Stale);
+    runs.apply(report("i-1", 100, 1, false));
+    assert_eq!(runs.apply(report("i-1", 100, 3, true)), ReportEffect::Leaves);
+    assert_eq!(runs.apply(report("i-1", 100, 2, false)), ReportEffect::Stale);
     assert_eq!(
-        runs.hear(report("i-1", 100, 4, false)),
+        runs.apply(report("i-1", 100, 4, false)),
         ReportEffect::Leaves
     );
     assert_eq!(
-        runs.hear(report("i-1", 300, 1, false)),
+        runs.apply(report("i-1", 300, 1, false)),
         ReportEffect::Begins
     );
 }
@@ -57,12 +57,12 @@
 #[test]
 fn a_goodbye_ends_its_own_run_alone() {
     let mut runs = ServerRuns::default();
-    runs.hear(report("i-1", 300, 1, false));
+    runs.apply(report("i-1", 300, 1, false));
     assert!(!runs.leave("i-2", None));
     assert!(!runs.leave("i-1", Some(100)));
     assert!(runs.leave("i-1", Some(300)));
     assert_eq!(
-        runs.hear(report("i-1", 300, 2, false)),
+        runs.apply(report("i-1", 300, 2, false)),
         ReportEffect::Leaves
     );
 }
@@ -74,7 +74,7 @@
     let mut runs = ServerRuns::default();
     assert!(runs.find(&"i-1".into()));
     assert_eq!(
-        runs.hear(report("i-1", 100, 7, false)),
+        runs.apply(report("i-1", 100, 7, false)),
         ReportEffect::Begins
     );
     assert!(!runs.find(&"i-0".into()));
@@ -95,7 +95,7 @@
         for (at, sequence) in sequences.iter().enumerate() {
             let leaving = at == leaves_at;
             left |= leaving;
-            let effect = runs.hear(report("i-1", 1, *sequence, leaving));
+            let effect = runs.apply(report("i-1", 1, *sequence, leaving));
             let works = matches!(effect, ReportEffect::Begins | ReportEffect::GoesOn);
             prop_assert!(!(left && works));
         }
@@ -112,9 +112,9 @@
         let mut runs = ServerRuns::default();
         assert!(runs.find(&"i-1".into()));
         assert!(runs.leave("i-1", born_ms), "{born_ms:?}");
-        let late = runs.hear(report("i-1", 100, 1, false));
+        let late = runs.apply(report("i-1", 100, 1, false));
         assert_eq!(late, ReportEffect::Leaves, "{born_ms:?}");
-        let next = runs.hear(report("i-1", 300, 1, false));
+        let next = runs.apply(report("i-1", 300, 1, false));
         assert_eq!(next, ReportEffect::Begins, "{born_ms:?}");
     }
 }
@@ -127,11 +127,11 @@
     runs.leave("i-1", Some(100));
     assert!(!runs.find(&"i-1".into()));
     assert_eq!(
-        runs.hear(report("i-1", 100, 1, false)),
+        runs.apply(report("i-1", 100, 1, false)),
         ReportEffect::Leaves
     );
     assert_eq!(
-        runs.hear(report("i-2", 200, 1, false)),
+        runs.apply(report("i-2", 200, 1, false)),
         ReportEffect::Begins
     );
 }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -303,7 +303,7 @@
 
     fn report(&mut self, now: Duration, report: ServerReport) {
         let run = Arc::clone(&report.run.run);
-        match self.runs.hear(report.run) {
+        match self.runs.apply(report.run) {
             ReportEffect::Stale => {
                 info!(
                     "event=report-stale process=node instance={} run={run}",
