--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -78,7 +78,7 @@
 
     /// The run of this name has left, or is about to; `born_ms` where known.
     /// True where it is the one heard last.
-    pub fn leave(&mut self, run: &str, born_ms: Option<u64>) -> bool {
+    pub fn deregister(&mut self, run: &str, born_ms: Option<u64>) -> bool {
         let Some(held) = &mut self.held else {
             // Guards against a server found by its health page, or revived by
             // a report that was held up, after its goodbye was acknowledged.
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -58,9 +58,9 @@
 fn a_goodbye_ends_its_own_run_alone() {
     let mut runs = ServerRuns::default();
     runs.apply(report("i-1", 300, 1, false));
-    assert!(!runs.leave("i-2", None));
-    assert!(!runs.leave("i-1", Some(100)));
-    assert!(runs.leave("i-1", Some(300)));
+    assert!(!runs.deregister("i-2", None));
+    assert!(!runs.deregister("i-1", Some(100)));
+    assert!(runs.deregister("i-1", Some(300)));
     assert_eq!(
         runs.apply(report("i-1", 300, 2, false)),
         ReportEffect::Leaves
@@ -111,7 +111,7 @@
     for born_ms in [None, Some(100)] {
         let mut runs = ServerRuns::default();
         assert!(runs.find(&"i-1".into()));
-        assert!(runs.leave("i-1", born_ms), "{born_ms:?}");
+        assert!(runs.deregister("i-1", born_ms), "{born_ms:?}");
         let late = runs.apply(report("i-1", 100, 1, false));
         assert_eq!(late, ReportEffect::Leaves, "{born_ms:?}");
         let next = runs.apply(report("i-1", 300, 1, false));
@@ -124,7 +124,7 @@
 #[test]
 fn a_goodbye_before_anything_else_counts() {
     let mut runs = ServerRuns::default();
-    runs.leave("i-1", Some(100));
+    runs.deregister("i-1", Some(100));
     assert!(!runs.find(&"i-1".into()));
     assert_eq!(
         runs.apply(report("i-1", 100, 1, false)),
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -231,7 +231,7 @@
                 }
             }
             GateMessage::Left(run, born_ms, reply) => {
-                if self.runs.leave(&run, born_ms) {
+                if self.runs.deregister(&run, born_ms) {
                     self.presence.drain(now);
                     self.withdraw("left");
                 }
