--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -103,7 +103,7 @@
 
     /// A run was found before it reported. True where none has reported yet;
     /// its first report begins it anew, since it says more.
-    pub fn find(&mut self, run: &Arc<str>) -> bool {
+    pub fn discover(&mut self, run: &Arc<str>) -> bool {
         let first = self.held.is_none();
         if first {
             self.held = Some(RunReport {
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -72,12 +72,12 @@
 #[test]
 fn a_found_run_gives_way_to_its_report() {
     let mut runs = ServerRuns::default();
-    assert!(runs.find(&"i-1".into()));
+    assert!(runs.discover(&"i-1".into()));
     assert_eq!(
         runs.apply(report("i-1", 100, 7, false)),
         ReportEffect::Begins
     );
-    assert!(!runs.find(&"i-0".into()));
+    assert!(!runs.discover(&"i-0".into()));
     assert_eq!(runs.run().map(|run| &**run), Some("i-1"));
 }
 
@@ -110,7 +110,7 @@
 fn a_run_that_was_found_leaves_with_its_goodbye() {
     for born_ms in [None, Some(100)] {
         let mut runs = ServerRuns::default();
-        assert!(runs.find(&"i-1".into()));
+        assert!(runs.discover(&"i-1".into()));
         assert!(runs.deregister("i-1", born_ms), "{born_ms:?}");
         let late = runs.apply(report("i-1", 100, 1, false));
         assert_eq!(late, ReportEffect::Leaves, "{born_ms:?}");
@@ -125,7 +125,7 @@
 fn a_goodbye_before_anything_else_counts() {
     let mut runs = ServerRuns::default();
     runs.deregister("i-1", Some(100));
-    assert!(!runs.find(&"i-1".into()));
+    assert!(!runs.discover(&"i-1".into()));
     assert_eq!(
         runs.apply(report("i-1", 100, 1, false)),
         ReportEffect::Leaves
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -226,7 +226,7 @@
                 let _ = reply.send(());
             }
             GateMessage::Found(run, server, address) => {
-                if self.runs.find(&run) {
+                if self.runs.discover(&run) {
                     self.begin_run(&run, server, address);
                 }
             }
