--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -32,7 +32,7 @@
     /// The run takes work; the first report of it that says so.
     Begins,
     /// The run takes work, as before.
-    GoesOn,
+    Continues,
     /// The run takes no more work.
     Leaves,
 }
@@ -73,7 +73,7 @@
             held.leaving = true;
             return ReportEffect::Leaves;
         }
-        ReportEffect::GoesOn
+        ReportEffect::Continues
     }
 
     /// The run of this name has left, or is about to; `born_ms` where known.
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -96,7 +96,7 @@
             let leaving = at == leaves_at;
             left |= leaving;
             let effect = runs.apply(report("i-1", 1, *sequence, leaving));
-            let works = matches!(effect, ReportEffect::Begins | ReportEffect::GoesOn);
+            let works = matches!(effect, ReportEffect::Begins | ReportEffect::Continues);
             prop_assert!(!(left && works));
         }
     }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -311,7 +311,7 @@
                 );
             }
             ReportEffect::Begins => self.begin_run(&run, report.server, report.address),
-            ReportEffect::GoesOn => self.go_on(report.server),
+            ReportEffect::Continues => self.go_on(report.server),
             ReportEffect::Leaves => {
                 if !self.gate.is_draining() {
                     self.presence.drain(now);
