--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -17,7 +17,7 @@
     /// Names the run; a restarted server may use the same name.
     pub run: Arc<str>,
     /// Start of the run by its own clock, milliseconds since 1970.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Grows with every report of the run.
     pub sequence: u64,
     /// True where it leaves.
@@ -52,14 +52,14 @@
         // Guards against a report that was held up until after the goodbye of
         // a run that was only found: taken for the first of another run, it
         // would bring calls back to a server that ends.
-        if held.born_ms == BORN_UNKNOWN && held.leaving && held.run == report.run {
-            held.born_ms = report.born_ms;
+        if held.started_ms == BORN_UNKNOWN && held.leaving && held.run == report.run {
+            held.started_ms = report.started_ms;
         }
-        let same = held.run == report.run && held.born_ms == report.born_ms;
+        let same = held.run == report.run && held.started_ms == report.started_ms;
         if !same {
             // Guards against a report of a run that has crashed meanwhile:
             // what it says of its slots and version is no longer true.
-            if report.born_ms < held.born_ms {
+            if report.started_ms < held.started_ms {
                 return ReportEffect::Stale;
             }
             return self.begin(report);
@@ -76,15 +76,15 @@
         ReportEffect::Continues
     }
 
-    /// The run of this name has left, or is about to; `born_ms` where known.
+    /// The run of this name has left, or is about to; `started_ms` where known.
     /// True where it is the one heard last.
-    pub fn deregister(&mut self, run: &str, born_ms: Option<u64>) -> bool {
+    pub fn deregister(&mut self, run: &str, started_ms: Option<u64>) -> bool {
         let Some(held) = &mut self.held else {
             // Guards against a server found by its health page, or revived by
             // a report that was held up, after its goodbye was acknowledged.
             self.held = Some(RunReport {
                 run: run.into(),
-                born_ms: born_ms.unwrap_or(BORN_UNKNOWN),
+                started_ms: started_ms.unwrap_or(BORN_UNKNOWN),
                 sequence: 0,
                 leaving: true,
             });
@@ -93,10 +93,10 @@
         if *held.run != *run {
             return false;
         }
-        if held.born_ms == BORN_UNKNOWN {
-            held.born_ms = born_ms.unwrap_or(BORN_UNKNOWN);
+        if held.started_ms == BORN_UNKNOWN {
+            held.started_ms = started_ms.unwrap_or(BORN_UNKNOWN);
         }
-        let same = born_ms.is_none_or(|born| born == held.born_ms);
+        let same = started_ms.is_none_or(|born| born == held.started_ms);
         held.leaving |= same;
         same
     }
@@ -108,7 +108,7 @@
         if first {
             self.held = Some(RunReport {
                 run: Arc::clone(run),
-                born_ms: BORN_UNKNOWN,
+                started_ms: BORN_UNKNOWN,
                 sequence: 0,
                 leaving: false,
             });
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -6,10 +6,10 @@
 use cowslip_core::server_runs::RunReport;
 use cowslip_core::server_runs::ServerRuns;
 
-fn report(run: &str, born_ms: u64, sequence: u64, leaving: bool) -> RunReport {
+fn report(run: &str, started_ms: u64, sequence: u64, leaving: bool) -> RunReport {
     RunReport {
         run: run.into(),
-        born_ms,
+        started_ms,
         sequence,
         leaving,
     }
@@ -108,14 +108,14 @@
 // and calls were sent to it for as long as it lived.
 #[test]
 fn a_run_that_was_found_leaves_with_its_goodbye() {
-    for born_ms in [None, Some(100)] {
+    for started_ms in [None, Some(100)] {
         let mut runs = ServerRuns::default();
         assert!(runs.discover(&"i-1".into()));
-        assert!(runs.deregister("i-1", born_ms), "{born_ms:?}");
+        assert!(runs.deregister("i-1", started_ms), "{started_ms:?}");
         let late = runs.apply(report("i-1", 100, 1, false));
-        assert_eq!(late, ReportEffect::Leaves, "{born_ms:?}");
+        assert_eq!(late, ReportEffect::Leaves, "{started_ms:?}");
         let next = runs.apply(report("i-1", 300, 1, false));
-        assert_eq!(next, ReportEffect::Begins, "{born_ms:?}");
+        assert_eq!(next, ReportEffect::Begins, "{started_ms:?}");
     }
 }
 
