--- a/crates/control/src/roster_task.rs
+++ b/crates/control/src/roster_task.rs
@@ -44,7 +44,7 @@
             continue;
         }
         let held = &snapshot.document.holders;
-        let wanted = planner.handle(started.elapsed(), held, &records);
+        let wanted = planner.plan(started.elapsed(), held, &records);
         if let Some(roster) = wanted {
             propose(&agreed, snapshot.version, roster).await;
         }
--- a/crates/core/src/claim/roster.rs
+++ b/crates/core/src/claim/roster.rs
@@ -147,7 +147,7 @@
 impl RosterPlanner {
     /// Looks at the roster in force and the directory; the roster to propose,
     /// if it is to change.
-    pub fn handle(
+    pub fn plan(
         &mut self,
         now: Duration,
         roster: &HolderRoster,
