--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,15 +1,16 @@
-//! At most one run of a non-idempotent call, over all of its resends.
+//! At-most-once execution of non-idempotent calls across all resends.
 //!
-//! A call with an `Idempotency-Key` is claimed at a majority of its key's
-//! holders, three nodes in three failure domains, before it may run. Each
-//! key is one register that the holders replicate by ballots, as in
-//! single-decree Paxos: an entry node prepares a ballot at a majority,
-//! learns what may already stand there, and only then writes. The register
-//! goes from empty or released to running, and from running to answered or
-//! back to released; only the claimant of a run leaves the state running.
+//! A call with an `Idempotency-Key` may run only after its key is claimed at
+//! a majority of the key's holders: three nodes in three failure domains.
+//! Each key is a register that the holders replicate with ballots, as in
+//! single-decree Paxos: an entry node prepares a ballot at a majority, learns
+//! which value may already be written, and only then writes. The register
+//! changes from empty or released to running, and from running to answered
+//! or back to released. Only the entry node that claimed the running run may
+//! end it.
 //!
-//! Load pattern: callers that resend after a lost answer, to other nodes,
-//! while nodes come and go. Without it the second run of a batch sale
+//! Load pattern: callers resend through other nodes after an answer was lost,
+//! while nodes join and leave. Without claims a batch sale that ran twice
 //! invoices goods that were never shipped.
 
 use std::sync::Arc;
@@ -38,83 +39,85 @@
 mod proposal;
 mod roster;
 
-/// How long a key is remembered after the last word on it. Callers resend
-/// within seconds or a few minutes; a longer time costs memory at the
-/// holders and makes a restarted holder abstain for longer.
-pub const KEEP_TIME: Duration = Duration::from_secs(300);
+/// How long a holder remembers a key after the last write to it. Callers
+/// resend within seconds or a few minutes. A longer retention costs memory at
+/// the holders and makes a restarted holder abstain for longer.
+pub const KEY_RETENTION: Duration = Duration::from_secs(300);
 
-/// Longest deadline of a call with a key: a fifth of [`KEEP_TIME`], so that
-/// a run has ended well before its key may be forgotten.
+/// Longest deadline of a call with a key: a fifth of [`KEY_RETENTION`], so
+/// that a run ends well before its key may be evicted.
 pub const KEYED_DEADLINE_MAX: Duration = Duration::from_secs(60);
 
-/// Greatest difference assumed between the wall clocks of two nodes. Clocks
-/// that follow NTP stay within a tenth of it.
+/// Largest assumed difference between the wall clocks of two nodes. Clocks
+/// synchronised by NTP stay within a tenth of it.
 pub const CLOCK_SKEW: Duration = Duration::from_secs(1);
 
-/// An entry node that has heard nothing from the source for this long
-/// claims no more: the holders may have changed without it.
+/// How long an entry node may claim keys without hearing from its update
+/// source. After that the holders may have changed without its knowledge.
 pub const ROSTER_LEASE: Duration = Duration::from_secs(600);
 
-/// Largest answer that is kept for resends, head and body, in bytes. An
-/// acceptance or a sale answers with a receipt of a few hundred bytes.
+/// Largest answer, in bytes of headers and body, that is kept for resends.
+/// The answer to an acceptance or a sale is a receipt of a few hundred bytes.
 pub const ANSWER_BYTES_MAX: usize = 64 * 1024;
 
-/// One run of one call; no two runs have the same.
+/// Unique identifier of one run of a call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunToken {
-    /// Instance of the entry node.
+    /// Instance of the entry node that claims the run.
     pub node: Arc<str>,
-    /// Start of that node's process, in milliseconds since 1970.
+    /// Start time of that node's process, in microseconds since the Unix
+    /// epoch.
     pub incarnation: u64,
-    /// Number of the run within the process.
+    /// Sequence number of the run within the process.
     pub serial: u64,
 }
 
-/// A ballot: higher ones win, and no two proposers share one.
+/// A ballot number. Higher ballots win, and no two proposers share one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimBallot {
-    /// Grows with each try.
+    /// Increases with each ballot of a proposer.
     pub round: u64,
-    /// Whose ballot it is.
+    /// Run whose proposer owns the ballot.
     pub token: RunToken,
 }
 
-/// How a key's call stands.
+/// State of the call that a key identifies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Claimed by this run; whether it has reached a backend server is not
-    /// known to anyone else.
+    /// Claimed by this run. Only the claiming entry node knows whether the
+    /// call has reached a backend server.
     Running(RunToken),
-    /// Claimed once, and it did not run: free for the next claim.
+    /// The call was claimed and did not run; the key can be claimed again.
     Released,
-    /// A backend server answered.
+    /// A backend server answered with this.
     Answered(KeptAnswer),
-    /// A backend server answered with more than is kept.
+    /// A backend server answered, and the answer is too large to keep.
     AnswerNotKept,
 }
 
-/// What stands in a key's register.
+/// Value of a key's register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
-    /// Digest of the request, so that a key used for another is noticed.
+    /// Digest of the request; detects a key that is reused for another one.
     pub request: KeyDigest,
-    /// How the call stands.
+    /// State of the call.
     pub state: ClaimState,
 }
 
-/// An answer kept whole for resends.
+/// A complete answer that is kept for resends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers that pass on to callers.
+    /// Headers that are forwarded to callers.
     pub headers: Vec<(Arc<str>, ByteBlob)>,
-    /// The whole body.
+    /// The complete body.
     pub body: ByteBlob,
 }
 
 impl KeptAnswer {
-    /// Bytes it takes, near enough for limits.
+    /// Approximate size in bytes, for checking limits: the body and the names
+    /// and values of the headers.
     pub fn bytes(&self) -> usize {
         let mut bytes = self.body.len();
         for (name, value) in &self.headers {
@@ -124,68 +127,69 @@
     }
 }
 
-/// What an entry node asks of a holder.
+/// A request from an entry node to a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRequest {
-    /// Promise to take no lower ballot, and say what stands.
+    /// Asks the holder to promise to refuse lower ballots, and to return the
+    /// last value it accepted.
     Prepare {
-        /// The key.
+        /// Key whose register is prepared.
         key: ClaimKey,
         /// Ballot to promise.
         ballot: ClaimBallot,
     },
-    /// Write the value under the ballot.
+    /// Asks the holder to write the value under the ballot.
     Accept {
-        /// The key.
+        /// Key whose register is written.
         key: ClaimKey,
         /// Ballot of the write.
         ballot: ClaimBallot,
-        /// What is written; `None` writes that nothing stands.
+        /// Value to write; `None` writes an empty register.
         value: Option<ClaimValue>,
     },
 }
 
-/// What a holder answers. Each names the ballot it belongs to.
+/// A holder's reply. Each variant carries the ballot that it replies to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// Promised; the last write taken, if there is one.
+    /// The ballot is promised.
     Promised {
         /// Ballot promised.
         ballot: ClaimBallot,
-        /// Ballot and value of the last write.
+        /// The last write that the holder accepted, if there is one.
         written: Option<WrittenValue>,
     },
-    /// The write was taken.
+    /// The write was accepted.
     Accepted {
         /// Ballot of the write.
         ballot: ClaimBallot,
     },
-    /// A higher ballot has been promised.
+    /// Refused, because the holder has promised a higher ballot.
     Outbid {
         /// Ballot refused.
         ballot: ClaimBallot,
-        /// Round to exceed.
+        /// Round of the promised ballot, which the next ballot must exceed.
         round: u64,
     },
-    /// The holder cannot vote on this key: it started after the key may
-    /// have been used, or its memory is full.
+    /// The holder may not vote on this key: the key may have been used before
+    /// the holder started, or the holder's memory is full.
     Abstains {
         /// Ballot not voted on.
         ballot: ClaimBallot,
     },
 }
 
-/// A write that a holder has taken.
+/// A write that a holder has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WrittenValue {
-    /// Its ballot.
+    /// Ballot of the write.
     pub ballot: ClaimBallot,
-    /// What was written.
+    /// Value written; `None` for an empty register.
     pub value: Option<ClaimValue>,
 }
 
 impl ClaimReply {
-    /// The ballot it belongs to.
+    /// The ballot that this replies to.
     pub fn ballot(&self) -> &ClaimBallot {
         match self {
             Self::Promised { ballot, .. }
@@ -196,21 +200,21 @@
     }
 }
 
-/// What becomes of a claim when its run is over.
+/// How a claimed run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It certainly did not run: the key is free again.
+    /// The call certainly did not run; its key can be claimed again.
     NotRun,
-    /// Nobody knows; the claim stays as it is.
+    /// It is unknown whether the call ran; the claim stays in place.
     Unknown,
-    /// It ran, with this answer.
+    /// The call ran and was answered with this.
     Answered(KeptAnswer),
-    /// It ran, and its answer is too large to keep.
+    /// The call ran, and its answer is too large to keep.
     AnswerTooLarge,
 }
 
 impl RunEnd {
-    /// What to write; `None` where the claim stays.
+    /// State to write to the register; `None` leaves the claim in place.
     pub fn into_state(self) -> Option<ClaimState> {
         match self {
             Self::NotRun => Some(ClaimState::Released),
@@ -220,7 +224,7 @@
         }
     }
 
-    /// The end of a run that was refused with `verdict`.
+    /// End of a run whose call was refused with `verdict`.
     pub fn from_verdict(verdict: CallVerdict) -> Self {
         match verdict {
             CallVerdict::NotRun => Self::NotRun,
--- a/crates/core/src/claim/bytes.rs
+++ b/crates/core/src/claim/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that encode as one string of bytes.
+//! A byte buffer that is encoded as one byte string.
 
 use std::fmt;
 use std::ops::Deref;
@@ -12,13 +12,14 @@
 use serde::Serialize;
 use serde::Serializer;
 
-/// Shared bytes. The derived encoding of a sequence takes up to two bytes
-/// for each; this one takes one and copies them in one step.
+/// Shared, immutable bytes. The derived encoding of a byte slice is a sequence
+/// with up to two bytes for each element; this type is encoded with one byte
+/// each and copied in one step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ByteBlob(Arc<[u8]>);
 
 impl ByteBlob {
-    /// A copy of `bytes`.
+    /// Copies `bytes` into a new blob.
     pub fn new(bytes: &[u8]) -> Self {
         Self(bytes.into())
     }
--- a/crates/core/src/claim/holder.rs
+++ b/crates/core/src/claim/holder.rs
@@ -1,4 +1,4 @@
-//! One holder's memory of the keys in its charge.
+//! The acceptor of the claim protocol: a holder's records of its keys.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,27 +12,32 @@
 use super::KeyDigest;
 use super::WrittenValue;
 use super::CLOCK_SKEW;
-use super::KEEP_TIME;
+use super::KEY_RETENTION;
 
-/// Bytes of all records beyond which no new key is taken: a quarter of the
-/// 64 MB that a node may spend on control at the two-year size.
+/// Total size of the records, in bytes, above which no new key is accepted: a
+/// quarter of the 64 MB that a node may use for the control plane at the fleet
+/// size planned for in two years.
 const MEMORY_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// Bytes counted for a key besides its kept answer: record, table and
-/// queue entry.
+/// Bytes counted for a key in addition to its kept answer: the record, the
+/// table entry and the queue entry.
 const KEY_BYTES: usize = 300;
 
-/// What a holder knows of a key.
+/// A holder's state of one key.
 #[derive(Debug)]
 struct KeyRecord {
     promised: ClaimBallot,
     written: Option<WrittenValue>,
+    /// Time of the last accepted write, or of creation before the first one.
     touched: Duration,
 }
 
 impl KeyRecord {
     fn answer_bytes(&self) -> usize {
-        let value = self.written.as_ref().and_then(|held| held.value.as_ref());
+        let value = self
+            .written
+            .as_ref()
+            .and_then(|written| written.value.as_ref());
         match value.map(|value| &value.state) {
             Some(ClaimState::Answered(answer)) => answer.bytes(),
             _ => 0,
@@ -40,18 +45,20 @@
     }
 }
 
-/// Votes on the keys that this node holds. Time is wall-clock time since
-/// 1970, because keys carry such times.
+/// Votes on the keys that this node holds. Times are wall-clock times since
+/// the Unix epoch, because keys contain such times.
 #[derive(Debug)]
 pub struct ClaimHolder {
     started: Duration,
     records: HashMap<KeyDigest, KeyRecord>,
+    /// Keys with the last write time known when they were queued, in the order
+    /// in which they are checked for eviction.
     by_age: VecDeque<(Duration, KeyDigest)>,
     bytes: usize,
 }
 
 impl ClaimHolder {
-    /// A holder that starts with an empty memory.
+    /// A holder that starts at `now` without any records.
     pub fn new(now: Duration) -> Self {
         Self {
             started: now,
@@ -61,19 +68,19 @@
         }
     }
 
-    /// Keys remembered.
+    /// Number of keys remembered.
     pub fn keys(&self) -> usize {
         self.records.len()
     }
 
-    /// Bytes counted for them.
+    /// Bytes counted for the remembered keys.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Answers one request.
+    /// Handles one request of an entry node.
     pub fn handle(&mut self, now: Duration, request: ClaimRequest) -> ClaimReply {
-        self.forget(now);
+        self.evict_expired(now);
         match request {
             ClaimRequest::Prepare { key, ballot } => self.prepare(now, &key, ballot),
             ClaimRequest::Accept { key, ballot, value } => {
@@ -89,7 +96,7 @@
         key: &ClaimKey,
         ballot: ClaimBallot,
     ) -> ClaimReply {
-        let Some(record) = self.record(now, key, &ballot) else {
+        let Some(record) = self.record_to_vote(now, key, &ballot) else {
             return ClaimReply::Abstains { ballot };
         };
         if record.promised > ballot {
@@ -108,25 +115,25 @@
         write: WrittenValue,
     ) -> ClaimReply {
         let ballot = write.ballot.clone();
-        let Some(record) = self.record(now, key, &ballot) else {
+        let Some(record) = self.record_to_vote(now, key, &ballot) else {
             return ClaimReply::Abstains { ballot };
         };
         if record.promised > ballot {
             let round = record.promised.round;
             return ClaimReply::Outbid { ballot, round };
         }
-        let before = record.answer_bytes();
+        let bytes_before = record.answer_bytes();
         record.promised = ballot.clone();
         record.written = Some(write);
         record.touched = now;
-        let after = record.answer_bytes();
-        self.bytes = self.bytes + after - before;
+        let bytes_after = record.answer_bytes();
+        self.bytes = self.bytes + bytes_after - bytes_before;
         ClaimReply::Accepted { ballot }
     }
 
-    /// The key's record, made where there is none; `None` where this holder
-    /// must not vote on it.
-    fn record(
+    /// The key's record, created if it does not exist; `None` if this holder
+    /// must not vote on the key.
+    fn record_to_vote(
         &mut self,
         now: Duration,
         key: &ClaimKey,
@@ -148,28 +155,29 @@
         self.records.get_mut(&key.digest)
     }
 
-    /// Guards against a holder that came back empty: its vote, given and
-    /// forgotten before, would count for a second run of the same key. It
-    /// votes only on keys made after its start, and on all others once every
-    /// key from before has outlived its time at the other holders too.
+    /// Whether this holder may create a record for the key. A holder that
+    /// restarted without its records must not vote again on a key that it
+    /// voted on before the restart: that would allow a second run of the call.
+    /// It therefore votes only on keys created after its start, and on all
+    /// keys once every key from before has expired at the other holders too.
     fn may_vote(&self, now: Duration, key: &ClaimKey) -> bool {
-        if now >= self.started + KEEP_TIME + CLOCK_SKEW {
+        if now >= self.started + KEY_RETENTION + CLOCK_SKEW {
             return true;
         }
-        let born = key.created_ms.map(Duration::from_millis);
-        born.is_some_and(|born| born > self.started + 2 * CLOCK_SKEW)
+        let created = key.created_ms.map(Duration::from_millis);
+        created.is_some_and(|created| created > self.started + 2 * CLOCK_SKEW)
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn evict_expired(&mut self, now: Duration) {
         while let Some((since, digest)) = self.by_age.front().copied() {
-            if now < since + KEEP_TIME {
+            if now < since + KEY_RETENTION {
                 return;
             }
             self.by_age.pop_front();
             let Some(record) = self.records.get(&digest) else {
                 continue;
             };
-            if now < record.touched + KEEP_TIME {
+            if now < record.touched + KEY_RETENTION {
                 let touched = record.touched;
                 self.by_age.push_back((touched, digest));
                 continue;
--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -1,4 +1,5 @@
-//! One entry node's dealings with the holders of one key.
+//! The proposer of the claim protocol: an entry node's exchange with the
+//! holders of one key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,54 +15,58 @@
 use super::RunToken;
 use super::WrittenValue;
 
-/// Ballots tried before a proposal gives up. Two proposers that outbid each
-/// other settle within two or three with a random pause between.
-const ROUNDS_MAX: u64 = 6;
+/// Ballots that a proposal tries before it gives up. With a random pause
+/// between ballots, two proposers that outbid each other need two or three.
+const BALLOTS_MAX: u64 = 6;
 
-/// What a proposal is about.
+/// The key and the run that a proposal is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimSubject {
-    /// The key.
+    /// Key of the call.
     pub key: ClaimKey,
     /// Digest of the request.
     pub request: KeyDigest,
-    /// The run that is proposed.
+    /// Run that is proposed.
     pub token: RunToken,
-    /// Sets of holders; a majority of each is needed.
+    /// Sets of holders; a majority of each must agree. There are two while
+    /// the roster changes.
     pub sets: Vec<Vec<Arc<str>>>,
 }
 
-/// How a proposal ended.
+/// Result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The run may go ahead, and no other ever will under this key.
+    /// The run may start. No other run is granted under the key unless this
+    /// one is released.
     Granted,
-    /// Another run was claimed and nothing is known of its end.
+    /// Another run holds the claim, and its end is not known.
     Unanswered,
-    /// The call has been answered.
+    /// The call has already been answered with this.
     Answered(KeptAnswer),
-    /// The call has been answered with more than is kept.
+    /// The call has already been answered, and the answer was too large to
+    /// keep.
     AnswerNotKept,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyReused,
-    /// No majority of the holders votes; nothing was granted.
+    /// No majority of the holders agreed; nothing was granted.
     NoMajority,
-    /// The end of the run is written.
+    /// The end of the run is written, or no write is needed because the run
+    /// no longer holds the claim.
     EndWritten,
-    /// Looked at only: no run stands under the key.
+    /// Result of an inspection: no run holds the key.
     Free,
 }
 
-/// What to do next.
+/// Next step of the driver of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Wait for more replies.
     Wait,
-    /// Send this to every holder.
+    /// Send this request to every holder.
     Send(ClaimRequest),
-    /// Pause for a random short time, then call [`ClaimProposal::begin`].
+    /// Pause for a short random time, then call [`ClaimProposal::begin`].
     Pause,
-    /// Over.
+    /// The proposal is complete.
     Done(ClaimOutcome),
 }
 
@@ -69,7 +74,7 @@
 enum ProposalPhase {
     Preparing,
     Accepting,
-    Over,
+    Idle,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,88 +83,95 @@
     Against,
 }
 
-/// What a proposal is for.
+/// Purpose of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ClaimIntent {
     /// Claim the key for a run.
-    Run,
-    /// Say how the key stands.
-    Look,
+    Claim,
+    /// Read the state of the key without claiming it.
+    Inspect,
     /// Write how the run ended.
     End(ClaimState),
 }
 
-/// Claims a key, or writes how its run ended.
+/// Proposer for one run: claims its key, reads the key's state, or writes how
+/// the run ended.
 #[derive(Debug)]
 pub struct ClaimProposal {
     subject: ClaimSubject,
     intent: ClaimIntent,
     phase: ProposalPhase,
     round: u64,
-    rounds: u64,
-    /// Highest round that outbid this ballot.
+    /// Ballots begun for the present intent.
+    ballots: u64,
+    /// Highest round that outbid the present ballot.
     outbid: Option<u64>,
     votes: BTreeMap<Arc<str>, HolderVote>,
+    /// Write with the highest ballot among the promises.
     highest: Option<WrittenValue>,
 }
 
 impl ClaimProposal {
-    /// Claims the key for the subject's run.
+    /// A proposal that claims the key for the subject's run.
     pub fn claim(subject: ClaimSubject) -> Self {
-        Self::new(subject, ClaimIntent::Run)
+        Self::new(subject, ClaimIntent::Claim)
     }
 
-    /// Only looks how the key stands, for a call that does not run now but
-    /// may have run before.
+    /// A proposal that only reads the state of the key, for a call that does
+    /// not run now but may have run before.
     pub fn inspect(subject: ClaimSubject) -> Self {
-        Self::new(subject, ClaimIntent::Look)
+        Self::new(subject, ClaimIntent::Inspect)
     }
 
     fn new(subject: ClaimSubject, intent: ClaimIntent) -> Self {
         Self {
             subject,
             intent,
-            phase: ProposalPhase::Over,
+            phase: ProposalPhase::Idle,
             round: 0,
-            rounds: 0,
+            ballots: 0,
             outbid: None,
             votes: BTreeMap::new(),
             highest: None,
         }
     }
 
-    /// Goes on from a granted claim to the end of its run, in one round trip:
-    /// while the claim stands nobody else writes, so nothing need be read.
-    /// Once only: after a release that may have been taken others do write,
-    /// so a second try has to read first, as [`ClaimProposal::end`] does.
+    /// Writes the end of a granted run in one round trip. The prepare phase is
+    /// skipped because no other proposer writes while the claim is held.
+    ///
+    /// Must be called only once per run: after a release that holders may
+    /// have accepted, other proposers do write, so a second attempt has to
+    /// prepare first, as [`ClaimProposal::end`] does.
     pub fn end_granted(mut self, state: ClaimState) -> (Self, ClaimRequest) {
         let write = ClaimValue {
             request: self.subject.request,
             state: state.clone(),
         };
         self.intent = ClaimIntent::End(state);
-        self.rounds = 0;
+        self.ballots = 0;
         self.round += 1;
-        let request = self.accept(Some(write));
+        let request = self.start_accept(Some(write));
         (self, request)
     }
 
-    /// Goes on to write how the run ended where it is not certain what the
-    /// holders took so far; [`ClaimProposal::begin`] is next. Harmless where
-    /// another run holds the key. The proposal itself goes on, because two
-    /// with one token would use the same ballots for different values.
+    /// Prepares to write the end of the run when it is not certain what the
+    /// holders have accepted; call [`ClaimProposal::begin`] next. Changes
+    /// nothing if another run holds the key.
+    ///
+    /// Continues the same proposal, because two proposals with the same token
+    /// would use the same ballots for different values.
     pub fn end(mut self, state: ClaimState) -> Self {
         self.intent = ClaimIntent::End(state);
-        self.rounds = 0;
+        self.ballots = 0;
         self
     }
 
-    /// The run that is proposed.
+    /// The key and the run that the proposal is for.
     pub fn subject(&self) -> &ClaimSubject {
         &self.subject
     }
 
-    /// Every holder that is asked.
+    /// Every holder that requests are sent to, each once.
     pub fn holders(&self) -> Vec<Arc<str>> {
         let mut holders: Vec<Arc<str>> = Vec::new();
         for holder in self.subject.sets.iter().flatten() {
@@ -170,14 +182,14 @@
         holders
     }
 
-    /// Begins the next ballot.
+    /// Begins the next ballot with its prepare phase.
     pub fn begin(&mut self) -> ClaimStep {
-        // A majority of no holders is reached by nobody's vote.
+        // Without holders no vote ever arrives, so no majority can be reached.
         let holders = self.subject.sets.first().map_or(0, Vec::len);
-        if self.rounds >= ROUNDS_MAX || holders == 0 {
-            return self.over(ClaimOutcome::NoMajority);
+        if self.ballots >= BALLOTS_MAX || holders == 0 {
+            return self.complete(ClaimOutcome::NoMajority);
         }
-        self.rounds += 1;
+        self.ballots += 1;
         self.round = self.round.max(self.outbid.unwrap_or(0)) + 1;
         self.phase = ProposalPhase::Preparing;
         self.outbid = None;
@@ -196,63 +208,65 @@
         }
     }
 
-    /// Takes a holder's reply.
+    /// Handles a holder's reply.
     pub fn handle(&mut self, holder: &Arc<str>, reply: ClaimReply) -> ClaimStep {
-        // Guards against replies of an earlier ballot that arrive late: they
-        // would count as votes for a ballot that the holder never promised.
+        // Ignores late replies to an earlier ballot: they would count as votes
+        // for a ballot that the holder never promised.
         if *reply.ballot() != self.ballot() {
             return ClaimStep::Wait;
         }
         match (self.phase, reply) {
             (ProposalPhase::Preparing, ClaimReply::Promised { written, .. }) => {
-                self.learn(written);
-                self.vote(holder, HolderVote::For)
+                self.keep_highest(written);
+                self.count_vote(holder, HolderVote::For)
             }
             (ProposalPhase::Accepting, ClaimReply::Accepted { .. }) => {
-                self.vote(holder, HolderVote::For)
+                self.count_vote(holder, HolderVote::For)
             }
             (_, ClaimReply::Outbid { round, .. }) => {
                 self.outbid = Some(self.outbid.unwrap_or(0).max(round));
-                self.vote(holder, HolderVote::Against)
+                self.count_vote(holder, HolderVote::Against)
             }
             (_, ClaimReply::Abstains { .. }) => self.holder_unavailable(holder),
             _ => ClaimStep::Wait,
         }
     }
 
-    /// A holder did not answer in time, or cannot be reached.
+    /// Counts a holder that did not reply in time, or cannot be reached, as a
+    /// vote against the ballot.
     pub fn holder_unavailable(&mut self, holder: &Arc<str>) -> ClaimStep {
         if self.votes.contains_key(holder) {
             return ClaimStep::Wait;
         }
-        self.vote(holder, HolderVote::Against)
+        self.count_vote(holder, HolderVote::Against)
     }
 
-    fn learn(&mut self, written: Option<WrittenValue>) {
+    fn keep_highest(&mut self, written: Option<WrittenValue>) {
         let Some(written) = written else {
             return;
         };
-        let held = self.highest.as_ref();
-        if held.is_none_or(|held| held.ballot < written.ballot) {
+        let highest = self.highest.as_ref();
+        if highest.is_none_or(|highest| highest.ballot < written.ballot) {
             self.highest = Some(written);
         }
     }
-    fn vote(&mut self, holder: &Arc<str>, vote: HolderVote) -> ClaimStep {
-        if self.phase == ProposalPhase::Over {
+
+    fn count_vote(&mut self, holder: &Arc<str>, vote: HolderVote) -> ClaimStep {
+        if self.phase == ProposalPhase::Idle {
             return ClaimStep::Wait;
         }
         self.votes.insert(Arc::clone(holder), vote);
-        if self.every_set(|tally| tally.yes >= tally.majority) {
-            return self.carried();
+        if self.every_set(|tally| tally.votes_for >= tally.majority) {
+            return self.majority_reached();
         }
-        if self.every_set(|tally| tally.no <= tally.seats - tally.majority) {
+        if self.every_set(|tally| tally.votes_against <= tally.seats - tally.majority) {
             return ClaimStep::Wait;
         }
         if self.outbid.is_some() {
-            self.phase = ProposalPhase::Over;
+            self.phase = ProposalPhase::Idle;
             return ClaimStep::Pause;
         }
-        self.over(ClaimOutcome::NoMajority)
+        self.complete(ClaimOutcome::NoMajority)
     }
 
     fn every_set(&self, holds: impl Fn(SetTally) -> bool) -> bool {
@@ -264,72 +278,77 @@
         true
     }
 
-    /// A majority of every set voted for the phase.
-    fn carried(&mut self) -> ClaimStep {
+    /// Moves on once a majority of every set has voted for the present phase.
+    fn majority_reached(&mut self) -> ClaimStep {
         if self.phase == ProposalPhase::Preparing {
-            return self.prepared();
+            return self.after_prepare();
         }
         let outcome = match self.intent {
-            ClaimIntent::Run | ClaimIntent::Look => ClaimOutcome::Granted,
+            ClaimIntent::Claim | ClaimIntent::Inspect => ClaimOutcome::Granted,
             ClaimIntent::End(_) => ClaimOutcome::EndWritten,
         };
-        self.over(outcome)
+        self.complete(outcome)
     }
 
-    fn prepared(&mut self) -> ClaimStep {
-        let standing = self.highest.take().and_then(|written| written.value);
+    fn after_prepare(&mut self) -> ClaimStep {
+        let current = self.highest.take().and_then(|written| written.value);
         let write = match &self.intent {
-            ClaimIntent::Run => self.claimed(standing),
-            ClaimIntent::Look => match self.claimed(standing) {
+            ClaimIntent::Claim => self.value_for_claim(current),
+            ClaimIntent::Inspect => match self.value_for_claim(current) {
                 Ok(_) => Err(ClaimOutcome::Free),
                 Err(outcome) => Err(outcome),
             },
             ClaimIntent::End(state) => {
-                let write = self.ended(state, standing);
+                let write = self.value_for_end(state, current);
                 write.ok_or(ClaimOutcome::EndWritten)
             }
         };
         let write = match write {
             Ok(write) => Some(write),
-            Err(outcome) => return self.over(outcome),
+            Err(outcome) => return self.complete(outcome),
         };
-        ClaimStep::Send(self.accept(write))
+        ClaimStep::Send(self.start_accept(write))
     }
 
-    /// What a claim writes over what stands, or how it ends without.
-    fn claimed(&self, standing: Option<ClaimValue>) -> Result<ClaimValue, ClaimOutcome> {
-        let free = ClaimValue {
+    /// The value that a claim writes over `current`, or the outcome if the key
+    /// cannot be claimed.
+    fn value_for_claim(
+        &self,
+        current: Option<ClaimValue>,
+    ) -> Result<ClaimValue, ClaimOutcome> {
+        let running = ClaimValue {
             request: self.subject.request,
             state: ClaimState::Running(self.subject.token.clone()),
         };
-        let Some(value) = standing else {
-            return Ok(free);
+        let Some(value) = current else {
+            return Ok(running);
         };
         if value.request != self.subject.request {
             return Err(ClaimOutcome::KeyReused);
         }
         match value.state {
-            ClaimState::Released => Ok(free),
-            ClaimState::Running(token) if token == self.subject.token => Ok(free),
+            ClaimState::Released => Ok(running),
+            ClaimState::Running(token) if token == self.subject.token => Ok(running),
             ClaimState::Running(_) => Err(ClaimOutcome::Unanswered),
             ClaimState::Answered(answer) => Err(ClaimOutcome::Answered(answer)),
             ClaimState::AnswerNotKept => Err(ClaimOutcome::AnswerNotKept),
         }
     }
 
-    /// What the end of a run writes over what stands; `None` where nothing
-    /// is to be written. An empty register is written too: the run's own
-    /// claim may still be on its way, and a higher ballot shuts it out.
-    fn ended(
+    /// The value that the end of a run writes over `current`; `None` if the
+    /// run does not hold the claim. An empty register is written too, because
+    /// the run's own claim may still be in flight and the higher ballot makes
+    /// the holders refuse it.
+    fn value_for_end(
         &self,
         state: &ClaimState,
-        standing: Option<ClaimValue>,
+        current: Option<ClaimValue>,
     ) -> Option<ClaimValue> {
         let write = ClaimValue {
             request: self.subject.request,
             state: state.clone(),
         };
-        match standing {
+        match current {
             None => Some(write),
             Some(value) => match value.state {
                 ClaimState::Running(token) if token == self.subject.token => Some(write),
@@ -338,7 +357,7 @@
         }
     }
 
-    fn accept(&mut self, value: Option<ClaimValue>) -> ClaimRequest {
+    fn start_accept(&mut self, value: Option<ClaimValue>) -> ClaimRequest {
         self.phase = ProposalPhase::Accepting;
         self.votes.clear();
         self.outbid = None;
@@ -349,18 +368,18 @@
         }
     }
 
-    fn over(&mut self, outcome: ClaimOutcome) -> ClaimStep {
-        self.phase = ProposalPhase::Over;
+    fn complete(&mut self, outcome: ClaimOutcome) -> ClaimStep {
+        self.phase = ProposalPhase::Idle;
         ClaimStep::Done(outcome)
     }
 }
 
-/// Votes of one set of holders.
+/// Number of votes in one set of holders.
 struct SetTally {
     seats: usize,
     majority: usize,
-    yes: usize,
-    no: usize,
+    votes_for: usize,
+    votes_against: usize,
 }
 
 impl SetTally {
@@ -368,13 +387,13 @@
         let mut tally = Self {
             seats: set.len(),
             majority: set.len() / 2 + 1,
-            yes: 0,
-            no: 0,
+            votes_for: 0,
+            votes_against: 0,
         };
         for holder in set {
             match votes.get(holder) {
-                Some(HolderVote::For) => tally.yes += 1,
-                Some(HolderVote::Against) => tally.no += 1,
+                Some(HolderVote::For) => tally.votes_for += 1,
+                Some(HolderVote::Against) => tally.votes_against += 1,
                 None => {}
             }
         }
--- a/crates/core/src/claim/roster.rs
+++ b/crates/core/src/claim/roster.rs
@@ -1,11 +1,13 @@
-//! Which nodes hold which keys.
+//! The roster that assigns keys to their holders.
 //!
-//! The roster is part of the agreed configuration, so that every entry node
-//! draws the same holders for a key. It changes in two agreed steps. Between
-//! them both the seats before and the seats after stand in it, and a claim
-//! needs a majority of each; the second step comes only when every claim
-//! made under the seats before has outlived its time, and every entry node
-//! that missed the first step has let its own claims rest.
+//! The roster is part of the replicated configuration, so that every entry
+//! node chooses the same holders for a key. It changes in two steps, each a
+//! change of the configuration, similar to joint consensus. Between the steps
+//! the roster contains both the old and the new seats, and a claim needs a
+//! majority of each. The second step follows only after every claim made under
+//! the old seats has expired, and after the lease of every entry node that
+//! missed the first step has expired, so that such a node no longer claims
+//! keys.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,62 +17,66 @@
 use serde::Serialize;
 
 use super::KeyDigest;
-use super::KEEP_TIME;
+use super::KEY_RETENTION;
 use super::ROSTER_LEASE;
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
 
-/// Holders of a key.
-const HOLDERS: usize = 3;
+/// Number of holders of a key.
+const HOLDERS_PER_KEY: usize = 3;
 
-/// Seats of one failure domain at most: at the two-year size they bear about
-/// 400 claim messages a second each, and the roster stays below 64 KB.
-const SEATS_PER_DOMAIN: usize = 256;
+/// Largest number of seats in one failure domain. At the fleet size planned
+/// for in two years each seat handles about 400 claim messages a second, and
+/// the roster stays below 64 KB.
+const SEATS_PER_DOMAIN_MAX: usize = 256;
 
-/// The directory must have rested for this long before the first roster is
-/// drawn, so that it holds the whole fleet and not its quickest node alone.
-const FIRST_REST: Duration = Duration::from_secs(2);
+/// The serving nodes in the directory must stay unchanged for this long before
+/// the first roster is proposed, so that it contains the whole fleet and not
+/// only the node that started first.
+const DIRECTORY_QUIET_TIME: Duration = Duration::from_secs(2);
 
-/// A holder that has left is kept for this long: one that is restarted or
-/// replaced by its own name needs no new roster.
-const GONE_TIME: Duration = Duration::from_secs(600);
+/// How long a holder that has left keeps its seat, so that a node that is
+/// restarted, or replaced under the same name, does not need a new roster.
+const GONE_GRACE: Duration = Duration::from_secs(600);
 
-/// Time between the two steps.
-const BOTH_TIME: Duration = ROSTER_LEASE.saturating_add(KEEP_TIME);
+/// Time between the two steps of a change. It covers the lease of an entry
+/// node that missed the first step and the retention of the keys that the node
+/// claimed before its lease expired.
+const JOINT_TIME: Duration = ROSTER_LEASE.saturating_add(KEY_RETENTION);
 
-/// One node that holds keys.
+/// A node that holds keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HolderSeat {
-    /// Its instance.
+    /// Instance of the node.
     pub instance: Arc<str>,
-    /// Failure domain of the instance.
+    /// Failure domain of the node.
     pub failure_domain: Arc<str>,
 }
 
 /// The nodes that hold keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRoster {
-    /// Seats that are leaving duty, while a change is on its way.
+    /// Old seats while the roster changes; empty otherwise.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub before: Vec<HolderSeat>,
-    /// Seats on duty.
+    /// Present seats, or the new ones while the roster changes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seats: Vec<HolderSeat>,
 }
 
 impl HolderRoster {
-    /// True where no node holds keys yet.
+    /// True if no node holds keys yet.
     pub fn is_empty(&self) -> bool {
         self.seats.is_empty()
     }
 
-    /// The sets of holders of a key; a majority of each decides.
+    /// The sets of holders of a key; a claim needs a majority of each.
     pub fn holder_sets(&self, key: &KeyDigest) -> Vec<Vec<Arc<str>>> {
-        let set = draw(&self.seats, key);
+        let set = choose_holders(&self.seats, key);
         if self.before.is_empty() {
             return vec![set];
         }
-        let before = draw(&self.before, key);
+        let before = choose_holders(&self.before, key);
         if before == set {
             return vec![set];
         }
@@ -78,46 +84,46 @@
     }
 }
 
-/// One seat's rank for a key.
+/// A seat with its rank for a key.
 struct RankedSeat<'a> {
     rank: u64,
     seat: &'a HolderSeat,
 }
 
-/// The highest ranked seats, of different failure domains as far as there
-/// are enough. Rendezvous hashing: a seat more or less moves only the keys
-/// that it gains or loses.
-fn draw(seats: &[HolderSeat], key: &KeyDigest) -> Vec<Arc<str>> {
-    let mut best: BTreeMap<&str, RankedSeat<'_>> = BTreeMap::new();
-    let mut rest = Vec::new();
+/// The seats with the highest rank, from different failure domains as far as
+/// there are enough of them. This is rendezvous hashing: adding or removing a
+/// seat moves only the keys that the seat gains or loses.
+fn choose_holders(seats: &[HolderSeat], key: &KeyDigest) -> Vec<Arc<str>> {
+    let mut best_per_domain: BTreeMap<&str, RankedSeat<'_>> = BTreeMap::new();
+    let mut others = Vec::new();
     for seat in seats {
-        let rank = mix(spread(&seat.instance) ^ key.spread());
+        let rank = splitmix64(fnv1a(&seat.instance) ^ key.leading_u64());
         let ranked = RankedSeat { rank, seat };
-        let Some(held) = best.get_mut(&*seat.failure_domain) else {
-            best.insert(&seat.failure_domain, ranked);
+        let Some(held) = best_per_domain.get_mut(&*seat.failure_domain) else {
+            best_per_domain.insert(&seat.failure_domain, ranked);
             continue;
         };
         if held.rank < rank {
-            rest.push(std::mem::replace(held, ranked));
+            others.push(std::mem::replace(held, ranked));
         } else {
-            rest.push(ranked);
+            others.push(ranked);
         }
     }
-    let mut chosen: Vec<RankedSeat<'_>> = best.into_values().collect();
+    let mut chosen: Vec<RankedSeat<'_>> = best_per_domain.into_values().collect();
     chosen.sort_by_key(|ranked| std::cmp::Reverse(ranked.rank));
-    if chosen.len() < HOLDERS {
-        rest.sort_by_key(|ranked| std::cmp::Reverse(ranked.rank));
-        chosen.append(&mut rest);
+    if chosen.len() < HOLDERS_PER_KEY {
+        others.sort_by_key(|ranked| std::cmp::Reverse(ranked.rank));
+        chosen.append(&mut others);
     }
-    let mut set = Vec::with_capacity(HOLDERS);
-    for ranked in chosen.into_iter().take(HOLDERS) {
+    let mut set = Vec::with_capacity(HOLDERS_PER_KEY);
+    for ranked in chosen.into_iter().take(HOLDERS_PER_KEY) {
         set.push(Arc::clone(&ranked.seat.instance));
     }
     set
 }
 
-/// FNV-1a, 64 bits: the same in every process and version.
-fn spread(text: &str) -> u64 {
+/// 64-bit FNV-1a hash; gives the same result in every process and version.
+fn fnv1a(text: &str) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in text.bytes() {
         hash ^= u64::from(byte);
@@ -126,40 +132,42 @@
     hash
 }
 
-/// The finishing step of SplitMix64, so that near inputs rank far apart.
-fn mix(input: u64) -> u64 {
+/// The output function of SplitMix64, so that similar inputs get unrelated
+/// ranks.
+fn splitmix64(input: u64) -> u64 {
     let mut mixed = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// The leader's watch over the roster: says when it is to change. Its times
-/// begin anew with each leader, which only makes a change later.
+/// Decides on the leader when the roster has to change. A new leader starts its
+/// timers from zero, which only delays a change.
 #[derive(Debug, Default)]
 pub struct RosterPlanner {
-    known: Vec<HolderSeat>,
-    known_since: Duration,
-    both_since: Option<Duration>,
+    /// Seats for the first roster, and since when they have been unchanged.
+    candidate: Vec<HolderSeat>,
+    candidate_since: Duration,
+    joint_since: Option<Duration>,
     gone_since: BTreeMap<Arc<str>, Duration>,
 }
 
 impl RosterPlanner {
-    /// Looks at the roster in force and the directory; the roster to propose,
-    /// if it is to change.
+    /// Compares the roster in force with the directory. Returns the roster to
+    /// propose if it has to change.
     pub fn plan(
         &mut self,
         now: Duration,
         roster: &HolderRoster,
         records: &[EndpointRecord],
     ) -> Option<HolderRoster> {
-        self.watch_gone(now, records);
+        self.track_gone(now, records);
         if roster.is_empty() {
-            return self.first(now, records);
+            return self.first_roster(now, records);
         }
         if !roster.before.is_empty() {
-            let since = *self.both_since.get_or_insert(now);
-            if now < since + BOTH_TIME {
+            let since = *self.joint_since.get_or_insert(now);
+            if now < since + JOINT_TIME {
                 return None;
             }
             return Some(HolderRoster {
@@ -167,8 +175,8 @@
                 seats: roster.seats.clone(),
             });
         }
-        self.both_since = None;
-        let seats = self.wanted(now, &roster.seats, records);
+        self.joint_since = None;
+        let seats = self.target_seats(now, &roster.seats, records);
         if seats == roster.seats || seats.is_empty() {
             return None;
         }
@@ -178,27 +186,28 @@
         })
     }
 
-    fn first(
+    fn first_roster(
         &mut self,
         now: Duration,
         records: &[EndpointRecord],
     ) -> Option<HolderRoster> {
-        let seats = self.wanted(now, &[], records);
-        if seats != self.known {
-            self.known = seats;
-            self.known_since = now;
+        let seats = self.target_seats(now, &[], records);
+        if seats != self.candidate {
+            self.candidate = seats;
+            self.candidate_since = now;
             return None;
         }
-        if self.known.is_empty() || now < self.known_since + FIRST_REST {
+        if self.candidate.is_empty() || now < self.candidate_since + DIRECTORY_QUIET_TIME
+        {
             return None;
         }
         Some(HolderRoster {
             before: Vec::new(),
-            seats: self.known.clone(),
+            seats: self.candidate.clone(),
         })
     }
 
-    fn watch_gone(&mut self, now: Duration, records: &[EndpointRecord]) {
+    fn track_gone(&mut self, now: Duration, records: &[EndpointRecord]) {
         for record in records {
             if record.standing == EndpointStanding::Gone {
                 self.gone_since
@@ -210,43 +219,46 @@
         }
     }
 
-    /// Seats in force that have not left for long, and others up to the
-    /// limit of their failure domain.
-    fn wanted(
+    /// The present seats, without those whose node left more than
+    /// [`GONE_GRACE`] ago, and further serving nodes up to the limit of their
+    /// failure domain.
+    fn target_seats(
         &self,
         now: Duration,
         seats: &[HolderSeat],
         records: &[EndpointRecord],
     ) -> Vec<HolderSeat> {
-        let mut wanted = Vec::new();
+        let mut targets = Vec::new();
         let mut per_domain: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         for seat in seats {
             let gone = self.gone_since.get(&seat.instance);
-            if gone.is_some_and(|since| now >= *since + GONE_TIME) {
+            if gone.is_some_and(|since| now >= *since + GONE_GRACE) {
                 continue;
             }
             *per_domain
                 .entry(Arc::clone(&seat.failure_domain))
                 .or_default() += 1;
-            wanted.push(seat.clone());
+            targets.push(seat.clone());
         }
         for record in records {
             let seat = HolderSeat {
                 instance: Arc::clone(&record.instance),
                 failure_domain: Arc::clone(&record.failure_domain),
             };
-            let taken = per_domain
+            let domain_seats = per_domain
                 .entry(Arc::clone(&seat.failure_domain))
                 .or_default();
             let serving = record.standing == EndpointStanding::Serving;
-            let held = seats.iter().any(|held| held.instance == seat.instance);
-            if !serving || held || *taken >= SEATS_PER_DOMAIN {
+            let seated = seats
+                .iter()
+                .any(|present| present.instance == seat.instance);
+            if !serving || seated || *domain_seats >= SEATS_PER_DOMAIN_MAX {
                 continue;
             }
-            *taken += 1;
-            wanted.push(seat);
+            *domain_seats += 1;
+            targets.push(seat);
         }
-        wanted.sort();
-        wanted
+        targets.sort();
+        targets
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision of cowslipwall, with no input or output in it.
+//! The decision logic of cowslipwall, without I/O.
 //!
-//! Nothing here opens a socket or a file, starts a thread or reads a clock:
-//! time and randomness are arguments, so the same events give the same
-//! actions and whoever holds the state machines can drive any number of
-//! them in one thread.
+//! Nothing in this crate opens a socket or a file, starts a thread or reads a
+//! clock. Time and randomness are passed in as arguments, so the same events
+//! always produce the same actions, and a caller can drive any number of
+//! these state machines in one thread.
 
 pub mod agreement;
 pub mod applied_versions;
--- a/crates/core/src/server_presence.rs
+++ b/crates/core/src/server_presence.rs
@@ -1,44 +1,49 @@
-//! Whether the backend server beside a node is there, leaving or lost.
+//! Tracks whether the backend server of a node is present, draining or
+//! unreachable.
 //!
-//! Load pattern: servers restart by the thousand a day, crash, and announce
-//! themselves over and over. Without this a late or crossed announcement
-//! revives a server that said it was leaving, an announcement during the
-//! node's own stop draws new work to it, and a server that crashed goes on
-//! being offered calls until its lease ends.
+//! Load pattern: thousands of server restarts a day, crashes, and repeated
+//! announcements. Without this state a late or reordered announcement would
+//! bring back a draining server, an announcement while the node stops would
+//! attract new work to it, and a crashed server would be offered calls until
+//! its lease expires.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// After a drain no announcement is taken for this long: longer than one can
-/// be on its way from the server beside the node, shorter than a restart
-/// with its cold start.
-pub const LEAVING_TIME: Duration = Duration::from_secs(5);
+/// How long announcements are refused after a drain. This is longer than an
+/// announcement can be in flight between a server and its node, and shorter
+/// than a restart including the cold start.
+pub const REANNOUNCE_DELAY: Duration = Duration::from_secs(5);
 
-/// Why an announcement is not taken.
+/// Why an announcement is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PresenceRefusal {
     /// The node itself is stopping.
     #[error("the node is stopping")]
     NodeStopping,
-    /// The server said that it leaves, a moment ago or with requests left.
+    /// The server began to drain less than [`REANNOUNCE_DELAY`] ago, or still
+    /// runs requests.
     #[error("the server is draining; announce it again once it has ended")]
     Draining,
 }
 
-/// What the node knows of its backend server's presence.
+/// Presence of the node's backend server, as far as the node knows.
 #[derive(Debug, Default)]
 pub struct ServerPresence {
     address: Option<SocketAddr>,
     draining_since: Option<Duration>,
     node_stopping: bool,
-    lost: bool,
+    unreachable: bool,
 }
 
 impl ServerPresence {
-    /// The server at `address` announces itself while `in_flight` requests
-    /// run here.
+    /// Handles an announcement of the server at `address` while `in_flight`
+    /// requests of this node run on it.
+    ///
+    /// Returns an error if the node is stopping, or if the server is draining
+    /// and may not have ended yet.
     pub fn announce(
         &mut self,
         now: Duration,
@@ -48,59 +53,65 @@
         if self.node_stopping {
             return Err(PresenceRefusal::NodeStopping);
         }
-        let same = self.address == Some(address);
-        if let Some(since) = self.draining_since.filter(|_| same) {
-            // Guards against an announcement that was sent before the drain
-            // and arrives after it: new work would go to a server that ends
-            // in the middle of it. A server that still runs requests has not
-            // ended, whatever announces itself in its name. Another address
-            // is another server.
-            if now < since + LEAVING_TIME || in_flight > 0 {
+        let same_address = self.address == Some(address);
+        if let Some(since) = self.draining_since.filter(|_| same_address) {
+            // The announcement may have been sent before the drain and arrive
+            // after it; accepting it would send new work to a server that ends
+            // while running it. A server that still runs requests has not
+            // ended, whatever is announced for its address. A different
+            // address belongs to a different server.
+            if now < since + REANNOUNCE_DELAY || in_flight > 0 {
                 return Err(PresenceRefusal::Draining);
             }
         }
         self.address = Some(address);
         self.draining_since = None;
-        self.lost = false;
+        self.unreachable = false;
         Ok(())
     }
 
-    /// Another run of the server begins at `address`; it takes the place of
-    /// one that was leaving or lost.
+    /// Handles the start of a new run of the server at `address`. It replaces a
+    /// run that was draining or unreachable.
+    ///
+    /// Returns an error if the node is stopping.
     pub fn begin_run(&mut self, address: SocketAddr) -> Result<(), PresenceRefusal> {
         if self.node_stopping {
             return Err(PresenceRefusal::NodeStopping);
         }
         self.address = Some(address);
         self.draining_since = None;
-        self.lost = false;
+        self.unreachable = false;
         Ok(())
     }
 
-    /// The server says that it leaves.
+    /// Marks the server as draining since `now`, if it is not draining already.
     pub fn drain(&mut self, now: Duration) {
         self.draining_since.get_or_insert(now);
-        self.lost = false;
+        self.unreachable = false;
     }
 
-    /// The node itself leaves; nothing revives it.
+    /// Marks the node as stopping. Every later announcement and new run is
+    /// refused.
     pub fn stop(&mut self) {
         self.node_stopping = true;
     }
 
-    /// Nothing listens at the server's address. True where it is to be
-    /// withdrawn now.
+    /// Notes that nothing listens at the server's address. Returns true if the
+    /// server has to be withdrawn now.
     pub fn mark_unreachable(&mut self) -> bool {
-        let news = !self.lost && !self.node_stopping && self.draining_since.is_none();
-        self.lost |= news;
-        news
+        let withdraw =
+            !self.unreachable && !self.node_stopping && self.draining_since.is_none();
+        self.unreachable |= withdraw;
+        withdraw
     }
 
-    /// Something listens there again. True where the server is to be offered
-    /// again: it did not say that it leaves, nor announce itself meanwhile.
+    /// Notes that something listens at the server's address again. Returns true
+    /// if the server has to be offered again: it was unreachable until now, is
+    /// not draining, and has not announced itself in the meantime.
     pub fn mark_reachable(&mut self) -> bool {
-        let back = self.lost && !self.node_stopping && self.draining_since.is_none();
-        self.lost = false;
-        back
+        let offer_again =
+            self.unreachable && !self.node_stopping && self.draining_since.is_none();
+        self.unreachable = false;
+        offer_again
     }
 }
--- a/crates/core/src/server_runs.rs
+++ b/crates/core/src/server_runs.rs
@@ -1,114 +1,122 @@
-//! Which run of the backend server a node hears from.
+//! Orders the reports of the runs of a node's backend server.
 //!
-//! Load pattern: servers report themselves every second or two; reports are
-//! held up for seconds and arrive after later ones, after the server has said
-//! that it leaves, or after it has crashed and another run has begun at the
-//! same address, sometimes under the same name. Without an order among them a
-//! late report revives a server that leaves, and calls are cut with it.
+//! Load pattern: servers report every one or two seconds. A report may be
+//! delayed by seconds and arrive after later reports, after the server
+//! reported that it is leaving, or after the server crashed and a new run
+//! began at the same address, sometimes under the same name. Without an order
+//! among reports a late one would bring back a leaving server, and calls sent
+//! to it would be cut off when it ends.
 
 use std::sync::Arc;
 
-/// Start of a run that has not told it: it was found, or said goodbye only.
-const BORN_UNKNOWN: u64 = 0;
+/// Start time of a run that has not reported one, because it was only
+/// discovered or deregistered.
+const START_UNKNOWN: u64 = 0;
 
-/// What a server reports of itself.
+/// A server's report about its present run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunReport {
-    /// Names the run; a restarted server may use the same name.
+    /// Name of the run. A restarted server may use the same name again.
     pub run: Arc<str>,
-    /// Start of the run by its own clock, milliseconds since 1970.
+    /// Start time of the run by the server's clock, in milliseconds since the
+    /// Unix epoch.
     pub started_ms: u64,
-    /// Grows with every report of the run.
+    /// Sequence number, which increases with every report of the run.
     pub sequence: u64,
-    /// True where it leaves.
+    /// True if the run is leaving and takes no more work.
     pub leaving: bool,
 }
 
-/// What a report changes.
+/// Effect of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportEffect {
-    /// Nothing: a later one has been heard, or another run has begun.
+    /// Ignored, because a later report has arrived or a newer run has begun.
     Stale,
-    /// The run takes work; the first report of it that says so.
+    /// First report of a run that takes work.
     Begins,
-    /// The run takes work, as before.
+    /// Further report of a run that takes work.
     Continues,
     /// The run takes no more work.
     Leaves,
 }
 
-/// The run heard last.
+/// The latest known run of a server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRuns {
-    held: Option<RunReport>,
+    latest: Option<RunReport>,
 }
 
 impl ServerRuns {
-    /// Takes a report.
+    /// Applies a report and returns its effect.
     pub fn apply(&mut self, report: RunReport) -> ReportEffect {
-        let Some(held) = &mut self.held else {
+        let Some(latest) = &mut self.latest else {
             return self.begin(report);
         };
-        // Guards against a report that was held up until after the goodbye of
-        // a run that was only found: taken for the first of another run, it
-        // would bring calls back to a server that ends.
-        if held.started_ms == BORN_UNKNOWN && held.leaving && held.run == report.run {
-            held.started_ms = report.started_ms;
+        // A delayed report may arrive after the deregistration of a run that
+        // was only discovered. If it counted as the first report of another
+        // run, calls would be sent to a server that is ending.
+        if latest.started_ms == START_UNKNOWN
+            && latest.leaving
+            && latest.run == report.run
+        {
+            latest.started_ms = report.started_ms;
         }
-        let same = held.run == report.run && held.started_ms == report.started_ms;
-        if !same {
-            // Guards against a report of a run that has crashed meanwhile:
-            // what it says of its slots and version is no longer true.
-            if report.started_ms < held.started_ms {
+        let same_run = latest.run == report.run && latest.started_ms == report.started_ms;
+        if !same_run {
+            // A run that has crashed in the meantime: the slots and the version
+            // in its report are out of date.
+            if report.started_ms < latest.started_ms {
                 return ReportEffect::Stale;
             }
             return self.begin(report);
         }
-        if report.sequence <= held.sequence && !report.leaving {
+        if report.sequence <= latest.sequence && !report.leaving {
             return ReportEffect::Stale;
         }
-        held.sequence = held.sequence.max(report.sequence);
-        // A run that has said that it leaves never takes work again.
-        if held.leaving || report.leaving {
-            held.leaving = true;
+        latest.sequence = latest.sequence.max(report.sequence);
+        // Once a run has reported that it is leaving, it never takes work again.
+        if latest.leaving || report.leaving {
+            latest.leaving = true;
             return ReportEffect::Leaves;
         }
         ReportEffect::Continues
     }
 
-    /// The run of this name has left, or is about to; `started_ms` where known.
-    /// True where it is the one heard last.
+    /// Marks the run of this name as leaving. `started_ms` is its start time, if
+    /// known. Returns true if it was the latest known run before.
     pub fn deregister(&mut self, run: &str, started_ms: Option<u64>) -> bool {
-        let Some(held) = &mut self.held else {
-            // Guards against a server found by its health page, or revived by
-            // a report that was held up, after its goodbye was acknowledged.
-            self.held = Some(RunReport {
+        let Some(latest) = &mut self.latest else {
+            // Keeps a server whose deregistration was acknowledged from being
+            // discovered by its health page, or brought back by a delayed
+            // report.
+            self.latest = Some(RunReport {
                 run: run.into(),
-                started_ms: started_ms.unwrap_or(BORN_UNKNOWN),
+                started_ms: started_ms.unwrap_or(START_UNKNOWN),
                 sequence: 0,
                 leaving: true,
             });
             return false;
         };
-        if *held.run != *run {
+        if *latest.run != *run {
             return false;
         }
-        if held.started_ms == BORN_UNKNOWN {
-            held.started_ms = started_ms.unwrap_or(BORN_UNKNOWN);
+        if latest.started_ms == START_UNKNOWN {
+            latest.started_ms = started_ms.unwrap_or(START_UNKNOWN);
         }
-        let same = started_ms.is_none_or(|born| born == held.started_ms);
-        held.leaving |= same;
-        same
+        let same_run = started_ms.is_none_or(|started| started == latest.started_ms);
+        latest.leaving |= same_run;
+        same_run
     }
 
-    /// A run was found before it reported. True where none has reported yet;
-    /// its first report begins it anew, since it says more.
+    /// Records a run that was discovered before it reported. Returns true if no
+    /// run was known. The first report of the run still has the effect
+    /// [`ReportEffect::Begins`], because it contains more than the discovery.
     pub fn discover(&mut self, run: &Arc<str>) -> bool {
-        let first = self.held.is_none();
+        let first = self.latest.is_none();
         if first {
-            self.held = Some(RunReport {
+            self.latest = Some(RunReport {
                 run: Arc::clone(run),
-                started_ms: BORN_UNKNOWN,
+                started_ms: START_UNKNOWN,
                 sequence: 0,
                 leaving: false,
             });
@@ -116,14 +124,14 @@
         first
     }
 
-    /// Name of the run heard last.
+    /// Name of the latest known run.
     pub fn run(&self) -> Option<&Arc<str>> {
-        self.held.as_ref().map(|held| &held.run)
+        self.latest.as_ref().map(|latest| &latest.run)
     }
 
     fn begin(&mut self, report: RunReport) -> ReportEffect {
         let leaving = report.leaving;
-        self.held = Some(report);
+        self.latest = Some(report);
         if leaving {
             ReportEffect::Leaves
         } else {
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -21,7 +21,7 @@
 use cowslip_core::claim::KeyDigest;
 use cowslip_core::claim::RunToken;
 use cowslip_core::claim::CLOCK_SKEW;
-use cowslip_core::claim::KEEP_TIME;
+use cowslip_core::claim::KEY_RETENTION;
 
 /// Holders in play, among them both sets of a roster that changes.
 const HOLDERS: usize = 5;
@@ -401,7 +401,7 @@
     let later = world.now + 2 * CLOCK_SKEW + Duration::from_millis(1);
     young.created_ms = Some(later.as_millis() as u64);
     assert_eq!(world.outcome(young, "sale", 3), ClaimOutcome::Granted);
-    world.now += KEEP_TIME + CLOCK_SKEW;
+    world.now += KEY_RETENTION + CLOCK_SKEW;
     assert_eq!(world.outcome(key, "sale", 4), ClaimOutcome::Granted);
 }
 
@@ -428,7 +428,7 @@
         world.outcome(key, "sale", serial);
     }
     assert_eq!(world.holders[0].keys(), 100);
-    world.now += 2 * KEEP_TIME;
+    world.now += 2 * KEY_RETENTION;
     let key = world.key(1);
     world.outcome(key, "sale", 100);
     assert_eq!(world.holders[0].keys(), 1);
--- a/crates/core/tests/server_presence.rs
+++ b/crates/core/tests/server_presence.rs
@@ -5,7 +5,7 @@
 
 use cowslip_core::server_presence::PresenceRefusal;
 use cowslip_core::server_presence::ServerPresence;
-use cowslip_core::server_presence::LEAVING_TIME;
+use cowslip_core::server_presence::REANNOUNCE_DELAY;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -21,9 +21,9 @@
     presence.drain(Duration::ZERO);
     let late = presence.announce(Duration::from_secs(1), address(1), 0);
     assert_eq!(late, Err(PresenceRefusal::Draining));
-    let busy = presence.announce(LEAVING_TIME, address(1), 3);
+    let busy = presence.announce(REANNOUNCE_DELAY, address(1), 3);
     assert_eq!(busy, Err(PresenceRefusal::Draining));
-    assert_eq!(presence.announce(LEAVING_TIME, address(1), 0), Ok(()));
+    assert_eq!(presence.announce(REANNOUNCE_DELAY, address(1), 0), Ok(()));
 }
 
 // The next version of a server is started beside the one that drains. It has
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -29,7 +29,10 @@
         runs.apply(report("i-2", 200, 1, false)),
         ReportEffect::Begins
     );
-    assert_eq!(runs.apply(report("i-1", 100, 9, false)), ReportEffect::Stale);
+    assert_eq!(
+        runs.apply(report("i-1", 100, 9, false)),
+        ReportEffect::Stale
+    );
     assert_eq!(runs.run().map(|run| &**run), Some("i-2"));
 }
 
@@ -40,8 +43,14 @@
 fn a_leaving_run_is_not_revived_but_its_next_start_is() {
     let mut runs = ServerRuns::default();
     runs.apply(report("i-1", 100, 1, false));
-    assert_eq!(runs.apply(report("i-1", 100, 3, true)), ReportEffect::Leaves);
-    assert_eq!(runs.apply(report("i-1", 100, 2, false)), ReportEffect::Stale);
+    assert_eq!(
+        runs.apply(report("i-1", 100, 3, true)),
+        ReportEffect::Leaves
+    );
+    assert_eq!(
+        runs.apply(report("i-1", 100, 2, false)),
+        ReportEffect::Stale
+    );
     assert_eq!(
         runs.apply(report("i-1", 100, 4, false)),
         ReportEffect::Leaves
