--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -1,5 +1,5 @@
-//! Claims: each key runs at most once, whatever the network and the
-//! holders do.
+//! Claims: the call of a key runs at most once, whatever messages are lost and
+//! whichever holders fail.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,18 +23,18 @@
 use cowslip_core::claim::CLOCK_SKEW;
 use cowslip_core::claim::KEY_RETENTION;
 
-/// Holders in play, among them both sets of a roster that changes.
+/// Number of simulated holders; enough for both sets of a changing roster.
 const HOLDERS: usize = 5;
 
-/// Start of every test's clock; long after the holders' own start.
-const BEGAN: Duration = Duration::from_secs(1_000_000);
+/// Initial time of each simulation, long after the holders started.
+const START_TIME: Duration = Duration::from_secs(1_000_000);
 
-fn name(holder: usize) -> Arc<str> {
+fn holder_name(holder: usize) -> Arc<str> {
     format!("holder-{holder}").into()
 }
 
 fn set(holders: [usize; 3]) -> Vec<Arc<str>> {
-    holders.into_iter().map(name).collect()
+    holders.into_iter().map(holder_name).collect()
 }
 
 fn answer(text: &str) -> KeptAnswer {
@@ -49,14 +49,14 @@
     KeyDigest::of(&[text.as_bytes()])
 }
 
-/// A message on its way, either way, between a claimant and a holder.
+/// A message in flight between a claimant and a holder, in either direction.
 #[derive(Clone, Debug)]
-enum Flight {
-    Asked(usize, usize, ClaimRequest),
-    Replied(usize, usize, ClaimReply),
+enum NetworkMessage {
+    Request(usize, usize, ClaimRequest),
+    Reply(usize, usize, ClaimReply),
 }
 
-/// What a claimant's caller gets, and whether its call ran.
+/// What a claimant's caller was told, and whether its call ran.
 #[derive(Debug, Default)]
 struct CallRecord {
     key: usize,
@@ -64,40 +64,40 @@
     told_not_run: bool,
 }
 
-/// Holders, claimants and the messages between them.
-struct ClaimWorld {
+/// Simulates holders, claimants and the messages between them.
+struct ClaimSimulation {
     now: Duration,
-    born: BTreeMap<usize, u64>,
+    created_ms: BTreeMap<usize, u64>,
     holders: Vec<ClaimHolder>,
     claimants: Vec<Option<ClaimProposal>>,
     calls: Vec<CallRecord>,
-    flights: Vec<Flight>,
+    in_flight: Vec<NetworkMessage>,
 }
 
-impl ClaimWorld {
+impl ClaimSimulation {
     fn new() -> Self {
         let mut holders = Vec::new();
         for _ in 0..HOLDERS {
             holders.push(ClaimHolder::new(Duration::ZERO));
         }
         Self {
-            now: BEGAN,
-            born: BTreeMap::new(),
+            now: START_TIME,
+            created_ms: BTreeMap::new(),
             holders,
             claimants: Vec::new(),
             calls: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Even keys tell when they were made, up to a clock's skew too late.
+    /// Even keys contain their creation time, which is ahead by the clock skew.
     fn key(&mut self, key: usize) -> ClaimKey {
-        let mut named = ClaimKey::new("anna", "/contracts", &format!("key-{key}"));
+        let mut claim_key = ClaimKey::new("anna", "/contracts", &format!("key-{key}"));
         if key.is_multiple_of(2) {
             let latest = (self.now + CLOCK_SKEW).as_millis() as u64;
-            named.created_ms = Some(*self.born.entry(key).or_insert(latest));
+            claim_key.created_ms = Some(*self.created_ms.entry(key).or_insert(latest));
         }
-        named
+        claim_key
     }
 
     fn claim(&mut self, key: usize, sets: Vec<Vec<Arc<str>>>) -> usize {
@@ -119,11 +119,11 @@
             key,
             ..CallRecord::default()
         });
-        self.take(at, step);
+        self.apply_step(at, step);
         at
     }
 
-    fn take(&mut self, at: usize, step: ClaimStep) {
+    fn apply_step(&mut self, at: usize, step: ClaimStep) {
         let mut step = step;
         while step == ClaimStep::Pause {
             let Some(proposal) = &mut self.claimants[at] else {
@@ -133,7 +133,7 @@
         }
         match step {
             ClaimStep::Send(request) => self.send(at, &request),
-            ClaimStep::Done(outcome) => self.done(at, outcome),
+            ClaimStep::Done(outcome) => self.complete(at, outcome),
             ClaimStep::Wait | ClaimStep::Pause => {}
         }
     }
@@ -143,16 +143,16 @@
             return;
         };
         for holder in proposal.holders() {
-            let number = (0..HOLDERS).find(|number| name(*number) == holder);
+            let number = (0..HOLDERS).find(|number| holder_name(*number) == holder);
             let number = number.expect("a holder of the test");
-            self.flights
-                .push(Flight::Asked(at, number, request.clone()));
+            self.in_flight
+                .push(NetworkMessage::Request(at, number, request.clone()));
         }
     }
 
-    /// Every third granted call is refused by its backend server before it
-    /// runs, every third loses its answer, the others are answered.
-    fn done(&mut self, at: usize, outcome: ClaimOutcome) {
+    /// Of the granted calls one third is refused by the backend server before
+    /// it runs, one third runs and loses its answer, and one third is answered.
+    fn complete(&mut self, at: usize, outcome: ClaimOutcome) {
         let Some(proposal) = self.claimants[at].take() else {
             return;
         };
@@ -184,36 +184,37 @@
         }
     }
 
-    /// True while the call's caller has not been told anything.
+    /// True while the caller has not been told a result.
     fn is_open(&self, at: usize) -> bool {
         !self.calls[at].ran && !self.calls[at].told_not_run
     }
 
-    fn deliver(&mut self, flight: Flight) {
-        match flight {
-            Flight::Asked(at, holder, request) => {
+    fn deliver(&mut self, message: NetworkMessage) {
+        match message {
+            NetworkMessage::Request(at, holder, request) => {
                 let reply = self.holders[holder].handle(self.now, request);
-                self.flights.push(Flight::Replied(at, holder, reply));
+                self.in_flight
+                    .push(NetworkMessage::Reply(at, holder, reply));
             }
-            Flight::Replied(at, holder, reply) => {
+            NetworkMessage::Reply(at, holder, reply) => {
                 let Some(proposal) = &mut self.claimants[at] else {
                     return;
                 };
-                let step = proposal.handle(&name(holder), reply);
-                self.take(at, step);
+                let step = proposal.handle(&holder_name(holder), reply);
+                self.apply_step(at, step);
             }
         }
     }
 
-    /// Delivers everything in order until nothing is on its way.
-    fn settle(&mut self) {
-        while !self.flights.is_empty() {
-            let flight = self.flights.remove(0);
-            self.deliver(flight);
+    /// Delivers all messages in order until none is in flight.
+    fn deliver_all(&mut self) {
+        while !self.in_flight.is_empty() {
+            let message = self.in_flight.remove(0);
+            self.deliver(message);
         }
     }
 
-    fn outcome(&mut self, key: ClaimKey, text: &str, serial: u64) -> ClaimOutcome {
+    fn claim_outcome(&mut self, key: ClaimKey, text: &str, serial: u64) -> ClaimOutcome {
         let subject = ClaimSubject {
             key,
             request: request(text),
@@ -227,8 +228,8 @@
         let mut proposal = ClaimProposal::claim(subject);
         let mut step = proposal.begin();
         loop {
-            let asked = match step {
-                ClaimStep::Send(asked) => asked,
+            let request = match step {
+                ClaimStep::Send(request) => request,
                 ClaimStep::Done(outcome) => return outcome,
                 ClaimStep::Pause => {
                     step = proposal.begin();
@@ -238,75 +239,84 @@
             };
             step = ClaimStep::Wait;
             for holder in 0..3 {
-                let reply = self.holders[holder].handle(self.now, asked.clone());
+                let reply = self.holders[holder].handle(self.now, request.clone());
                 if step == ClaimStep::Wait {
-                    step = proposal.handle(&name(holder), reply);
+                    step = proposal.handle(&holder_name(holder), reply);
                 }
             }
         }
     }
 }
 
-/// One thing that happens; the number picks among what there is.
+/// An event of the simulation. The index of a message event selects one of the
+/// messages in flight.
 #[derive(Clone, Copy, Debug)]
-enum WorldStep {
+enum SimulationEvent {
     Claim(usize, bool),
     Deliver(usize),
-    Repeat(usize),
-    Lose(usize),
-    GiveUp(usize, usize),
+    Duplicate(usize),
+    Drop(usize),
+    TimeOut(usize, usize),
     Crash(usize),
     Advance(u64),
 }
 
-fn steps() -> impl Strategy<Value = Vec<WorldStep>> {
+fn events() -> impl Strategy<Value = Vec<SimulationEvent>> {
     let pick = 0..1_000_usize;
-    let step = prop_oneof![
-        3 => (0..2_usize, any::<bool>()).prop_map(|(key, late)| WorldStep::Claim(key, late)),
-        24 => pick.clone().prop_map(WorldStep::Deliver),
-        3 => pick.clone().prop_map(WorldStep::Repeat),
-        3 => pick.clone().prop_map(WorldStep::Lose),
-        2 => (pick, 0..HOLDERS).prop_map(|(at, holder)| WorldStep::GiveUp(at, holder)),
-        1 => (0..HOLDERS).prop_map(WorldStep::Crash),
-        1 => (1..3_000_u64).prop_map(WorldStep::Advance),
+    let event = prop_oneof![
+        3 => (0..2_usize, any::<bool>())
+            .prop_map(|(key, late)| SimulationEvent::Claim(key, late)),
+        24 => pick.clone().prop_map(SimulationEvent::Deliver),
+        3 => pick.clone().prop_map(SimulationEvent::Duplicate),
+        3 => pick.clone().prop_map(SimulationEvent::Drop),
+        2 => (pick, 0..HOLDERS)
+            .prop_map(|(at, holder)| SimulationEvent::TimeOut(at, holder)),
+        1 => (0..HOLDERS).prop_map(SimulationEvent::Crash),
+        1 => (1..3_000_u64).prop_map(SimulationEvent::Advance),
     ];
-    prop::collection::vec(step, 1..160)
+    prop::collection::vec(event, 1..160)
 }
 
-fn run(world: &mut ClaimWorld, step: WorldStep, views: &[Vec<Vec<Arc<str>>>; 2]) {
-    let flights = world.flights.len();
-    match step {
-        WorldStep::Claim(key, late) => {
-            world.claim(key, views[usize::from(late)].clone());
+fn apply_event(
+    simulation: &mut ClaimSimulation,
+    event: SimulationEvent,
+    views: &[Vec<Vec<Arc<str>>>; 2],
+) {
+    let in_flight = simulation.in_flight.len();
+    match event {
+        SimulationEvent::Claim(key, late) => {
+            simulation.claim(key, views[usize::from(late)].clone());
         }
-        WorldStep::Deliver(pick) if flights > 0 => {
-            let flight = world.flights.swap_remove(pick % flights);
-            world.deliver(flight);
+        SimulationEvent::Deliver(pick) if in_flight > 0 => {
+            let message = simulation.in_flight.swap_remove(pick % in_flight);
+            simulation.deliver(message);
         }
-        WorldStep::Repeat(pick) if flights > 0 => {
-            let flight = world.flights[pick % flights].clone();
-            world.deliver(flight);
+        SimulationEvent::Duplicate(pick) if in_flight > 0 => {
+            let message = simulation.in_flight[pick % in_flight].clone();
+            simulation.deliver(message);
         }
-        WorldStep::Lose(pick) if flights > 0 => {
-            world.flights.swap_remove(pick % flights);
+        SimulationEvent::Drop(pick) if in_flight > 0 => {
+            simulation.in_flight.swap_remove(pick % in_flight);
         }
-        WorldStep::GiveUp(pick, holder) if !world.claimants.is_empty() => {
-            let at = pick % world.claimants.len();
-            if let Some(proposal) = &mut world.claimants[at] {
-                let step = proposal.holder_unavailable(&name(holder));
-                world.take(at, step);
+        SimulationEvent::TimeOut(pick, holder) if !simulation.claimants.is_empty() => {
+            let at = pick % simulation.claimants.len();
+            if let Some(proposal) = &mut simulation.claimants[at] {
+                let step = proposal.holder_unavailable(&holder_name(holder));
+                simulation.apply_step(at, step);
             }
         }
-        WorldStep::Crash(holder) => {
-            world.holders[holder] = ClaimHolder::new(world.now);
+        SimulationEvent::Crash(holder) => {
+            simulation.holders[holder] = ClaimHolder::new(simulation.now);
+        }
+        SimulationEvent::Advance(millis) => {
+            simulation.now += Duration::from_millis(millis)
         }
-        WorldStep::Advance(millis) => world.now += Duration::from_millis(millis),
         _ => {}
     }
 }
 
-/// Two views that entry nodes may have at the same time: of the roster
-/// before and during a change, or during and after it.
+/// Two views of the roster that entry nodes may have at the same time: both
+/// before a change, before and during it, or during and after it.
 fn views() -> impl Strategy<Value = [Vec<Vec<Arc<str>>>; 2]> {
     let before = set([0, 1, 2]);
     let after = set([0, 3, 4]);
@@ -321,19 +331,20 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(3_000))]
 
-    // A clerk's batch sale is sent again through other nodes while messages
-    // are lost, repeated and crossed, holders restart empty and the holders
-    // themselves change. A second run would invoice honey twice; a caller
-    // told "not run" whose call ran would order again.
+    // Guards against a second run of a call that is resent through other nodes
+    // while messages are lost, duplicated and reordered, holders restart
+    // without their records and the roster changes. A second run invoices a
+    // batch sale twice. A caller that is told "not run" although the call ran
+    // would order again.
     #[test]
-    fn every_key_runs_at_most_once(steps in steps(), views in views()) {
-        let mut world = ClaimWorld::new();
-        for step in steps {
-            run(&mut world, step, &views);
+    fn every_key_runs_at_most_once(events in events(), views in views()) {
+        let mut simulation = ClaimSimulation::new();
+        for event in events {
+            apply_event(&mut simulation, event, &views);
         }
-        world.settle();
+        simulation.deliver_all();
         let mut runs: BTreeMap<usize, usize> = BTreeMap::new();
-        for call in &world.calls {
+        for call in &simulation.calls {
             prop_assert!(!(call.ran && call.told_not_run), "{:?}", call);
             *runs.entry(call.key).or_default() += usize::from(call.ran);
         }
@@ -342,94 +353,115 @@
         }
     }
 
-    // Without faults claims do go through: the first claim of a key runs and
-    // later ones read its answer.
+    // Without faults the first claim of a key is granted, and a later one is
+    // told that the call may have run.
     #[test]
-    fn a_quiet_fleet_grants_and_answers(serial in 0..1_000_u64) {
-        let mut world = ClaimWorld::new();
-        let key = world.key(1);
-        let first = world.outcome(key, "sale", serial);
+    fn a_claim_without_faults_is_granted_once(serial in 0..1_000_u64) {
+        let mut simulation = ClaimSimulation::new();
+        let key = simulation.key(1);
+        let first = simulation.claim_outcome(key, "sale", serial);
         prop_assert_eq!(first, ClaimOutcome::Granted);
-        let again = world.outcome(key, "sale", serial + 1);
+        let again = simulation.claim_outcome(key, "sale", serial + 1);
         prop_assert_eq!(again, ClaimOutcome::Unanswered);
     }
 }
 
-// The answer to a sale is lost on the way to the clerk, who sends it again
-// through another node: the first answer comes back whole. The same key with
-// another body is a mistake of the caller's and is told so.
+// The answer to a sale is lost on the way to the caller, which resends the
+// call through another node: the resend must get the complete first answer.
+// The same key with a different body is a caller's error and is reported.
 #[test]
-fn a_resend_reads_the_first_answer() {
-    let mut world = ClaimWorld::new();
-    // The third claimant of the world is one that is answered.
-    world.claim(3, vec![set([0, 1, 2])]);
-    world.claim(5, vec![set([0, 1, 2])]);
-    world.claim(1, vec![set([0, 1, 2])]);
-    world.settle();
-    let key = world.key(1);
-    let again = world.outcome(key, "sale", 1);
+fn a_resend_gets_the_first_answer() {
+    let mut simulation = ClaimSimulation::new();
+    // Only the third claimant of the simulation is answered.
+    simulation.claim(3, vec![set([0, 1, 2])]);
+    simulation.claim(5, vec![set([0, 1, 2])]);
+    simulation.claim(1, vec![set([0, 1, 2])]);
+    simulation.deliver_all();
+    let key = simulation.key(1);
+    let again = simulation.claim_outcome(key, "sale", 1);
     assert_eq!(again, ClaimOutcome::Answered(answer("receipt")));
-    let other = world.outcome(key, "another sale", 2);
+    let other = simulation.claim_outcome(key, "another sale", 2);
     assert_eq!(other, ClaimOutcome::KeyReused);
 }
 
-// Every slot was taken, so the call was claimed, not run and refused. The
-// caller comes back as it was told to; the key must be free again.
+// A call was claimed and then refused without running because no slot was
+// free. When the caller resends it, the key must be grantable again.
 #[test]
 fn a_released_key_is_granted_again() {
-    let mut world = ClaimWorld::new();
-    world.claim(1, vec![set([0, 1, 2])]);
-    world.settle();
-    assert!(world.calls[0].told_not_run);
-    let key = world.key(1);
-    assert_eq!(world.outcome(key, "sale", 1), ClaimOutcome::Granted);
+    let mut simulation = ClaimSimulation::new();
+    simulation.claim(1, vec![set([0, 1, 2])]);
+    simulation.deliver_all();
+    assert!(simulation.calls[0].told_not_run);
+    let key = simulation.key(1);
+    assert_eq!(
+        simulation.claim_outcome(key, "sale", 1),
+        ClaimOutcome::Granted
+    );
 }
 
-// Two of a key's three holders restart at once and have forgotten it. The
-// old key is refused until its time has passed; a key that was made after
-// the restart is served.
+// Two of a key's three holders restart at once and lose their records. Claims
+// of the old key are refused until its retention has passed, while a key that
+// was created after the restart is granted.
 #[test]
-fn holders_that_came_back_empty_abstain_on_old_keys() {
-    let mut world = ClaimWorld::new();
-    let key = world.key(1);
-    assert_eq!(world.outcome(key, "sale", 1), ClaimOutcome::Granted);
+fn holders_restarted_without_records_abstain_on_old_keys() {
+    let mut simulation = ClaimSimulation::new();
+    let key = simulation.key(1);
+    assert_eq!(
+        simulation.claim_outcome(key, "sale", 1),
+        ClaimOutcome::Granted
+    );
     for holder in 0..2 {
-        world.holders[holder] = ClaimHolder::new(world.now);
+        simulation.holders[holder] = ClaimHolder::new(simulation.now);
     }
-    assert_eq!(world.outcome(key, "sale", 2), ClaimOutcome::NoMajority);
-    let mut young = ClaimKey::new("anna", "/contracts", "young");
-    let later = world.now + 2 * CLOCK_SKEW + Duration::from_millis(1);
-    young.created_ms = Some(later.as_millis() as u64);
-    assert_eq!(world.outcome(young, "sale", 3), ClaimOutcome::Granted);
-    world.now += KEY_RETENTION + CLOCK_SKEW;
-    assert_eq!(world.outcome(key, "sale", 4), ClaimOutcome::Granted);
+    assert_eq!(
+        simulation.claim_outcome(key, "sale", 2),
+        ClaimOutcome::NoMajority
+    );
+    let mut new_key = ClaimKey::new("anna", "/contracts", "young");
+    let later = simulation.now + 2 * CLOCK_SKEW + Duration::from_millis(1);
+    new_key.created_ms = Some(later.as_millis() as u64);
+    assert_eq!(
+        simulation.claim_outcome(new_key, "sale", 3),
+        ClaimOutcome::Granted
+    );
+    simulation.now += KEY_RETENTION + CLOCK_SKEW;
+    assert_eq!(
+        simulation.claim_outcome(key, "sale", 4),
+        ClaimOutcome::Granted
+    );
 }
 
-// A whole failure domain is lost: one holder of each key. The others are a
-// majority, and what was claimed before is still known.
+// A failure domain fails, and with it one holder of each key. The other two
+// holders form a majority and still know the earlier claim.
 #[test]
-fn one_lost_holder_changes_nothing() {
+fn a_claim_is_still_known_after_one_holder_fails() {
     for lost in 0..3 {
-        let mut world = ClaimWorld::new();
-        let key = world.key(1);
-        assert_eq!(world.outcome(key, "sale", 1), ClaimOutcome::Granted);
-        world.holders[lost] = ClaimHolder::new(world.now);
-        assert_eq!(world.outcome(key, "sale", 2), ClaimOutcome::Unanswered);
+        let mut simulation = ClaimSimulation::new();
+        let key = simulation.key(1);
+        assert_eq!(
+            simulation.claim_outcome(key, "sale", 1),
+            ClaimOutcome::Granted
+        );
+        simulation.holders[lost] = ClaimHolder::new(simulation.now);
+        assert_eq!(
+            simulation.claim_outcome(key, "sale", 2),
+            ClaimOutcome::Unanswered
+        );
     }
 }
 
-// Keys are forgotten once their time has passed, so a holder's memory is
-// bounded by the rate of calls and not by its age.
+// Guards against a holder's memory growing with its uptime: keys are evicted
+// after their retention, so the memory is bounded by the rate of calls.
 #[test]
-fn forgotten_keys_give_their_memory_back() {
-    let mut world = ClaimWorld::new();
+fn evicted_keys_free_their_memory() {
+    let mut simulation = ClaimSimulation::new();
     for serial in 0..100 {
         let key = ClaimKey::new("anna", "/contracts", &format!("key-{serial}"));
-        world.outcome(key, "sale", serial);
+        simulation.claim_outcome(key, "sale", serial);
     }
-    assert_eq!(world.holders[0].keys(), 100);
-    world.now += 2 * KEY_RETENTION;
-    let key = world.key(1);
-    world.outcome(key, "sale", 100);
-    assert_eq!(world.holders[0].keys(), 1);
+    assert_eq!(simulation.holders[0].keys(), 100);
+    simulation.now += 2 * KEY_RETENTION;
+    let key = simulation.key(1);
+    simulation.claim_outcome(key, "sale", 100);
+    assert_eq!(simulation.holders[0].keys(), 1);
 }
--- a/crates/core/tests/server_presence.rs
+++ b/crates/core/tests/server_presence.rs
@@ -1,4 +1,5 @@
-//! A leaving server stays away, and a lost one comes back.
+//! A draining server gets no new work, and an unreachable one is offered again
+//! once it is back.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +12,11 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-// A backend server announces itself, then drains; its two messages cross on
-// the way. It ends a moment later, with the new work that the announcement
-// brought it.
+// A backend server announces itself and then drains, and the two messages
+// arrive in reverse order. Guards against new work for a server that is about
+// to end.
 #[test]
-fn a_crossed_announcement_does_not_revive_a_leaving_server() {
+fn a_reordered_announcement_does_not_undo_a_drain() {
     let mut presence = ServerPresence::default();
     assert_eq!(presence.announce(Duration::ZERO, address(1), 0), Ok(()));
     presence.drain(Duration::ZERO);
@@ -26,20 +27,21 @@
     assert_eq!(presence.announce(REANNOUNCE_DELAY, address(1), 0), Ok(()));
 }
 
-// The next version of a server is started beside the one that drains. It has
-// an address of its own and need not wait.
+// The next version of a server starts while the previous one drains. Its
+// address is different, so its announcement is accepted at once.
 #[test]
-fn another_server_takes_over_at_once() {
+fn a_server_at_another_address_is_accepted_during_a_drain() {
     let mut presence = ServerPresence::default();
     assert_eq!(presence.announce(Duration::ZERO, address(1), 0), Ok(()));
     presence.drain(Duration::ZERO);
     assert_eq!(presence.announce(Duration::ZERO, address(2), 3), Ok(()));
 }
 
-// The node is stopped for maintenance while its backend server announces
-// itself every few seconds. Each time callers would come back to it.
+// A node stops for maintenance while its backend server announces itself every
+// few seconds. Guards against each announcement sending callers back to the
+// node.
 #[test]
-fn nothing_revives_a_stopping_node() {
+fn a_stopping_node_refuses_announcements() {
     let mut presence = ServerPresence::default();
     presence.stop();
     let again = presence.announce(Duration::from_secs(3_600), address(1), 0);
@@ -48,11 +50,11 @@
     assert!(!presence.mark_reachable());
 }
 
-// A backend server crashes and something restarts it on the same port. It is
-// withdrawn once, and offered again when it listens; one that drained before
-// it ended is not.
+// A backend server crashes and is restarted on the same port. It must be
+// withdrawn once and offered again when it listens. A server that drained
+// before it ended must not be offered again.
 #[test]
-fn a_lost_server_comes_back_and_a_drained_one_does_not() {
+fn a_crashed_server_is_offered_again_and_a_drained_one_is_not() {
     let mut presence = ServerPresence::default();
     assert!(presence.mark_unreachable());
     assert!(!presence.mark_unreachable());
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -1,4 +1,4 @@
-//! Reports of a backend server's runs, in whatever order they arrive.
+//! Reports of a backend server's runs that arrive in any order.
 
 use proptest::prelude::*;
 
@@ -15,11 +15,11 @@
     }
 }
 
-// A server crashes behind a partition and its next run registers. A report
-// of the crashed run, held up until then, arrives last. Taken at its word,
-// calls would go to a run that is gone, with its slots and its version.
+// A server crashes behind a network partition and its next run registers.
+// Then a delayed report of the crashed run arrives. Guards against calls to a
+// run that no longer exists, based on its slots and version.
 #[test]
-fn a_late_report_of_a_crashed_run_changes_nothing() {
+fn a_late_report_of_a_crashed_run_is_ignored() {
     let mut runs = ServerRuns::default();
     assert_eq!(
         runs.apply(report("i-1", 100, 1, false)),
@@ -36,11 +36,11 @@
     assert_eq!(runs.run().map(|run| &**run), Some("i-2"));
 }
 
-// A server says that it leaves, and an earlier report arrives after that.
-// Calls sent to it then would be cut when it ends. Its next run, under the
-// same name, takes work again.
+// A server reports that it is leaving, and an earlier report arrives after
+// that. Guards against new calls to the server, which would be cut off when it
+// ends. Its next run takes work again, even under the same name.
 #[test]
-fn a_leaving_run_is_not_revived_but_its_next_start_is() {
+fn a_leaving_run_takes_no_work_but_the_next_run_does() {
     let mut runs = ServerRuns::default();
     runs.apply(report("i-1", 100, 1, false));
     assert_eq!(
@@ -61,10 +61,11 @@
     );
 }
 
-// Some servers say goodbye without having said that they leave. A goodbye
-// of an earlier start under the same name must not end the present one.
+// Some servers deregister without having reported that they are leaving. The
+// deregistration of an earlier run must not end the present run of the same
+// name.
 #[test]
-fn a_goodbye_ends_its_own_run_alone() {
+fn a_deregistration_ends_only_its_own_run() {
     let mut runs = ServerRuns::default();
     runs.apply(report("i-1", 300, 1, false));
     assert!(!runs.deregister("i-2", None));
@@ -76,10 +77,11 @@
     );
 }
 
-// A node that has just started finds its server before the server reports.
-// The report says more, so it begins the run anew, and never the other way.
+// A node that has just started discovers its server before the server reports.
+// The report contains more, so it begins the run anew. A discovery never
+// replaces a run that has reported.
 #[test]
-fn a_found_run_gives_way_to_its_report() {
+fn a_report_replaces_a_discovered_run() {
     let mut runs = ServerRuns::default();
     assert!(runs.discover(&"i-1".into()));
     assert_eq!(
@@ -91,9 +93,10 @@
 }
 
 proptest! {
-    // Whatever the order: once a run has left, no report of it takes work.
+    // In any order of reports, a run that has reported that it is leaving never
+    // takes work again.
     #[test]
-    fn no_order_of_reports_revives_a_run(
+    fn no_order_of_reports_makes_a_leaving_run_take_work(
         mut sequences in prop::collection::vec(1..50_u64, 1..20),
         leaves_at in 0..20_usize,
     ) {
@@ -105,18 +108,18 @@
             let leaving = at == leaves_at;
             left |= leaving;
             let effect = runs.apply(report("i-1", 1, *sequence, leaving));
-            let works = matches!(effect, ReportEffect::Begins | ReportEffect::Continues);
-            prop_assert!(!(left && works));
+            let takes_work = matches!(effect, ReportEffect::Begins | ReportEffect::Continues);
+            prop_assert!(!(left && takes_work));
         }
     }
 }
 
-// A node that has just started finds its server by its health page, which
-// does not tell when it began. The server says goodbye before its first
-// report, and one that was held up arrives after. Goodbye was acknowledged,
-// and calls were sent to it for as long as it lived.
+// A node that has just started discovers its server by the health page, which
+// does not contain the start time. The server deregisters before its first
+// report, and a delayed report arrives afterwards. Guards against calls to the
+// server, until it ends, although its deregistration was acknowledged.
 #[test]
-fn a_run_that_was_found_leaves_with_its_goodbye() {
+fn a_discovered_run_leaves_when_it_is_deregistered() {
     for started_ms in [None, Some(100)] {
         let mut runs = ServerRuns::default();
         assert!(runs.discover(&"i-1".into()));
@@ -128,10 +131,10 @@
     }
 }
 
-// A goodbye is the first that a node hears after its start. The server is
-// not begun by its health page then, nor by a report that was held up.
+// A node receives a deregistration as its first message after its start. Then
+// neither the health page nor a delayed report may begin the run.
 #[test]
-fn a_goodbye_before_anything_else_counts() {
+fn a_deregistration_before_any_report_counts() {
     let mut runs = ServerRuns::default();
     runs.deregister("i-1", Some(100));
     assert!(!runs.discover(&"i-1".into()));
