--- a/crates/core/tests/load_patterns/fake_fleet.rs
+++ b/crates/core/tests/load_patterns/fake_fleet.rs
@@ -1,5 +1,6 @@
-//! A small fake of backend servers with slots, under a virtual clock, that
-//! drives the real entry routers and gates or naive ones in their place.
+//! A discrete-event simulation of a fleet under a virtual clock. It simulates
+//! backend servers with slots, and drives either the real entry routers and
+//! gates or naive replacements.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -40,64 +41,66 @@
 use cowslip_core::verdict::CallVerdict;
 use cowslip_core::version::ConfigVersion;
 
-use crate::naive_side::NaiveEntry;
-use crate::naive_side::NaiveGate;
+use crate::naive_policy::NaiveEntry;
+use crate::naive_policy::NaiveGate;
 
-/// One way between any two nodes.
-const ONE_WAY: Duration = Duration::from_micros(500);
+/// One-way network delay between any two nodes.
+const ONE_WAY_DELAY: Duration = Duration::from_micros(500);
 
-/// Before it no call is offered: servers have left their warm-up ramp.
+/// Time of the first call. By then the servers have passed their warm-up ramp.
 pub const START: Duration = Duration::from_secs(20);
 
 pub const SERVICE: &str = "records";
 
-/// Which code decides.
+/// Which routing and admission code the simulation runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// The modules.
+pub enum PolicyKind {
+    /// The entry router and the server gate of this crate.
     Real,
-    /// Least outstanding of two and three tries; the gate's queue of this
-    /// many calls, oldest first.
+    /// The less loaded of two random servers, up to three tries, and at each
+    /// server a first-in-first-out queue of at most this many calls.
     Naive(usize),
 }
 
-/// How a backend server behaves at a moment: `None` fails within 1 ms.
-pub type Behaviour =
+/// Factor by which a call's work takes longer on a server at a moment. With
+/// `None` the call fails within 1 ms.
+pub type WorkFactor =
     fn(server: usize, since_start: Duration, running: usize) -> Option<f64>;
 
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    pub side: Side,
+    pub policy: PolicyKind,
     pub servers: usize,
     pub slots: u32,
     pub entries: usize,
-    /// Routes with their priority and time of work.
+    /// Path, priority and work time of each route.
     pub routes: Vec<(&'static str, CallPriority, Duration)>,
-    /// Multiplies the time of work.
-    pub behaviour: Behaviour,
-    /// Times that a refused or late caller asks again.
+    /// Multiplies the work time.
+    pub work_factor: WorkFactor,
+    /// How often a caller resends a refused or late call.
     pub resends: u32,
     pub order: QueueOrder,
-    /// When server 0 joins, if it is not there from the start.
-    pub joins: Option<Duration>,
+    /// Time after [`START`] at which server 0 joins; `None` if it is present
+    /// from the beginning.
+    pub joins_after: Option<Duration>,
 }
 
-/// One call that callers make.
+/// A call that a caller makes.
 #[derive(Clone, Debug)]
-pub struct Offered {
+pub struct CallerRequest {
     pub at: Duration,
     pub customer: Arc<str>,
     pub route: usize,
     pub deadline: Duration,
 }
 
-/// What a caller received.
+/// Final result of a caller's call.
 #[derive(Clone, Debug)]
-pub struct Received {
-    pub call: Offered,
-    /// From the first asking to the final answer.
+pub struct CallerResult {
+    pub call: CallerRequest,
+    /// Time from the first send to the final answer.
     pub took: Duration,
-    /// The reason, or `None` for an answer in time.
+    /// Reason of the refusal; `None` if the call was answered in time.
     pub refused: Option<RefusalReason>,
     pub tries: u32,
     /// Status of the backend server's answer.
@@ -106,20 +109,20 @@
 
 #[derive(Debug)]
 pub struct FakeCall {
-    pub offered: Offered,
+    pub offered: CallerRequest,
     pub plan: Option<CallPlan>,
-    pub tried: Vec<usize>,
+    pub tried_servers: Vec<usize>,
     deadline_at: Duration,
     resends: u32,
     tries: u32,
     server: usize,
     sent_at: Duration,
-    asking: bool,
-    over: bool,
+    awaiting_answer: bool,
+    finished: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
+enum FleetEvent {
     Join,
     Arrive(usize),
     AtGate(usize, u32),
@@ -129,46 +132,46 @@
     Deadline(usize, u32),
 }
 
-enum Gate {
+enum GateKind {
     Real(Box<ServerGate>),
     Naive(NaiveGate),
 }
 
-enum Entry {
+enum EntryKind {
     Real(Box<EntryRouter>),
     Naive(NaiveEntry),
 }
 
 struct FakeServer {
-    gate: Gate,
+    gate: GateKind,
     running: HashMap<u64, Duration>,
     wake_at: Option<Duration>,
 }
 
-/// The fleet while it runs.
+/// State of the simulated fleet.
 pub struct FakeFleet {
     plan: FleetPlan,
     now: Duration,
-    events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Duration, u64, FleetEvent)>>,
     sequence: u64,
-    entries: Vec<Entry>,
+    entries: Vec<EntryKind>,
     servers: Vec<FakeServer>,
     calls: Vec<FakeCall>,
-    received: Vec<Received>,
+    received: Vec<CallerResult>,
     rng: SmallRng,
-    /// Work begun at each server.
-    pub begun: Vec<u32>,
+    /// Number of calls started at each server.
+    pub started_calls: Vec<u32>,
 }
 
-fn ticket(call: usize, tried: u32) -> u64 {
-    (call as u64) * 256 + u64::from(tried)
+fn try_number(call: usize, tries: u32) -> u64 {
+    (call as u64) * 256 + u64::from(tries)
 }
 
 pub fn instance(server: usize) -> Arc<str> {
     format!("server-{server:03}").into()
 }
 
-fn number(instance: &str) -> usize {
+fn server_index(instance: &str) -> usize {
     instance["server-".len()..].parse().unwrap()
 }
 
@@ -206,11 +209,11 @@
     }
 }
 
-fn entry(plan: &FleetPlan, at: usize) -> Entry {
-    if let Side::Naive(_) = plan.side {
+fn entry(plan: &FleetPlan, at: usize) -> EntryKind {
+    if let PolicyKind::Naive(_) = plan.policy {
         let mut entry = NaiveEntry::new(plan.servers, at as u64);
-        entry.first_known = plan.joins.is_none();
-        return Entry::Naive(entry);
+        entry.first_server_known = plan.joins_after.is_none();
+        return EntryKind::Naive(entry);
     }
     let domain = ["hardanger", "sogn", "voss"][at % 3];
     let mut router = EntryRouter::new(domain.into(), at as u64);
@@ -219,10 +222,10 @@
         document: Arc::new(document(plan)),
     };
     assert_eq!(router.swap(snapshot), Ok(true));
-    let first = usize::from(plan.joins.is_some());
+    let first = usize::from(plan.joins_after.is_some());
     let records = (first..plan.servers).map(|server| record(server, plan.slots));
     router.merge(Duration::ZERO, records.collect());
-    Entry::Real(Box::new(router))
+    EntryKind::Real(Box::new(router))
 }
 
 fn server(plan: &FleetPlan) -> FakeServer {
@@ -232,9 +235,11 @@
         version: "v1".into(),
         slots: plan.slots,
     });
-    let gate = match plan.side {
-        Side::Real => Gate::Real(Box::new(gate)),
-        Side::Naive(room) => Gate::Naive(NaiveGate::new(plan.slots as usize, room)),
+    let gate = match plan.policy {
+        PolicyKind::Real => GateKind::Real(Box::new(gate)),
+        PolicyKind::Naive(queue_max) => {
+            GateKind::Naive(NaiveGate::new(plan.slots as usize, queue_max))
+        }
     };
     FakeServer {
         gate,
@@ -244,9 +249,12 @@
 }
 
 impl FakeFleet {
-    /// Runs the offered calls to their end; what callers received, and the
-    /// work begun at each server.
-    pub fn run(plan: &FleetPlan, offered: Vec<Offered>) -> (Vec<Received>, Vec<u32>) {
+    /// Simulates the offered calls until all have ended. Returns the results of
+    /// the callers and the number of calls started at each server.
+    pub fn run(
+        plan: &FleetPlan,
+        offered: Vec<CallerRequest>,
+    ) -> (Vec<CallerResult>, Vec<u32>) {
         let mut fleet = Self {
             now: Duration::ZERO,
             events: BinaryHeap::new(),
@@ -256,25 +264,25 @@
             calls: Vec::new(),
             received: Vec::new(),
             rng: SmallRng::seed_from_u64(7),
-            begun: vec![0; plan.servers],
+            started_calls: vec![0; plan.servers],
             plan: plan.clone(),
         };
-        if let Some(joins) = plan.joins {
-            fleet.at(START + joins, Event::Join);
+        if let Some(joins) = plan.joins_after {
+            fleet.schedule(START + joins, FleetEvent::Join);
         }
         for call in offered {
-            fleet.at(call.at, Event::Arrive(fleet.calls.len()));
+            fleet.schedule(call.at, FleetEvent::Arrive(fleet.calls.len()));
             fleet.calls.push(FakeCall {
                 deadline_at: call.at + call.deadline,
                 offered: call,
                 plan: None,
-                tried: Vec::new(),
+                tried_servers: Vec::new(),
                 resends: 0,
                 tries: 0,
                 server: 0,
                 sent_at: Duration::ZERO,
-                asking: false,
-                over: false,
+                awaiting_answer: false,
+                finished: false,
             });
         }
         while let Some(Reverse((now, _, event))) = fleet.events.pop() {
@@ -282,54 +290,54 @@
             fleet.handle(event);
         }
         assert_eq!(fleet.received.len(), fleet.calls.len());
-        (fleet.received, fleet.begun)
+        (fleet.received, fleet.started_calls)
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: FleetEvent) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle(&mut self, event: FleetEvent) {
         match event {
-            Event::Join => self.join(),
-            Event::Arrive(call) => self.arrive(call),
-            Event::AtGate(call, tried) => self.offer(call, tried),
-            Event::Done(server, ticket) => self.done(server, ticket),
-            Event::Wake(server) => {
+            FleetEvent::Join => self.join(),
+            FleetEvent::Arrive(call) => self.arrive(call),
+            FleetEvent::AtGate(call, tries) => self.offer(call, tries),
+            FleetEvent::Done(server, number) => self.work_done(server, number),
+            FleetEvent::Wake(server) => {
                 let now = self.now;
                 self.servers[server].wake_at = None;
                 let actions = match &mut self.servers[server].gate {
-                    Gate::Real(gate) => gate.wake(now),
-                    Gate::Naive(_) => Vec::new(),
+                    GateKind::Real(gate) => gate.wake(now),
+                    GateKind::Naive(_) => Vec::new(),
                 };
                 self.carry_out(server, actions);
             }
-            Event::Reply(call, tried, status, refused) => {
-                self.reply(call, tried, status, refused);
+            FleetEvent::Reply(call, tries, status, refused) => {
+                self.reply(call, tries, status, refused);
             }
-            Event::Deadline(call, tries) => self.too_late(call, tries),
+            FleetEvent::Deadline(call, tries) => self.deadline_passed(call, tries),
         }
     }
 
     fn join(&mut self) {
         for entry in &mut self.entries {
             match entry {
-                Entry::Real(router) => {
+                EntryKind::Real(router) => {
                     router.merge(self.now, vec![record(0, self.plan.slots)]);
                 }
-                Entry::Naive(entry) => entry.first_known = true,
+                EntryKind::Naive(entry) => entry.first_server_known = true,
             }
         }
     }
 
     fn arrive(&mut self, call: usize) {
         let fake = &mut self.calls[call];
-        fake.tried.clear();
-        fake.asking = true;
+        fake.tried_servers.clear();
+        fake.awaiting_answer = true;
         fake.deadline_at = self.now + fake.offered.deadline;
         let at = (call + fake.resends as usize) % self.entries.len();
-        if let Entry::Real(router) = &mut self.entries[at] {
+        if let EntryKind::Real(router) = &mut self.entries[at] {
             let head = CallHead {
                 host: "",
                 path: self.plan.routes[fake.offered.route].0,
@@ -345,35 +353,35 @@
         }
         let deadline_at = fake.deadline_at;
         let tries = fake.tries;
-        self.at(deadline_at, Event::Deadline(call, tries));
-        self.begin(call);
+        self.schedule(deadline_at, FleetEvent::Deadline(call, tries));
+        self.begin_try(call);
     }
 
-    fn begin(&mut self, call: usize) {
+    fn begin_try(&mut self, call: usize) {
         let fake = &mut self.calls[call];
         let at = (call + fake.resends as usize) % self.entries.len();
         let chosen = match &mut self.entries[at] {
-            Entry::Real(router) => router
+            EntryKind::Real(router) => router
                 .begin(self.now, fake.plan.as_mut().unwrap())
-                .map(|server| number(&server.instance)),
-            Entry::Naive(entry) => entry.begin(&fake.tried),
+                .map(|server| server_index(&server.instance)),
+            EntryKind::Naive(entry) => entry.begin(&fake.tried_servers),
         };
         let server = match chosen {
             Ok(server) => server,
             Err(reason) => return self.refuse(call, reason),
         };
-        fake.tried.push(server);
+        fake.tried_servers.push(server);
         fake.tries += 1;
         fake.server = server;
         fake.sent_at = self.now;
         let tries = fake.tries;
-        self.at(self.now + ONE_WAY, Event::AtGate(call, tries));
+        self.schedule(self.now + ONE_WAY_DELAY, FleetEvent::AtGate(call, tries));
     }
 
-    fn offer(&mut self, call: usize, tried: u32) {
+    fn offer(&mut self, call: usize, tries: u32) {
         let fake = &self.calls[call];
         let left = fake.deadline_at.saturating_sub(self.now);
-        if fake.over || fake.tries != tried || left.is_zero() {
+        if fake.finished || fake.tries != tries || left.is_zero() {
             return;
         }
         let (path, priority, _) = self.plan.routes[fake.offered.route];
@@ -390,10 +398,10 @@
             left: deadline_budget::for_next_hop(left),
         };
         let server = fake.server;
-        let number = ticket(call, tried);
+        let number = try_number(call, tries);
         let actions = match &mut self.servers[server].gate {
-            Gate::Real(gate) => gate.offer(self.now, number, offered),
-            Gate::Naive(gate) => gate.offer(number),
+            GateKind::Real(gate) => gate.offer(self.now, number, offered),
+            GateKind::Naive(gate) => gate.offer(number),
         };
         self.carry_out(server, actions);
     }
@@ -403,18 +411,18 @@
             match action {
                 GateAction::Start(number) => self.start(server, number),
                 GateAction::Refuse(number, reason) => {
-                    let reply = Event::Reply(
+                    let reply = FleetEvent::Reply(
                         (number / 256) as usize,
                         (number % 256) as u32,
                         0,
                         Some(reason),
                     );
-                    self.at(self.now + ONE_WAY, reply);
+                    self.schedule(self.now + ONE_WAY_DELAY, reply);
                 }
             }
         }
         let held = &mut self.servers[server];
-        let Gate::Real(gate) = &held.gate else {
+        let GateKind::Real(gate) = &held.gate else {
             return;
         };
         let Some(at) = gate.next_wake() else {
@@ -422,42 +430,42 @@
         };
         if held.wake_at.is_none_or(|pending| at < pending) {
             held.wake_at = Some(at);
-            self.at(at, Event::Wake(server));
+            self.schedule(at, FleetEvent::Wake(server));
         }
     }
 
     fn start(&mut self, server: usize, number: u64) {
-        self.begun[server] += 1;
+        self.started_calls[server] += 1;
         let route = self.calls[(number / 256) as usize].offered.route;
         let work = self.plan.routes[route].2;
         let running = self.servers[server].running.len() + 1;
-        let factor = (self.plan.behaviour)(server, self.now - START, running);
+        let factor = (self.plan.work_factor)(server, self.now - START, running);
         let work = factor.map_or(Duration::from_millis(1), |by| work.mul_f64(by));
         self.servers[server].running.insert(number, self.now);
-        self.at(self.now + work, Event::Done(server, number));
+        self.schedule(self.now + work, FleetEvent::Done(server, number));
     }
 
-    fn done(&mut self, server: usize, number: u64) {
+    fn work_done(&mut self, server: usize, number: u64) {
         let Some(started) = self.servers[server].running.remove(&number) else {
             return;
         };
-        let fails = (self.plan.behaviour)(server, started - START, 1).is_none();
+        let fails = (self.plan.work_factor)(server, started - START, 1).is_none();
         let status = if fails { 500 } else { 200 };
         let call = (number / 256) as usize;
-        let reply = Event::Reply(call, (number % 256) as u32, status, None);
-        self.at(self.now + ONE_WAY, reply);
+        let reply = FleetEvent::Reply(call, (number % 256) as u32, status, None);
+        self.schedule(self.now + ONE_WAY_DELAY, reply);
         let outcome = if fails {
             SlotOutcome::Abandoned
         } else {
             SlotOutcome::Answered(self.now - started)
         };
-        self.slot_end(server, number, outcome);
+        self.end_slot(server, number, outcome);
     }
 
-    fn slot_end(&mut self, server: usize, number: u64, outcome: SlotOutcome) {
+    fn end_slot(&mut self, server: usize, number: u64, outcome: SlotOutcome) {
         let actions = match &mut self.servers[server].gate {
-            Gate::Real(gate) => gate.end(self.now, number, outcome),
-            Gate::Naive(gate) => gate.end(number),
+            GateKind::Real(gate) => gate.end(self.now, number, outcome),
+            GateKind::Naive(gate) => gate.end(number),
         };
         self.carry_out(server, actions);
     }
@@ -465,12 +473,12 @@
     fn reply(
         &mut self,
         call: usize,
-        tried: u32,
+        tries: u32,
         status: u16,
         refused: Option<RefusalReason>,
     ) {
         let fake = &self.calls[call];
-        if fake.over || fake.tries != tried {
+        if fake.finished || fake.tries != tries {
             return;
         }
         if let Some(reason) = refused {
@@ -480,7 +488,7 @@
         let taken = self.now - fake.sent_at;
         let at = (call + fake.resends as usize) % self.entries.len();
         match &mut self.entries[at] {
-            Entry::Real(router) => {
+            EntryKind::Real(router) => {
                 let plan = fake.plan.as_ref().unwrap();
                 let report = TryReport {
                     bytes: None,
@@ -494,7 +502,7 @@
                 };
                 router.ended(self.now, &report);
             }
-            Entry::Naive(entry) => entry.end(fake.server),
+            EntryKind::Naive(entry) => entry.end(fake.server),
         }
         self.finish(call, None, status);
     }
@@ -503,7 +511,7 @@
         let fake = &mut self.calls[call];
         let at = (call + fake.resends as usize) % self.entries.len();
         let next = match &mut self.entries[at] {
-            Entry::Real(router) => {
+            EntryKind::Real(router) => {
                 let server = cowslip_core::entry_router::ServerTry {
                     wait_max: None,
                     instance: instance(fake.server),
@@ -512,22 +520,27 @@
                 };
                 router.failed(self.now, fake.plan.as_mut().unwrap(), &server, failure)
             }
-            Entry::Naive(entry) => entry.failed(fake.server, &fake.tried, failure),
+            EntryKind::Naive(entry) => {
+                entry.failed(fake.server, &fake.tried_servers, failure)
+            }
         };
         match next {
-            NextStep::Retry(_) => self.begin(call),
+            NextStep::Retry(_) => self.begin_try(call),
             NextStep::Refuse(reason) => self.refuse(call, reason),
         }
     }
 
-    fn too_late(&mut self, call: usize, tries_before: u32) {
+    fn deadline_passed(&mut self, call: usize, tries_at_start: u32) {
         let fake = &self.calls[call];
-        if !fake.asking || self.now < fake.deadline_at || fake.tries <= tries_before {
+        if !fake.awaiting_answer
+            || self.now < fake.deadline_at
+            || fake.tries <= tries_at_start
+        {
             return;
         }
-        let (server, number) = (fake.server, ticket(call, fake.tries));
+        let (server, number) = (fake.server, try_number(call, fake.tries));
         self.servers[server].running.remove(&number);
-        self.slot_end(server, number, SlotOutcome::Abandoned);
+        self.end_slot(server, number, SlotOutcome::Abandoned);
         let failure = TryFailure {
             verdict: CallVerdict::MayHaveRun,
             reason: RefusalReason::DeadlinePassed,
@@ -540,27 +553,27 @@
         if !again {
             return self.finish(call, Some(reason), 0);
         }
-        let after = match self.plan.side {
-            Side::Real => {
+        let after = match self.plan.policy {
+            PolicyKind::Real => {
                 let caller = CallerTime::default();
                 retry_delay::retry_after(reason, caller, &mut self.rng)
             }
-            Side::Naive(_) => None,
+            PolicyKind::Naive(_) => None,
         };
         let after = after.unwrap_or(Duration::from_millis(50));
         let fake = &mut self.calls[call];
         fake.resends += 1;
-        fake.asking = false;
+        fake.awaiting_answer = false;
         fake.tries += 1;
-        self.at(self.now + after, Event::Arrive(call));
+        self.schedule(self.now + after, FleetEvent::Arrive(call));
     }
 
     fn finish(&mut self, call: usize, refused: Option<RefusalReason>, status: u16) {
         let fake = &mut self.calls[call];
-        assert!(!fake.over, "a caller got two answers");
-        fake.over = true;
-        fake.asking = false;
-        self.received.push(Received {
+        assert!(!fake.finished, "a caller got two answers");
+        fake.finished = true;
+        fake.awaiting_answer = false;
+        self.received.push(CallerResult {
             call: fake.offered.clone(),
             took: self.now - fake.offered.at,
             refused,
--- a/crates/core/tests/load_patterns/naive_side.rs
+++ b/crates/core/tests/load_patterns/naive_policy.rs
@@ -1,5 +1,6 @@
-//! What the modules are compared with: least outstanding of two, a fixed
-//! number of tries, and a plain queue.
+//! Naive replacements for the entry router and the server gate, which the tests
+//! compare them with: the less loaded of two random servers, a fixed number of
+//! tries and a plain queue.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -17,8 +18,8 @@
 
 pub struct NaiveEntry {
     outstanding: Vec<u32>,
-    /// Server 0 is known from the start.
-    pub first_known: bool,
+    /// True once server 0 has joined.
+    pub first_server_known: bool,
     rng: SmallRng,
 }
 
@@ -26,26 +27,26 @@
     pub fn new(servers: usize, seed: u64) -> Self {
         Self {
             outstanding: vec![0; servers],
-            first_known: true,
+            first_server_known: true,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     pub fn begin(&mut self, tried: &[usize]) -> Result<usize, RefusalReason> {
-        let mut fresh = Vec::new();
+        let mut untried = Vec::new();
         for server in 0..self.outstanding.len() {
-            let known = server > 0 || self.first_known;
+            let known = server > 0 || self.first_server_known;
             if known && !tried.contains(&server) {
-                fresh.push(server);
+                untried.push(server);
             }
         }
-        if fresh.is_empty() {
+        if untried.is_empty() {
             return Err(RefusalReason::NoEndpoint);
         }
-        let first = fresh[self.rng.random_range(0..fresh.len())];
-        let second = fresh[self.rng.random_range(0..fresh.len())];
-        let lighter = self.outstanding[second] < self.outstanding[first];
-        let chosen = if lighter { second } else { first };
+        let first = untried[self.rng.random_range(0..untried.len())];
+        let second = untried[self.rng.random_range(0..untried.len())];
+        let second_is_less_loaded = self.outstanding[second] < self.outstanding[first];
+        let chosen = if second_is_less_loaded { second } else { first };
         self.outstanding[chosen] += 1;
         Ok(chosen)
     }
@@ -70,42 +71,42 @@
 
 pub struct NaiveGate {
     slots: usize,
-    room: usize,
+    queue_max: usize,
     running: BTreeSet<u64>,
     queue: VecDeque<u64>,
-    left: BTreeSet<u64>,
+    abandoned: BTreeSet<u64>,
 }
 
 impl NaiveGate {
-    pub fn new(slots: usize, room: usize) -> Self {
+    pub fn new(slots: usize, queue_max: usize) -> Self {
         Self {
             slots,
-            room,
+            queue_max,
             running: BTreeSet::new(),
             queue: VecDeque::new(),
-            left: BTreeSet::new(),
+            abandoned: BTreeSet::new(),
         }
     }
 
-    pub fn offer(&mut self, ticket: u64) -> Vec<GateAction> {
+    pub fn offer(&mut self, number: u64) -> Vec<GateAction> {
         if self.running.len() < self.slots {
-            self.running.insert(ticket);
-            return vec![GateAction::Start(ticket)];
+            self.running.insert(number);
+            return vec![GateAction::Start(number)];
         }
-        if self.queue.len() >= self.room {
-            return vec![GateAction::Refuse(ticket, RefusalReason::QueueFull)];
+        if self.queue.len() >= self.queue_max {
+            return vec![GateAction::Refuse(number, RefusalReason::QueueFull)];
         }
-        self.queue.push_back(ticket);
+        self.queue.push_back(number);
         Vec::new()
     }
 
-    pub fn end(&mut self, ticket: u64) -> Vec<GateAction> {
-        if !self.running.remove(&ticket) {
-            self.left.insert(ticket);
+    pub fn end(&mut self, number: u64) -> Vec<GateAction> {
+        if !self.running.remove(&number) {
+            self.abandoned.insert(number);
             return Vec::new();
         }
         let mut next = self.queue.pop_front();
-        while next.is_some_and(|next| self.left.remove(&next)) {
+        while next.is_some_and(|next| self.abandoned.remove(&next)) {
             next = self.queue.pop_front();
         }
         let Some(next) = next else {
