--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -10,8 +10,8 @@
 //! end it.
 //!
 //! Load pattern: callers resend through other nodes after an answer was lost,
-//! while nodes join and leave. Without claims a batch sale that ran twice
-//! invoices goods that were never shipped.
+//! while nodes join and leave. Without claims the second run of a batch sale
+//! would invoice goods that were never shipped.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/core/src/claim/holder.rs
+++ b/crates/core/src/claim/holder.rs
@@ -53,17 +53,17 @@
     records: HashMap<KeyDigest, KeyRecord>,
     /// Keys with the last write time known when they were queued, in the order
     /// in which they are checked for eviction.
-    by_age: VecDeque<(Duration, KeyDigest)>,
+    eviction_queue: VecDeque<(Duration, KeyDigest)>,
     bytes: usize,
 }
 
 impl ClaimHolder {
-    /// A holder that starts at `now` without any records.
+    /// Creates a holder that starts at `now` without any records.
     pub fn new(now: Duration) -> Self {
         Self {
             started: now,
             records: HashMap::new(),
-            by_age: VecDeque::new(),
+            eviction_queue: VecDeque::new(),
             bytes: 0,
         }
     }
@@ -149,7 +149,7 @@
                 touched: now,
             };
             self.records.insert(key.digest, record);
-            self.by_age.push_back((now, key.digest));
+            self.eviction_queue.push_back((now, key.digest));
             self.bytes += KEY_BYTES;
         }
         self.records.get_mut(&key.digest)
@@ -169,17 +169,17 @@
     }
 
     fn evict_expired(&mut self, now: Duration) {
-        while let Some((since, digest)) = self.by_age.front().copied() {
+        while let Some((since, digest)) = self.eviction_queue.front().copied() {
             if now < since + KEY_RETENTION {
                 return;
             }
-            self.by_age.pop_front();
+            self.eviction_queue.pop_front();
             let Some(record) = self.records.get(&digest) else {
                 continue;
             };
             if now < record.touched + KEY_RETENTION {
                 let touched = record.touched;
-                self.by_age.push_back((touched, digest));
+                self.eviction_queue.push_back((touched, digest));
                 continue;
             }
             self.bytes -= KEY_BYTES + record.answer_bytes();
--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -50,14 +50,14 @@
     KeyReused,
     /// No majority of the holders agreed; nothing was granted.
     NoMajority,
-    /// The end of the run is written, or no write is needed because the run
-    /// no longer holds the claim.
+    /// The end of the run is written, or nothing was to be written because the
+    /// run does not hold the claim.
     EndWritten,
     /// Result of an inspection: no run holds the key.
     Free,
 }
 
-/// Next step of the driver of a proposal.
+/// What the driver of a proposal has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Wait for more replies.
@@ -112,13 +112,13 @@
 }
 
 impl ClaimProposal {
-    /// A proposal that claims the key for the subject's run.
+    /// Creates a proposal that claims the key for the subject's run.
     pub fn claim(subject: ClaimSubject) -> Self {
         Self::new(subject, ClaimIntent::Claim)
     }
 
-    /// A proposal that only reads the state of the key, for a call that does
-    /// not run now but may have run before.
+    /// Creates a proposal that only reads the state of the key, for a call that
+    /// does not run now but may have run before.
     pub fn inspect(subject: ClaimSubject) -> Self {
         Self::new(subject, ClaimIntent::Inspect)
     }
--- a/crates/core/src/claim/roster.rs
+++ b/crates/core/src/claim/roster.rs
@@ -99,12 +99,12 @@
     for seat in seats {
         let rank = splitmix64(fnv1a(&seat.instance) ^ key.leading_u64());
         let ranked = RankedSeat { rank, seat };
-        let Some(held) = best_per_domain.get_mut(&*seat.failure_domain) else {
+        let Some(best) = best_per_domain.get_mut(&*seat.failure_domain) else {
             best_per_domain.insert(&seat.failure_domain, ranked);
             continue;
         };
-        if held.rank < rank {
-            others.push(std::mem::replace(held, ranked));
+        if best.rank < rank {
+            others.push(std::mem::replace(best, ranked));
         } else {
             others.push(ranked);
         }
@@ -141,8 +141,8 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Decides on the leader when the roster has to change. A new leader starts its
-/// timers from zero, which only delays a change.
+/// Runs on the leader and decides when the roster has to change. The timers
+/// start from zero on a new leader, which only delays a change.
 #[derive(Debug, Default)]
 pub struct RosterPlanner {
     /// Seats for the first roster, and since when they have been unchanged.
--- a/crates/core/tests/load_patterns/fake_fleet.rs
+++ b/crates/core/tests/load_patterns/fake_fleet.rs
@@ -163,6 +163,7 @@
     pub started_calls: Vec<u32>,
 }
 
+/// Identifies one try of a call. The factor leaves 256 numbers for each call.
 fn try_number(call: usize, tries: u32) -> u64 {
     (call as u64) * 256 + u64::from(tries)
 }
--- a/crates/core/tests/load_patterns/scenarios.rs
+++ b/crates/core/tests/load_patterns/scenarios.rs
@@ -73,18 +73,21 @@
         }
     }
 
+    /// Limits the stream to the milliseconds after [`START`] from `from` to `until`.
     pub fn between(mut self, from: u64, until: u64) -> Self {
         self.from = millis(from);
         self.until = millis(until);
         self
     }
 
-    pub fn from_customers(mut self, name: &'static str, customers: u32) -> Self {
+    /// Spreads the calls over `customers` customers, named `name` and a number.
+    pub fn with_customers(mut self, name: &'static str, customers: u32) -> Self {
         self.name = name;
         self.customers = customers;
         self
     }
 
+    /// Sets the deadline of each call, in milliseconds.
     pub fn with_deadline(mut self, deadline: u64) -> Self {
         self.deadline = millis(deadline);
         self
@@ -206,8 +209,8 @@
 /// Twenty small customers below the capacity, and one customer that sends four
 /// times the capacity.
 pub fn hot_customer(policy: PolicyKind) -> Vec<CallerResult> {
-    let small = CallStream::steady(400.0, PRICES).from_customers("small", 20);
-    let hot = CallStream::steady(6_000.0, PRICES).from_customers("hot", 1);
+    let small = CallStream::steady(400.0, PRICES).with_customers("small", 20);
+    let hot = CallStream::steady(6_000.0, PRICES).with_customers("hot", 1);
     run(
         &fleet(policy),
         &[small.between(0, 2_000), hot.between(0, 2_000)],
@@ -295,7 +298,7 @@
     let steady = CallStream::steady(500.0, PRICES).between(0, 4_000);
     let storm = CallStream::steady(4_000.0, PRICES).between(500, 1_000);
     called_since(
-        run(&plan, &[steady, storm.from_customers("storm", 50)]),
+        run(&plan, &[steady, storm.with_customers("storm", 50)]),
         2_000,
     )
 }
@@ -330,7 +333,7 @@
 /// number of calls started at each server.
 pub fn hot_key(policy: PolicyKind) -> Vec<u32> {
     let plan = six_servers(policy, |_, _, _| Some(1.0));
-    let stream = CallStream::steady(1_500.0, PRICES).from_customers("hot", 1);
+    let stream = CallStream::steady(1_500.0, PRICES).with_customers("hot", 1);
     FakeFleet::run(&plan, offered_calls(&[stream])).1
 }
 
--- a/crates/core/tests/server_runs.rs
+++ b/crates/core/tests/server_runs.rs
@@ -108,7 +108,8 @@
             let leaving = at == leaves_at;
             left |= leaving;
             let effect = runs.apply(report("i-1", 1, *sequence, leaving));
-            let takes_work = matches!(effect, ReportEffect::Begins | ReportEffect::Continues);
+            let takes_work =
+                matches!(effect, ReportEffect::Begins | ReportEffect::Continues);
             prop_assert!(!(left && takes_work));
         }
     }
