--- a/crates/node/src/claim_client.rs
+++ b/crates/node/src/claim_client.rs
@@ -110,7 +110,7 @@
         // whether an earlier send of it has run.
         ClaimOutcome::NoMajority
         | ClaimOutcome::Granted
-        | ClaimOutcome::Settled
+        | ClaimOutcome::EndWritten
         | ClaimOutcome::Free => {
             refused(RefusalReason::ClaimNoMajority, CallVerdict::MayHaveRun)
         }
@@ -147,7 +147,7 @@
         // after their own start, so restarted holders would vote on a key whose
         // state they have lost.
         let latest = (wall_clock::since_epoch() + CLOCK_SKEW).as_millis() as u64;
-        if call.key.born_ms.is_some_and(|born| born > latest) {
+        if call.key.created_ms.is_some_and(|born| born > latest) {
             return Err(refused(RefusalReason::BadHeader, CallVerdict::NotRun));
         }
         let mut claim = self.prepare(call, ClaimProposal::claim).await;
@@ -170,7 +170,7 @@
         call: KeyedCall,
         refusal: CallRefusal,
     ) -> ClaimDenial {
-        let mut claim = self.prepare(call, ClaimProposal::look).await;
+        let mut claim = self.prepare(call, ClaimProposal::inspect).await;
         let step = claim.proposal.begin();
         match self.drive(&mut claim, step).await {
             ClaimOutcome::Free => ClaimDenial::Refused(refusal),
@@ -224,7 +224,7 @@
     /// Records how a granted run ended. Waits for that up to
     /// [`END_WRITE_TIMEOUT`]; after that the write continues in the background.
     pub async fn record_end(self: &Rc<Self>, claim: OpenClaim, end: RunEnd) {
-        let Some(state) = end.state() else {
+        let Some(state) = end.into_state() else {
             return;
         };
         let client = Rc::clone(self);
@@ -239,7 +239,7 @@
         let (proposal, request) = claim.proposal.end_granted(state.clone());
         claim.proposal = proposal;
         let first = self.drive(&mut claim, ClaimStep::Send(request)).await;
-        if first != ClaimOutcome::Settled {
+        if first != ClaimOutcome::EndWritten {
             self.retry_end(claim, state).await;
         }
     }
@@ -261,7 +261,7 @@
         for _ in 0..END_WRITE_TRIES {
             claim.proposal = claim.proposal.end(state.clone());
             let step = claim.proposal.begin();
-            if self.drive(&mut claim, step).await == ClaimOutcome::Settled {
+            if self.drive(&mut claim, step).await == ClaimOutcome::EndWritten {
                 return;
             }
             actix_rt::time::sleep(END_RETRY_PAUSE).await;
@@ -346,7 +346,7 @@
 ) -> ClaimStep {
     match reply.reply {
         Some(answer) => proposal.handle(&reply.holder, answer),
-        None if reply.stage == stage => proposal.lost(&reply.holder),
+        None if reply.stage == stage => proposal.holder_unavailable(&reply.holder),
         None => ClaimStep::Wait,
     }
 }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use cowslip_core::claim::RunEnd;
-use cowslip_core::claim::RUN_TIME_MAX;
+use cowslip_core::claim::KEYED_DEADLINE_MAX;
 use cowslip_core::entry_router::CallOrigin;
 use cowslip_core::entry_router::TryFailure;
 use cowslip_core::load::deadline_budget;
@@ -272,10 +272,10 @@
             }
         };
         let running = self.run(id, planned, parts, body);
-        match actix_rt::time::timeout(RUN_TIME_MAX, running).await {
+        match actix_rt::time::timeout(KEYED_DEADLINE_MAX, running).await {
             Ok(Ok(reply)) => keyed_call::store_answer(&self.claims, claim, reply).await,
             Ok(Err(refusal)) => {
-                let end = RunEnd::refused(refusal.verdict);
+                let end = RunEnd::from_verdict(refusal.verdict);
                 self.claims.record_end(claim, end).await;
                 Err(refusal)
             }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -226,12 +226,12 @@
                 let _ = reply.send(());
             }
             GateMessage::Found(run, server, address) => {
-                if self.runs.find(&run) {
+                if self.runs.discover(&run) {
                     self.begin_run(&run, server, address);
                 }
             }
             GateMessage::Left(run, born_ms, reply) => {
-                if self.runs.leave(&run, born_ms) {
+                if self.runs.deregister(&run, born_ms) {
                     self.presence.drain(now);
                     self.withdraw("left");
                 }
@@ -303,7 +303,7 @@
 
     fn report(&mut self, now: Duration, report: ServerReport) {
         let run = Arc::clone(&report.run.run);
-        match self.runs.hear(report.run) {
+        match self.runs.apply(report.run) {
             ReportEffect::Stale => {
                 info!(
                     "event=report-stale process=node instance={} run={run}",
@@ -311,7 +311,7 @@
                 );
             }
             ReportEffect::Begins => self.begin_run(&run, report.server, report.address),
-            ReportEffect::GoesOn => self.go_on(report.server),
+            ReportEffect::Continues => self.go_on(report.server),
             ReportEffect::Leaves => {
                 if !self.gate.is_draining() {
                     self.presence.drain(now);
@@ -349,7 +349,7 @@
 
     /// A run that was lost reports again, or says something new of itself.
     fn go_on(&mut self, server: AnnouncedServer) {
-        let back = self.presence.reachable();
+        let back = self.presence.mark_reachable();
         if !back && self.gate.announced() == Some(&server) {
             return;
         }
@@ -387,12 +387,12 @@
             return;
         }
         if result == ProbeResult::Refused {
-            if self.presence.unreachable() {
+            if self.presence.mark_unreachable() {
                 self.withdraw("server-lost");
             }
             return;
         }
-        if !self.presence.reachable() {
+        if !self.presence.mark_reachable() {
             return;
         }
         if let Some(server) = self.gate.announced().cloned() {
--- a/crates/node/src/keyed_call.rs
+++ b/crates/node/src/keyed_call.rs
@@ -132,7 +132,7 @@
         };
         buffered.extend_from_slice(&chunk);
         if buffered.len() > bytes_left {
-            claims.record_end(claim, RunEnd::AnsweredLarge).await;
+            claims.record_end(claim, RunEnd::AnswerTooLarge).await;
             return Ok(head.set_body(prepend_chunk(buffered.freeze(), body, size)));
         }
     }
