--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -131,8 +131,8 @@
         let given_ms = due_ms.saturating_sub(at_ms);
         if !(least_ms..=MOVE_MS_MAX).contains(&given_ms) {
             return refuse(format!(
-                "the deadline cannot be met: it leaves {} s, but a move takes at least {} s \
-                 and at most {} s",
+                "the set time cannot be met: it gives {} s, and a move needs {} s at least \
+                 and {} s at most",
                 given_ms / 1_000,
                 least_ms / 1_000,
                 MOVE_MS_MAX / 1_000
@@ -184,7 +184,7 @@
             return refuse(format!("no service {service:?} in the document"));
         };
         if *spec.version == *to {
-            return refuse(format!("{service} is already at version {to}"));
+            return refuse(format!("{service} is at version {to} already"));
         }
         if let Some(candidate) = &spec.candidate {
             return refuse(format!(
@@ -220,7 +220,7 @@
         // A late step from a replaced leader would lower the share again.
         if share <= running.share() || share > FULL_SHARE {
             return refuse(format!(
-                "move {rollout} is at share {} of {FULL_SHARE}; a step must go above it",
+                "move {rollout} is at share {} of {FULL_SHARE}; a step goes above it",
                 running.share()
             ));
         }
@@ -308,7 +308,7 @@
             faults.push(DocumentFault {
                 path: format!("services.{service}.candidate"),
                 problem: format!(
-                    "move {} is over; remove the candidate, or start another move",
+                    "move {} is over; leave the candidate out, or start another move",
                     candidate.rollout
                 ),
             });
--- a/crates/core/src/rollout/start_check.rs
+++ b/crates/core/src/rollout/start_check.rs
@@ -32,14 +32,14 @@
             ..
         } => {
             if reason.trim().is_empty() {
-                return refuse("taking a move back requires a written reason".to_owned());
+                return refuse("a move is taken back with a written reason".to_owned());
             }
             Ok(())
         }
         MoveChange::TakeBack { .. }
         | MoveChange::Step { .. }
         | MoveChange::Finish { .. } => {
-            refuse("only the leader may propose this change of a move".to_owned())
+            refuse("the leader alone decides this step of a move".to_owned())
         }
     }
 }
