--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -34,7 +34,7 @@
 
 /// What a source tells of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// The follower holds what the source holds, or something newer.
     Current,
     /// What changed since the follower's version.
@@ -92,18 +92,18 @@
 
     /// News for a follower at `place`. One that refused the newest version
     /// waits for the next, instead of being sent the same again at once.
-    pub fn news(&mut self, place: &FollowerState) -> ConfigNews {
+    pub fn news(&mut self, place: &FollowerState) -> ConfigUpdate {
         if self.is_current(place) {
-            return ConfigNews::Current;
+            return ConfigUpdate::Current;
         }
         if !place.whole {
             if let Some(delta) = self.delta_from(place.held) {
-                return ConfigNews::Delta(delta);
+                return ConfigUpdate::Delta(delta);
             }
         }
         let header = self.encoded().header().clone();
         let rest = self.delta_from(header.version);
-        ConfigNews::Snapshot(header, rest)
+        ConfigUpdate::Snapshot(header, rest)
     }
 
     /// Bytes of the whole configuration as followers get it; 0 before the
@@ -127,8 +127,8 @@
 
     /// The first chunk of a snapshot that `news` names, where it is small
     /// enough to go along: one question less for each node of a herd.
-    pub fn first_chunk(&self, news: &ConfigNews) -> Option<Bytes> {
-        let ConfigNews::Snapshot(header, _) = news else {
+    pub fn first_chunk(&self, news: &ConfigUpdate) -> Option<Bytes> {
+        let ConfigUpdate::Snapshot(header, _) = news else {
             return None;
         };
         let small = header.bytes <= ALONG_BYTES_MAX;
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::config_history::ConfigNews;
+use crate::config_history::ConfigUpdate;
 use crate::directory_follower::DirectoryRequest;
 use crate::directory_follower::DirectoryUpdate;
 use crate::move_tracker::NodeReport;
@@ -80,7 +80,7 @@
     /// The source and the freshness of its answer.
     pub source: SourceProof,
     /// Update of the configuration.
-    pub config: ConfigNews,
+    pub config: ConfigUpdate,
     /// First chunk of the snapshot named in `config`, sent if it is small.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chunk: Option<Bytes>,
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use crate::config_delta::ConfigDelta;
-use crate::config_history::ConfigNews;
+use crate::config_history::ConfigUpdate;
 use crate::control_state::ConfigSnapshot;
 use crate::snapshot_chunks::ChunkAssembly;
 use crate::source_proof::SourceProof;
@@ -145,14 +145,14 @@
         now: Duration,
         source: SourceProof,
         acknowledged: Option<ConfigVersion>,
-        news: ConfigNews,
+        news: ConfigUpdate,
     ) -> FollowStep {
         let floor = acknowledged.unwrap_or_default();
         self.candidates.floor = self.candidates.floor.max(floor);
         match news {
-            ConfigNews::Current => self.handle_no_update(now, &source),
-            ConfigNews::Delta(delta) => self.delta(now, &source, &delta),
-            ConfigNews::Snapshot(header, delta) => {
+            ConfigUpdate::Current => self.handle_no_update(now, &source),
+            ConfigUpdate::Delta(delta) => self.delta(now, &source, &delta),
+            ConfigUpdate::Snapshot(header, delta) => {
                 let target = delta.as_ref().map_or(header.version, |delta| delta.version);
                 if !self.accepts(target) {
                     return self.handle_no_update(now, &source);
--- a/crates/core/tests/config_delta.rs
+++ b/crates/core/tests/config_delta.rs
@@ -10,7 +10,7 @@
 use cowslip_core::config_delta::DeltaError;
 use cowslip_core::config_digest::ConfigDigest;
 use cowslip_core::config_history::ConfigHistory;
-use cowslip_core::config_history::ConfigNews;
+use cowslip_core::config_history::ConfigUpdate;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::document::CallPriority;
 use cowslip_core::document::CandidateShare;
@@ -125,9 +125,9 @@
     held: &ConfigSnapshot,
 ) -> Result<ConfigSnapshot, String> {
     match history.news(&place(held)) {
-        ConfigNews::Current => Ok(held.clone()),
-        ConfigNews::Delta(delta) => delta.apply(held).map_err(|e| e.to_string()),
-        ConfigNews::Snapshot(header, rest) => {
+        ConfigUpdate::Current => Ok(held.clone()),
+        ConfigUpdate::Delta(delta) => delta.apply(held).map_err(|e| e.to_string()),
+        ConfigUpdate::Snapshot(header, rest) => {
             let version = header.version;
             let mut assembly = ChunkAssembly::new(header).map_err(|e| e.to_string())?;
             while let Some(at) = assembly.wanted() {
@@ -252,7 +252,7 @@
     let mut history = ConfigHistory::default();
     history.publish(snapshot(1, large(2_000)));
     let start = place(&ConfigSnapshot::default());
-    let ConfigNews::Snapshot(header, None) = history.news(&start) else {
+    let ConfigUpdate::Snapshot(header, None) = history.news(&start) else {
         panic!("a follower with nothing gets a snapshot");
     };
     for index in 2..40 {
@@ -260,7 +260,7 @@
         document.defaults.set(TuningKey::DeadlineMs, index);
         history.publish(snapshot(index, document));
         assert!(history.chunk(header.version, 0).is_some());
-        let ConfigNews::Snapshot(again, rest) = history.news(&start) else {
+        let ConfigUpdate::Snapshot(again, rest) = history.news(&start) else {
             panic!("a follower with nothing gets a snapshot");
         };
         assert_eq!(again, header);
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 
-use cowslip_core::config_history::ConfigNews;
+use cowslip_core::config_history::ConfigUpdate;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory_follower::DirectoryFollower;
 use cowslip_core::document::FleetDocument;
@@ -175,10 +175,10 @@
         }
         let held = self.relays[relay].current().clone();
         let snapshot = match answer.config {
-            ConfigNews::Current => None,
-            ConfigNews::Delta(delta) => delta.apply(&held).ok(),
+            ConfigUpdate::Current => None,
+            ConfigUpdate::Delta(delta) => delta.apply(&held).ok(),
             // With documents of a single default a delta is always smaller.
-            ConfigNews::Snapshot(..) => panic!("snapshot where a delta is smaller"),
+            ConfigUpdate::Snapshot(..) => panic!("snapshot where a delta is smaller"),
         };
         let news = LeaderUpdate {
             sent_at: self.now,
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cowslip_core::config_history::ConfigNews;
+use cowslip_core::config_history::ConfigUpdate;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::directory::EndpointRecord;
 use cowslip_core::directory::EndpointStanding;
@@ -164,7 +164,7 @@
     let (woken, distinct) = due(&mut leader, now + BATCH_TIME);
     assert_eq!((woken.len(), distinct), (100, 1));
     let last = news(woken[0].1.clone());
-    assert!(matches!(last.config, ConfigNews::Delta(delta) if delta.version == at(9)));
+    assert!(matches!(last.config, ConfigUpdate::Delta(delta) if delta.version == at(9)));
 }
 
 // Guards against sending the whole directory to nodes that switch to another
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 use cowslip_core::config_history::ConfigHistory;
-use cowslip_core::config_history::ConfigNews;
+use cowslip_core::config_history::ConfigUpdate;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::document::FleetDocument;
 use cowslip_core::follower_queue::FollowerState;
@@ -51,7 +51,7 @@
     }
 }
 
-fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigNews {
+fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigUpdate {
     history.news(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
@@ -147,7 +147,7 @@
     follower.record_outcome(at(1), Some(at(2)));
     assert_eq!(follower.held(), at(1));
     assert_eq!(follower.counts().refused, 1);
-    assert_eq!(news(&mut history, &follower), ConfigNews::Current);
+    assert_eq!(news(&mut history, &follower), ConfigUpdate::Current);
     ask(&mut follower, LATE, "voss", 3, true, None);
     assert_eq!(follower.held(), at(3));
 }
