--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -286,7 +286,7 @@
             + usize::from(self.failure_domain.is_some())
     }
 
-    fn matches(&self, place: &CallPlace<'_>) -> bool {
+    fn matches(&self, place: &CallContext<'_>) -> bool {
         matches_field(&self.service, place.service)
             && matches_field(&self.route, place.route)
             && matches_field(&self.failure_domain, place.failure_domain)
@@ -299,7 +299,7 @@
 
 /// Where a call is decided, for looking up the figures that hold there.
 #[derive(Clone, Copy, Debug)]
-pub struct CallPlace<'a> {
+pub struct CallContext<'a> {
     /// Service called.
     pub service: &'a str,
     /// Path of the matching route.
@@ -311,7 +311,7 @@
 impl FleetDocument {
     /// The figure in force at `place`: the closest exception, the last
     /// added among equals, else the fleet's default.
-    pub fn tuning(&self, key: TuningKey, place: &CallPlace<'_>) -> u64 {
+    pub fn tuning(&self, key: TuningKey, place: &CallContext<'_>) -> u64 {
         let mut best: Option<&ExceptionEntry> = None;
         for entry in &self.exceptions {
             if entry.key != key || !entry.scope.matches(place) {
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -18,7 +18,7 @@
 use crate::directory::EndpointDirectory;
 use crate::directory::EndpointRecord;
 use crate::document::validate_edit;
-use crate::document::CallPlace;
+use crate::document::CallContext;
 use crate::document::DocumentFault;
 use crate::document::FleetDocument;
 use crate::document::RepeatRule;
@@ -199,7 +199,7 @@
 
     /// Bounds of the queue at a backend server of `service`.
     pub fn queue_bounds(&self, service: &str) -> QueueBounds {
-        let place = CallPlace {
+        let place = CallContext {
             service,
             route: "",
             failure_domain: &self.failure_domain,
@@ -238,7 +238,7 @@
             return Err(RefusalReason::InternalOnly);
         }
         let service = draw_service(route, &mut self.rng);
-        let place = CallPlace {
+        let place = CallContext {
             service,
             route: &route.path,
             failure_domain: &self.failure_domain,
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::document::validate;
-use crate::document::CallPlace;
+use crate::document::CallContext;
 use crate::document::CandidateShare;
 use crate::document::DocumentFault;
 use crate::document::FleetDocument;
@@ -121,7 +121,7 @@
             return Ok(document.clone());
         };
         let spec = self.check_startable(service, to, document)?;
-        let place = CallPlace {
+        let place = CallContext {
             service,
             route: "",
             failure_domain: "",
@@ -319,7 +319,7 @@
 
 fn exposure_bound(
     document: &FleetDocument,
-    place: &CallPlace<'_>,
+    place: &CallContext<'_>,
 ) -> Option<ExposureBound> {
     let percent = document.tuning(TuningKey::MoveExposure, place);
     let calls = document.tuning(TuningKey::MoveExposureCalls, place);
