--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -198,7 +198,7 @@
     pub host: Option<Arc<str>>,
     /// Services that share the calls; `service` alone where empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub split: Vec<TrafficPart>,
+    pub split: Vec<WeightedService>,
     /// Whether calls may run twice; by their method where absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<RepeatRule>,
@@ -219,7 +219,7 @@
 /// One of the services that share a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TrafficPart {
+pub struct WeightedService {
     /// Service.
     pub service: Arc<str>,
     /// Its part of the sum of all weights.
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -17,7 +17,7 @@
 use cowslip_core::document::FleetDocument;
 use cowslip_core::document::RouteSpec;
 use cowslip_core::document::ServiceSpec;
-use cowslip_core::document::TrafficPart;
+use cowslip_core::document::WeightedService;
 use cowslip_core::document::ANY_VERSION;
 use cowslip_core::route_table::RouteTable;
 use cowslip_core::version::ConfigVersion;
@@ -231,7 +231,7 @@
 // nowhere, weights that are all zero, a timeout of nothing or of an hour.
 #[test]
 fn impossible_routes_are_refused() {
-    let part = |service: &str, weight| TrafficPart {
+    let part = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
     };
