--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -84,7 +84,7 @@
     }
 
     /// True where the news for a follower at `place` are small.
-    pub fn is_light(&self, place: &FollowerState) -> bool {
+    pub fn is_update_small(&self, place: &FollowerState) -> bool {
         let starting = place.held == ConfigVersion::ZERO;
         let delta = !place.whole && !starting && self.bases.contains_key(&place.held);
         delta || self.is_current(place)
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -262,7 +262,7 @@
             return Ok(());
         }
         let empty = call.directory.digest == 0 && !self.directory.is_empty();
-        let light = !empty && self.history.is_light(state);
+        let light = !empty && self.history.is_update_small(state);
         let cost = if light {
             ReconnectCost::Light
         } else {
