--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -24,7 +24,7 @@
 use crate::change::ChangeOutcome;
 use crate::control_state::ConfigSnapshot;
 use crate::control_state::ControlState;
-use crate::document::BareDocument;
+use crate::document::LabelStripper;
 use crate::version::ConfigVersion;
 
 /// Entries between two snapshots. At 13,000 changes a day a snapshot is taken
@@ -151,7 +151,7 @@
     state: Arc<ControlState>,
     applied: ConfigVersion,
     published: ConfigVersion,
-    bare: BareDocument,
+    bare: LabelStripper,
     leader_status: LeaderStatus,
     members: MemberList,
     barred: bool,
@@ -168,7 +168,7 @@
             state: Arc::default(),
             applied: ConfigVersion::ZERO,
             published: ConfigVersion::ZERO,
-            bare: BareDocument::default(),
+            bare: LabelStripper::default(),
             leader_status: LeaderStatus::default(),
             members: MemberList::default(),
             barred: false,
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -11,12 +11,12 @@
 use crate::tuning::TuningTable;
 use crate::version::ConfigVersion;
 
-pub use self::bare_document::BareDocument;
+pub use self::label_stripper::LabelStripper;
 pub use self::validate::validate;
 pub use self::validate::validate_edit;
 pub use self::validate::DocumentFault;
 
-mod bare_document;
+mod label_stripper;
 mod validate;
 
 /// Services, routes, fleet defaults and the short list of exceptions.
--- a/crates/core/src/document/bare_document.rs
+++ b/crates/core/src/document/label_stripper.rs
@@ -13,12 +13,12 @@
 
 /// Makes the bare document of each version from the one before.
 #[derive(Clone, Debug, Default)]
-pub struct BareDocument {
+pub struct LabelStripper {
     whole: Arc<FleetDocument>,
     bare: Arc<FleetDocument>,
 }
 
-impl BareDocument {
+impl LabelStripper {
     /// `document` without labels; the same where it has none.
     pub fn of(&mut self, document: &Arc<FleetDocument>) -> Arc<FleetDocument> {
         if !document.has_labels() {
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -13,8 +13,8 @@
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::control_state::ControlState;
 use cowslip_core::document::validate;
-use cowslip_core::document::BareDocument;
 use cowslip_core::document::FleetDocument;
+use cowslip_core::document::LabelStripper;
 use cowslip_core::document::RouteSpec;
 use cowslip_core::document::ServiceSpec;
 use cowslip_core::document::WeightedService;
@@ -129,7 +129,7 @@
     assert!(accepted(&operator.apply("second", order)));
     let after = Arc::clone(&operator.state.snapshot().document);
 
-    let mut bare = BareDocument::default();
+    let mut bare = LabelStripper::default();
     for (before, after) in [
         (Arc::clone(&before), Arc::clone(&after)),
         (bare.of(&before), bare.of(&after)),
