--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -365,7 +365,7 @@
             // thirds of the bytes that every node would check and hold.
             let published = ConfigSnapshot {
                 version: snapshot.version,
-                document: self.bare.of(&snapshot.document),
+                document: self.bare.strip(&snapshot.document),
             };
             self.actions.push(ReplicaAction::Publish(published));
         }
--- a/crates/core/src/document/label_stripper.rs
+++ b/crates/core/src/document/label_stripper.rs
@@ -20,7 +20,7 @@
 
 impl LabelStripper {
     /// `document` without labels; the same where it has none.
-    pub fn of(&mut self, document: &Arc<FleetDocument>) -> Arc<FleetDocument> {
+    pub fn strip(&mut self, document: &Arc<FleetDocument>) -> Arc<FleetDocument> {
         if !document.has_labels() {
             return Arc::clone(document);
         }
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -132,13 +132,13 @@
     let mut bare = LabelStripper::default();
     for (before, after) in [
         (Arc::clone(&before), Arc::clone(&after)),
-        (bare.of(&before), bare.of(&after)),
+        (bare.strip(&before), bare.strip(&after)),
     ] {
         assert!(Arc::ptr_eq(&before.routes[0], &after.routes[1]));
         assert!(!Arc::ptr_eq(&before.routes[1], &after.routes[2]));
         assert!(Arc::ptr_eq(&before.routes[2], &after.routes[3]));
     }
-    let bare = bare.of(&after);
+    let bare = bare.strip(&after);
     assert_eq!(bare.routes[2].timeout_ms, Some(70));
     assert!(bare.routes.iter().all(|route| route.labels.is_empty()));
 }
