--- a/crates/control/src/operator_desk.rs
+++ b/crates/control/src/operator_desk.rs
@@ -16,7 +16,7 @@
 use cowslip_core::change::NumberedRevision;
 use cowslip_core::config_delta::ConfigDelta;
 use cowslip_core::config_digest::ConfigDigest;
-use cowslip_core::control_state::revised;
+use cowslip_core::control_state::merge_revision;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::document::validate_edit;
 use cowslip_core::document::DocumentFault;
@@ -268,7 +268,7 @@
     current: &CurrentRevision,
 ) -> Result<NumberedRevision, Vec<DocumentFault>> {
     let held = &current.snapshot;
-    let target = revised(&held.document, &order.document);
+    let target = merge_revision(&held.document, &order.document);
     let faults = validate_edit(&held.document, &target);
     if !faults.is_empty() {
         return Err(faults);
--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -209,7 +209,7 @@
 
 /// The document of a revision as it will be in force: with what operators
 /// do not write taken from the one in force.
-pub fn revised(held: &FleetDocument, written: &FleetDocument) -> FleetDocument {
+pub fn merge_revision(held: &FleetDocument, written: &FleetDocument) -> FleetDocument {
     let mut edited = written.clone();
     keep_versions(held, &mut edited);
     edited.holders = held.holders.clone();
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -9,7 +9,7 @@
 use cowslip_core::change::NumberedRevision;
 use cowslip_core::config_delta::ConfigDelta;
 use cowslip_core::config_digest::ConfigDigest;
-use cowslip_core::control_state::revised;
+use cowslip_core::control_state::merge_revision;
 use cowslip_core::control_state::ConfigSnapshot;
 use cowslip_core::control_state::ControlState;
 use cowslip_core::document::validate;
@@ -65,7 +65,7 @@
         let held = self.state.snapshot();
         let target = ConfigSnapshot {
             version: held.version,
-            document: Arc::new(revised(&held.document, document)),
+            document: Arc::new(merge_revision(&held.document, document)),
         };
         let delta = ConfigDelta::between(held, &target, ConfigDigest::default());
         ConfigChange::Revise(Box::new(NumberedRevision {
