--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -92,7 +92,7 @@
 
     /// News for a follower at `place`. One that refused the newest version
     /// waits for the next, instead of being sent the same again at once.
-    pub fn news(&mut self, place: &FollowerState) -> ConfigUpdate {
+    pub fn update_for(&mut self, place: &FollowerState) -> ConfigUpdate {
         if self.is_current(place) {
             return ConfigUpdate::Current;
         }
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -106,7 +106,7 @@
         key: &AnswerKey,
         directory: DirectoryUpdate,
     ) -> FollowReply {
-        let config = self.history.news(&key.state);
+        let config = self.history.update_for(&key.state);
         FollowReply::News(Box::new(FollowAnswer {
             source: self.proof(now, follower.asked_at),
             chunk: self.history.first_chunk(&config),
--- a/crates/core/tests/config_delta.rs
+++ b/crates/core/tests/config_delta.rs
@@ -124,7 +124,7 @@
     history: &mut ConfigHistory,
     held: &ConfigSnapshot,
 ) -> Result<ConfigSnapshot, String> {
-    match history.news(&place(held)) {
+    match history.update_for(&place(held)) {
         ConfigUpdate::Current => Ok(held.clone()),
         ConfigUpdate::Delta(delta) => delta.apply(held).map_err(|e| e.to_string()),
         ConfigUpdate::Snapshot(header, rest) => {
@@ -252,7 +252,7 @@
     let mut history = ConfigHistory::default();
     history.publish(snapshot(1, large(2_000)));
     let start = place(&ConfigSnapshot::default());
-    let ConfigUpdate::Snapshot(header, None) = history.news(&start) else {
+    let ConfigUpdate::Snapshot(header, None) = history.update_for(&start) else {
         panic!("a follower with nothing gets a snapshot");
     };
     for index in 2..40 {
@@ -260,7 +260,7 @@
         document.defaults.set(TuningKey::DeadlineMs, index);
         history.publish(snapshot(index, document));
         assert!(history.chunk(header.version, 0).is_some());
-        let ConfigUpdate::Snapshot(again, rest) = history.news(&start) else {
+        let ConfigUpdate::Snapshot(again, rest) = history.update_for(&start) else {
             panic!("a follower with nothing gets a snapshot");
         };
         assert_eq!(again, header);
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -52,7 +52,7 @@
 }
 
 fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigUpdate {
-    history.news(&FollowerState {
+    history.update_for(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
         whole: follower.needs_snapshot(),
