--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators ask for, and what became of them.
+//! Configuration changes and their outcomes.
 
 use std::sync::Arc;
 
@@ -17,22 +17,23 @@
 /// One change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigChange {
-    /// Replace the whole document.
+    /// Replace the whole document, except the roster of claim holders.
     Apply(FleetDocument),
-    /// Replace what operators write, under a number of theirs.
+    /// Replace what operators write with a revision that they numbered.
     Revise(Box<NumberedRevision>),
-    /// Name the version that serves a service whose document names none.
+    /// Set the version of a service whose version is still
+    /// [`ANY_VERSION`](crate::document::ANY_VERSION).
     PinVersion {
-        /// Service.
+        /// Name of the service.
         service: Arc<str>,
-        /// The version its servers have announced.
+        /// Version announced by its backend servers.
         version: Arc<str>,
     },
-    /// Set one of the fleet's defaults.
+    /// Set a fleet default.
     SetDefault {
-        /// Which figure.
+        /// Tuning parameter.
         key: TuningKey,
-        /// Its new value.
+        /// New value.
         value: u64,
     },
     /// Add an exception; its id must be new.
@@ -42,15 +43,15 @@
         /// Id of the exception.
         id: Arc<str>,
     },
-    /// One of the two steps in which the roster of claim holders changes;
-    /// only the leader asks for it.
+    /// One of the two steps that replace the roster of claim holders; proposed
+    /// only by the leader.
     SetHolders(HolderRoster),
-    /// Begin, step or end the move of a service to a new version.
+    /// Start, step or end the move of a service to a new version.
     Move(MoveChange),
 }
 
 impl ConfigChange {
-    /// A short description for the list of moves.
+    /// A short description for the list of changes shown to operators.
     pub fn summary(&self) -> String {
         match self {
             Self::Apply(document) => format!(
@@ -78,53 +79,57 @@
     }
 }
 
-/// What operators write, replaced under a number that they chose.
+/// A revision of what operators write, numbered by the operators.
 ///
-/// Only the difference to the revision it builds on is in the log: whole
-/// documents of 300 routes are 60 KB each, a storm of them would fill the
+/// The log holds only the delta from the revision that it builds on. A whole
+/// document of 300 routes takes 60 KB, and many in a short time would fill the
 /// disk and the links between control instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedRevision {
-    /// The operators' number; above that of the revision in force.
+    /// Number chosen by the operators; must exceed that of the revision in
+    /// force.
     pub number: u64,
-    /// Number of the revision that it builds on.
+    /// Number of the revision that it builds on; must be the one in force.
     pub builds_on: u64,
-    /// From the document of that revision to the new one.
+    /// Delta from the document of that revision to the new one.
     pub delta: ConfigDelta,
 }
 
-/// A change as it stands in the agreed log.
+/// A change as stored in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeEntry {
-    /// Names the request, so that a resend gets the first answer.
+    /// Identifies the request, so that a resend gets the first answer.
     pub request_id: Arc<str>,
-    /// Version the operator believes in force; `None` accepts any.
+    /// Version on which the operator based the change; a change that expects
+    /// another version than the one in force is refused. `None` accepts any.
     pub expected: Option<ConfigVersion>,
-    /// Leader's wall clock when it took the change, in milliseconds since
-    /// 1970, for display only.
+    /// Leader's wall clock when it received the change, in milliseconds since
+    /// the Unix epoch. Deadlines of moves are counted from it.
     pub at_ms: u64,
-    /// What to change.
+    /// The change itself.
     pub change: ConfigChange,
 }
 
-/// What became of a change; the same for every resend of it.
+/// Outcome of a change. A resend gets the same one, but a refused revision is
+/// decided anew.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// In the agreed log; the move carries the version's number.
+    /// The change is in force under a new version.
     Accepted {
-        /// Version the change made.
+        /// Version created by the change.
         version: ConfigVersion,
     },
-    /// Another change came first under the expected version.
+    /// The change was based on a version or revision that is no longer in
+    /// force.
     Conflict {
-        /// Version in force when the change was looked at.
+        /// Version in force when the change was applied.
         current: ConfigVersion,
-        /// Request that made that version.
+        /// Id of the request that created that version.
         winner: Arc<str>,
     },
-    /// The resulting document would be invalid; nothing changed.
+    /// The change or the resulting document is invalid; nothing changed.
     Invalid {
-        /// Every fault found.
+        /// All faults found.
         faults: Vec<DocumentFault>,
     },
 }
--- a/crates/core/src/config_delta.rs
+++ b/crates/core/src/config_delta.rs
@@ -1,11 +1,10 @@
 //! The difference between two versions of the document.
 //!
-//! A change touches one service, route, default or exception of thousands;
-//! sending the whole document to every node for each would make control
-//! bytes grow with the document and not with the change. A delta names what
-//! changed, and the digest of the document that must come out. It is
-//! computed straight between the two documents, so versions between them
-//! are skipped and cost nothing.
+//! A change concerns one service, route, default or exception out of thousands.
+//! If each change sent the whole document to every node, control traffic would
+//! grow with the size of the document and not of the change. A delta contains
+//! what changed and the digest of the resulting document. It is computed
+//! directly between the two documents, so versions between them cost nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,18 +28,18 @@
 
 mod list_edit;
 
-/// Edits up to which a delta is always sent: some hundred bytes, less than
-/// the round trip of a separate snapshot costs.
-const SMALL_EDITS: usize = 8;
+/// Number of edits up to which a delta is always sent: they take some hundred
+/// bytes, which costs less than the round trip to fetch a snapshot.
+const SMALL_DELTA_EDITS: usize = 8;
 
-/// What turns the document of `base` into that of `version`.
+/// The edits that turn the document of `base` into that of `version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// Version it applies to, and no other.
+    /// The only version to which the delta applies.
     pub base: ConfigVersion,
-    /// Version that comes out.
+    /// Version after the delta.
     pub version: ConfigVersion,
-    /// Digest of the document that comes out.
+    /// Digest of the document after the delta.
     pub digest: ConfigDigest,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     services_removed: Vec<Arc<str>>,
@@ -60,33 +59,33 @@
     labels: Option<LabelTable>,
 }
 
-/// A delta that cannot be used; the follower asks for the whole snapshot.
+/// The reason why a delta cannot be applied; the follower then requests a whole
+/// snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The follower holds another version than the delta starts from.
-    #[error("the delta starts from {base}, but {held} is held")]
+    /// The follower holds another version than the delta's base.
+    #[error("the delta is based on version {base}, but version {held} is held")]
     WrongBase {
-        /// Where the delta starts.
+        /// Base of the delta.
         base: ConfigVersion,
-        /// What is held.
+        /// Version held.
         held: ConfigVersion,
     },
-    /// The document that came out is not the one that was sent.
+    /// The resulting document is not the one that the source encoded.
     #[error("the document after the delta has digest {found}, not {expected}")]
     WrongDigest {
-        /// Digest that was sent.
+        /// Digest in the delta.
         expected: ConfigDigest,
-        /// Digest that came out.
+        /// Digest of the resulting document.
         found: ConfigDigest,
     },
 }
 
 impl ConfigDelta {
-    /// The delta from `base` to `target`, whose document has `digest`.
+    /// Computes the delta from `base` to `target`, whose document has `digest`.
     ///
-    /// `None` where applying it does not give `target`: a document may have
-    /// parts that deltas do not know, and then the whole snapshot is sent
-    /// instead of a wrong result.
+    /// Returns `None` if applying it would not give `target`, because parts that
+    /// a delta does not cover differ. The source then sends the whole snapshot.
     pub fn between(
         base: &ConfigSnapshot,
         target: &ConfigSnapshot,
@@ -107,12 +106,12 @@
             limits: (old.limits != new.limits).then(|| new.limits.clone()),
             labels: (old.labels != new.labels).then(|| new.labels.clone()),
         };
-        delta.find_services(old, new);
-        delta.find_defaults(old, new);
+        delta.diff_services(old, new);
+        delta.diff_defaults(old, new);
         (delta.edit(old) == *new).then_some(delta)
     }
 
-    fn find_services(&mut self, old: &FleetDocument, new: &FleetDocument) {
+    fn diff_services(&mut self, old: &FleetDocument, new: &FleetDocument) {
         for name in old.services.keys() {
             if !new.services.contains_key(name) {
                 self.services_removed.push(Arc::clone(name));
@@ -125,22 +124,23 @@
         }
     }
 
-    fn find_defaults(&mut self, old: &FleetDocument, new: &FleetDocument) {
+    fn diff_defaults(&mut self, old: &FleetDocument, new: &FleetDocument) {
         for (key, _) in old.defaults.entries() {
             if !new.defaults.entries().any(|(kept, _)| kept == key) {
                 self.defaults_removed.push(key);
             }
         }
         for entry in new.defaults.entries() {
-            if !old.defaults.entries().any(|held| held == entry) {
+            if !old.defaults.entries().any(|earlier| earlier == entry) {
                 self.defaults_set.push(entry);
             }
         }
     }
 
-    /// True where the delta edits less than half of the items of `target`:
-    /// beyond that the whole snapshot is no larger, and comes with chunks.
-    pub fn pays_off(&self, target: &ConfigSnapshot) -> bool {
+    /// True if the delta is to be sent, not a snapshot: it edits less than half
+    /// of the items of `target`. With more edits a snapshot is no larger, and it
+    /// is sent in chunks.
+    pub fn is_preferred_to_snapshot(&self, target: &ConfigSnapshot) -> bool {
         let edits = self.services_removed.len()
             + self.services_set.len()
             + self.routes.len()
@@ -152,15 +152,16 @@
             + document.routes.len()
             + document.defaults.entries().count()
             + document.exceptions.len();
-        edits * 2 < items || edits <= SMALL_EDITS
+        edits * 2 < items || edits <= SMALL_DELTA_EDITS
     }
 
-    /// The snapshot after the delta, with its digest checked; `held` itself
-    /// is not touched.
+    /// Returns the snapshot after the delta; `held` stays unchanged. Fails if
+    /// `held` is not the base or the result has the wrong digest.
     pub fn apply(&self, held: &ConfigSnapshot) -> Result<ConfigSnapshot, DeltaError> {
-        // Guards against a delta on the wrong base, after an answer came
-        // late or crossed another: the node would route by a document that
-        // no operator ever accepted. The digest below guards the result.
+        // If answers arrive late or out of order, a delta may not match the
+        // version held. Applied anyway, it would give a document that no
+        // operator accepted, and the node would route by it. The digest below
+        // verifies the result as well.
         if held.version != self.base {
             return Err(DeltaError::WrongBase {
                 base: self.base,
@@ -181,10 +182,10 @@
         })
     }
 
-    /// The document that the edits make of `old`, whatever its version.
+    /// Returns `old` with the edits applied, without checking its version.
     pub(crate) fn edit(&self, old: &FleetDocument) -> FleetDocument {
-        // The lists come out of their edits: cloned with the rest, they would
-        // be thrown away at once, 1,800 routes of them.
+        // The lists are built from their edits. Cloning the whole document
+        // would copy up to 1,800 routes only to discard the copy.
         let mut document = FleetDocument {
             services: old.services.clone(),
             routes: self.routes.apply(&old.routes),
--- a/crates/core/src/config_delta/list_edit.rs
+++ b/crates/core/src/config_delta/list_edit.rs
@@ -11,23 +11,24 @@
 use crate::document::ExceptionEntry;
 use crate::document::RouteSpec;
 
-/// Removals and replacements up to which kept items are found by comparing:
-/// a comparison takes some 5 ns and hashing a key some 100 ns.
-const FEW_EDITS: usize = 8;
+/// Number of removals and replacements up to which [`ListEdit::apply`] compares
+/// each item with all of them instead of hashing its key: a comparison takes
+/// about 5 ns and hashing a key about 100 ns.
+const LINEAR_SEARCH_MAX: usize = 8;
 
-/// An item of a list of the document, told apart by its key.
+/// An item of a list in the document, identified by a key.
 pub trait KeyedItem: Clone + PartialEq {
-    /// What tells items apart.
+    /// Type of the key.
     type Key: Clone + Eq + Hash;
 
-    /// Unique within the list.
+    /// Returns the key, which is unique within the list.
     fn key(&self) -> Self::Key;
 
-    /// True where this is its key.
+    /// True if `key` is the item's key.
     fn has_key(&self, key: &Self::Key) -> bool;
 }
 
-/// A route's host and path.
+/// Host and path of a route.
 pub type RouteKey = (Option<Arc<str>>, Arc<str>);
 
 impl KeyedItem for Arc<RouteSpec> {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Removals, replacements in place and insertions, in that order.
+/// Removals, replacements in place and insertions, applied in that order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(
     serialize = "T: Serialize, T::Key: Serialize",
@@ -63,7 +64,7 @@
 pub struct ListEdit<T: KeyedItem> {
     removed: Vec<T::Key>,
     replaced: Vec<T>,
-    /// Place in the new list and item, by place.
+    /// Index in the new list and item, in order of the index.
     inserted: Vec<(u32, T)>,
 }
 
@@ -78,51 +79,54 @@
 }
 
 impl<T: KeyedItem> ListEdit<T> {
-    /// Number of items that change.
+    /// Number of edited items.
     pub fn len(&self) -> usize {
         self.removed.len() + self.replaced.len() + self.inserted.len()
     }
 
-    /// True where nothing changes.
+    /// True if no item is edited.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
 impl<T: KeyedItem> ListEdit<T> {
-    /// The edit from `old` to `new`. An item that moved ahead of a kept one
-    /// is removed and inserted again.
+    /// Computes the edit from `old` to `new`. An item that moved ahead of a kept
+    /// one is removed and inserted again.
     ///
-    /// Lists of 1,800 items mostly differ in one. What is alike at both ends
-    /// is passed over by comparing; hashing its keys took most of the time.
+    /// Lists of 1,800 items mostly differ in one. The common prefix and suffix
+    /// are skipped by comparing items; hashing all keys would take most of the
+    /// time.
     pub fn between(old: &[T], new: &[T]) -> Self {
-        let alike = |(old, new): &(&T, &T)| old == new;
-        let ahead = old.iter().zip(new).take_while(alike).count();
-        let (old, new) = (&old[ahead..], &new[ahead..]);
-        let backwards = old.iter().rev().zip(new.iter().rev());
-        let behind = backwards.take_while(alike).count();
-        let (old, new) = (&old[..old.len() - behind], &new[..new.len() - behind]);
-        Self::between_parts(old, new, ahead)
+        let equal = |(old, new): &(&T, &T)| old == new;
+        let prefix = old.iter().zip(new).take_while(equal).count();
+        let (old, new) = (&old[prefix..], &new[prefix..]);
+        let reversed = old.iter().rev().zip(new.iter().rev());
+        let suffix = reversed.take_while(equal).count();
+        let (old, new) = (&old[..old.len() - suffix], &new[..new.len() - suffix]);
+        Self::between_middles(old, new, prefix)
     }
 
-    /// The edit between parts that begin at place `ahead` of their lists.
-    fn between_parts(old: &[T], new: &[T], ahead: usize) -> Self {
+    /// Computes the edit between the parts of two lists that follow a common
+    /// prefix of `prefix` items.
+    fn between_middles(old: &[T], new: &[T], prefix: usize) -> Self {
         let mut edit = Self::default();
-        let mut places = HashMap::with_capacity(old.len());
-        for (place, item) in old.iter().enumerate() {
-            places.insert(item.key(), place);
+        let mut old_indexes = HashMap::with_capacity(old.len());
+        for (index, item) in old.iter().enumerate() {
+            old_indexes.insert(item.key(), index);
         }
         let mut kept = HashSet::with_capacity(new.len());
-        let mut next = 0;
-        for (place, item) in new.iter().enumerate() {
-            let held = places.get(&item.key()).copied();
-            let Some(held) = held.filter(|held| *held >= next) else {
-                edit.inserted.push(((ahead + place) as u32, item.clone()));
+        let mut next_old = 0;
+        for (index, item) in new.iter().enumerate() {
+            let old_index = old_indexes.get(&item.key()).copied();
+            let Some(old_index) = old_index.filter(|old_index| *old_index >= next_old)
+            else {
+                edit.inserted.push(((prefix + index) as u32, item.clone()));
                 continue;
             };
-            next = held + 1;
+            next_old = old_index + 1;
             kept.insert(item.key());
-            if old[held] != *item {
+            if old[old_index] != *item {
                 edit.replaced.push(item.clone());
             }
         }
@@ -134,9 +138,9 @@
         edit
     }
 
-    /// The list after the edit.
+    /// Returns `old` with the edit applied.
     pub fn apply(&self, old: &[T]) -> Vec<T> {
-        // Most changes leave a list alone.
+        // Most changes leave a list unchanged.
         if self.is_empty() {
             return old.to_vec();
         }
@@ -145,7 +149,7 @@
         let mut list: Vec<T> = Vec::with_capacity(kept.len() + self.inserted.len());
         for item in kept {
             while let Some((_, new)) =
-                inserted.next_if(|(place, _)| *place as usize <= list.len())
+                inserted.next_if(|(index, _)| *index as usize <= list.len())
             {
                 list.push(new.clone());
             }
@@ -157,10 +161,10 @@
         list
     }
 
-    /// What is left of `old`, with its replacements.
+    /// Returns the items of `old` that are not removed, with replacements applied.
     fn kept<'a>(&'a self, old: &'a [T]) -> Vec<&'a T> {
-        if self.removed.len() + self.replaced.len() <= FEW_EDITS {
-            return self.kept_of_few(old);
+        if self.removed.len() + self.replaced.len() <= LINEAR_SEARCH_MAX {
+            return self.kept_by_linear_search(old);
         }
         let removed: HashSet<&T::Key> = self.removed.iter().collect();
         let mut replaced = HashMap::with_capacity(self.replaced.len());
@@ -177,8 +181,8 @@
         kept
     }
 
-    /// The same by comparing instead of hashing.
-    fn kept_of_few<'a>(&'a self, old: &'a [T]) -> Vec<&'a T> {
+    /// Same as [`Self::kept`], but compares keys instead of hashing them.
+    fn kept_by_linear_search<'a>(&'a self, old: &'a [T]) -> Vec<&'a T> {
         let replaced: Vec<(T::Key, &T)> = self
             .replaced
             .iter()
--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -164,7 +164,7 @@
             document: Arc::clone(self.bases.get(&held)?),
         };
         let delta = ConfigDelta::between(&base, &self.current, self.digest);
-        let delta = delta.filter(|delta| delta.pays_off(&self.current));
+        let delta = delta.filter(|delta| delta.is_preferred_to_snapshot(&self.current));
         let cached = delta.map(Arc::new);
         self.deltas.insert(held, cached.clone());
         cached
--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -1,8 +1,9 @@
-//! The replicated state: what the agreed log makes of the configuration.
+//! The replicated state machine of the configuration.
 //!
-//! Every control instance applies the same entries in the same order and so
-//! holds the same document, the same moves and the same answers to resends.
-//! Races are settled here, by the order of the log, and nowhere else.
+//! Every control instance applies the same log entries in the same order, and
+//! so holds the same document, the same moves and the same answers to resends.
+//! Conflicts between concurrent changes are resolved only here, by the order of
+//! the log.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -21,37 +22,37 @@
 use crate::rollout::rollout_registry::RolloutRegistry;
 use crate::version::ConfigVersion;
 
-/// Answers kept for resends. At 13,000 changes a day this is over five days
-/// of them; older requests are answered as new ones, which their expected
-/// version then refuses.
-const ANSWERS_KEPT: usize = 65_536;
+/// Maximum number of answers kept for resends: over five days of them at 13,000
+/// changes a day. A request older than that is decided as a new one and refused
+/// because of its expected version.
+const ANSWERS_MAX: usize = 65_536;
 
-/// Accepted changes kept for display.
-const HISTORY_KEPT: usize = 1_000;
+/// Maximum number of accepted changes kept for display.
+const HISTORY_MAX: usize = 1_000;
 
-/// An accepted change, for the list of moves.
+/// An accepted change, for the list of changes shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// Version it made.
+    /// Version created by the change.
     pub version: ConfigVersion,
-    /// Request that asked for it.
+    /// Id of the request.
     pub request_id: Arc<str>,
-    /// Leader's wall clock, milliseconds since 1970.
+    /// Leader's wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it changed, in a few words.
+    /// Short description of the change.
     pub summary: String,
 }
 
-/// A version and the whole document it stands for.
+/// A version and its whole document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
     /// Version of the document.
     pub version: ConfigVersion,
-    /// The document, shared and never edited in place.
+    /// The document; shared, so it is never edited in place.
     pub document: Arc<FleetDocument>,
 }
 
-/// State that every control instance derives from the agreed log.
+/// State that every control instance derives from the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     snapshot: ConfigSnapshot,
@@ -61,7 +62,7 @@
     history: VecDeque<AcceptedChange>,
     #[serde(default)]
     rollouts: RolloutRegistry,
-    /// Operators' number of the revision in force; 0 before the first.
+    /// Number of the operators' revision in force; 0 before the first.
     #[serde(default)]
     revision: u64,
 }
@@ -72,42 +73,42 @@
         &self.snapshot
     }
 
-    /// Operators' number of the revision in force; 0 before the first.
+    /// Number of the operators' revision in force; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Moves of backend server versions.
+    /// Running and past moves of backend server versions.
     pub fn rollouts(&self) -> &RolloutRegistry {
         &self.rollouts
     }
 
-    /// Accepted changes, the newest last.
+    /// Accepted changes, newest last.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.history.iter()
     }
 
-    /// The first answer to a request that has already been decided.
+    /// Returns the first answer to a request, if it is still kept.
     pub fn answer(&self, request_id: &str) -> Option<&ChangeOutcome> {
         self.answers.get(request_id)
     }
 
-    /// Applies the log entry at `version`. The result depends on the entries
-    /// applied before and on nothing else.
+    /// Applies the log entry at `version`. The result depends only on this
+    /// entry and on those applied before it.
     pub fn apply(
         &mut self,
         version: ConfigVersion,
         entry: &ChangeEntry,
     ) -> ChangeOutcome {
-        // Guards against a resend that reached the log twice, because its
-        // first answer was lost: the operator would see two changes. The
-        // first answer is kept with the state, so it holds after failover.
+        // An operator resends a request whose answer was lost, so the request
+        // may be in the log twice and must not be applied twice. The first
+        // answer is part of the state, so it survives a failover.
         if let Some(answer) = self.answers.get(&entry.request_id) {
             return answer.clone();
         }
         let outcome = self.decide(version, entry);
-        if is_kept(entry, &outcome) {
-            self.remember(&entry.request_id, &outcome);
+        if is_answer_kept(entry, &outcome) {
+            self.keep_answer(&entry.request_id, &outcome);
         }
         outcome
     }
@@ -115,12 +116,12 @@
     fn decide(&mut self, version: ConfigVersion, entry: &ChangeEntry) -> ChangeOutcome {
         let current = self.snapshot.version;
         if entry.expected.is_some_and(|expected| expected != current)
-            || self.is_outrun(&entry.change)
+            || self.is_on_stale_revision(&entry.change)
         {
             let winner = Arc::clone(&self.winner);
             return ChangeOutcome::Conflict { current, winner };
         }
-        let document = match self.edited(version, entry) {
+        let document = match self.apply_edit(version, entry) {
             Ok(document) => document,
             Err(faults) => return ChangeOutcome::Invalid { faults },
         };
@@ -132,19 +133,20 @@
             self.revision = revision.number;
         }
         self.winner = Arc::clone(&entry.request_id);
-        self.record(version, entry);
+        self.append_history(version, entry);
         ChangeOutcome::Accepted { version }
     }
 
-    /// True for a revision on top of another one than is in force.
-    fn is_outrun(&self, change: &ConfigChange) -> bool {
+    /// True if the change is a revision that does not build on the one in
+    /// force.
+    fn is_on_stale_revision(&self, change: &ConfigChange) -> bool {
         let ConfigChange::Revise(revision) = change else {
             return false;
         };
         revision.builds_on != self.revision
     }
 
-    fn edited(
+    fn apply_edit(
         &mut self,
         version: ConfigVersion,
         entry: &ChangeEntry,
@@ -156,27 +158,28 @@
                 .apply_change(version, entry.at_ms, document, change);
         }
         if let ConfigChange::Revise(revision) = &entry.change {
-            check_number(revision, self.revision)?;
+            check_revision_number(revision, self.revision)?;
         }
-        self.rollouts.reconcile_edit(edit(document, &entry.change)?)
+        self.rollouts
+            .reconcile_edit(edit_document(document, &entry.change)?)
     }
 
-    fn record(&mut self, version: ConfigVersion, entry: &ChangeEntry) {
+    fn append_history(&mut self, version: ConfigVersion, entry: &ChangeEntry) {
         self.history.push_back(AcceptedChange {
             version,
             request_id: Arc::clone(&entry.request_id),
             at_ms: entry.at_ms,
             summary: entry.change.summary(),
         });
-        if self.history.len() > HISTORY_KEPT {
+        if self.history.len() > HISTORY_MAX {
             self.history.pop_front();
         }
     }
 
-    fn remember(&mut self, request_id: &Arc<str>, outcome: &ChangeOutcome) {
+    fn keep_answer(&mut self, request_id: &Arc<str>, outcome: &ChangeOutcome) {
         self.answers.insert(Arc::clone(request_id), outcome.clone());
         self.answer_order.push_back(Arc::clone(request_id));
-        if self.answer_order.len() <= ANSWERS_KEPT {
+        if self.answer_order.len() <= ANSWERS_MAX {
             return;
         }
         if let Some(oldest) = self.answer_order.pop_front() {
@@ -185,46 +188,50 @@
     }
 }
 
-/// Whether resends get this answer again.
+/// True if resends get this answer again.
 ///
-/// A refused revision is judged anew instead: the same order may come once
-/// more after the revision that it builds on has come into force.
-fn is_kept(entry: &ChangeEntry, outcome: &ChangeOutcome) -> bool {
+/// A refused revision is decided anew instead: the same request may come again
+/// after the revision that it builds on has come into force.
+fn is_answer_kept(entry: &ChangeEntry, outcome: &ChangeOutcome) -> bool {
     let revision = matches!(entry.change, ConfigChange::Revise(_));
     !revision || matches!(outcome, ChangeOutcome::Accepted { .. })
 }
 
-fn check_number(
+fn check_revision_number(
     revision: &NumberedRevision,
-    held: u64,
+    current: u64,
 ) -> Result<(), Vec<DocumentFault>> {
-    if revision.number > held {
+    if revision.number > current {
         return Ok(());
     }
     Err(vec![DocumentFault {
         path: "number".to_owned(),
-        problem: format!("{} is not above {held}, which is in force", revision.number),
+        problem: format!(
+            "{} is not above {current}, which is in force",
+            revision.number
+        ),
     }])
 }
 
-/// The document of a revision as it will be in force: with what operators
-/// do not write taken from the one in force.
+/// Returns the document that a revision puts in force: `written`, with the
+/// parts that operators do not write taken from the document in force, `held`.
 pub fn merge_revision(held: &FleetDocument, written: &FleetDocument) -> FleetDocument {
     let mut edited = written.clone();
-    keep_versions(held, &mut edited);
+    keep_service_versions(held, &mut edited);
     edited.holders = held.holders.clone();
     edited
 }
 
-/// Versions of services are moved by moves alone: a revision names none.
-fn keep_versions(document: &FleetDocument, edited: &mut FleetDocument) {
+/// Copies the versions of services from `document`, because a revision contains
+/// none and must not undo a move.
+fn keep_service_versions(document: &FleetDocument, edited: &mut FleetDocument) {
     for (name, spec) in &mut edited.services {
-        let Some(held) = document.services.get(name) else {
+        let Some(current) = document.services.get(name) else {
             continue;
         };
-        spec.version = Arc::clone(&held.version);
-        spec.candidate = held.candidate.clone();
-        spec.withdrawn = held.withdrawn.clone();
+        spec.version = Arc::clone(&current.version);
+        spec.candidate = current.candidate.clone();
+        spec.withdrawn = current.withdrawn.clone();
     }
 }
 
@@ -243,8 +250,9 @@
     Ok(())
 }
 
-/// The document after `change`, validated whole, or every fault of it.
-pub fn edit(
+/// Returns the document after `change`, or all faults if the result is not a
+/// valid document.
+pub fn edit_document(
     document: &FleetDocument,
     change: &ConfigChange,
 ) -> Result<FleetDocument, Vec<DocumentFault>> {
@@ -252,14 +260,14 @@
     match change {
         ConfigChange::Apply(whole) => {
             edited = whole.clone();
-            // Guards against a file of an operator's that knows nothing of
-            // the roster: entry nodes would draw other holders at once, and
-            // a key claimed at the old ones could run again.
+            // An operator's file does not contain the roster. Without it,
+            // entry nodes would at once choose other holders, and a call
+            // whose key is claimed at the old ones could run again.
             edited.holders = document.holders.clone();
         }
         ConfigChange::Revise(revision) => {
             edited = revision.delta.edit(document);
-            keep_versions(document, &mut edited);
+            keep_service_versions(document, &mut edited);
         }
         ConfigChange::PinVersion { service, version } => {
             pin_version(&mut edited, service, version)?;
@@ -267,12 +275,12 @@
         ConfigChange::SetHolders(roster) => edited.holders = roster.clone(),
         ConfigChange::SetDefault { key, value } => edited.defaults.set(*key, *value),
         ConfigChange::AddException(entry) => edited.exceptions.push(entry.clone()),
-        // Moves edit the document by the record of the move.
+        // Changes of a move are applied by the registry of moves instead.
         ConfigChange::Move(_) => {}
         ConfigChange::RemoveException { id } => {
-            let held = edited.exceptions.len();
+            let exceptions_before = edited.exceptions.len();
             edited.exceptions.retain(|entry| entry.id != *id);
-            if edited.exceptions.len() == held {
+            if edited.exceptions.len() == exceptions_before {
                 let path = "exceptions".to_owned();
                 let problem = format!("no exception has the id {id:?}");
                 return Err(vec![DocumentFault { path, problem }]);
