--- a/crates/core/src/config_digest.rs
+++ b/crates/core/src/config_digest.rs
@@ -1,4 +1,4 @@
-//! Digests that receivers check before they use what they received.
+//! Digests by which a receiver verifies documents and chunks before use.
 
 use std::fmt;
 
@@ -9,40 +9,41 @@
 
 use crate::document::FleetDocument;
 
-/// First half of a SHA-256: 128 bits are far beyond an accidental match
-/// and a third of the bytes of a delta of one default.
+/// First half of a SHA-256 digest. 128 bits are far more than enough to rule out
+/// an accidental match, and already a third of the bytes of a delta that changes
+/// one default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigDigest(u64, u64);
 
 impl ConfigDigest {
-    /// Digest of a document, over its encoding with field names: fields
-    /// added later are taken in without a word here. Maps are ordered, so
-    /// equal documents encode alike.
+    /// Digest of a document. It covers the encoding with field names, so fields
+    /// added later are included without a change here. Maps are ordered, so
+    /// equal documents have equal encodings.
     pub fn of_document(document: &FleetDocument) -> Self {
         let mut hasher = Sha256::new();
         // Writing to a hasher cannot fail and every map key is a string.
         let encoded = rmp_serde::encode::write_named(&mut hasher, document);
-        debug_assert!(encoded.is_ok(), "a document did not encode");
+        debug_assert!(encoded.is_ok(), "encoding the document failed");
         Self::finish(hasher)
     }
 
-    /// Digest of plain bytes.
+    /// Digest of arbitrary bytes.
     pub fn of_bytes(bytes: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(bytes);
         Self::finish(hasher)
     }
 
-    /// The first 64 bits, where a digest only finds accidents.
+    /// The first 64 bits, enough to detect accidental damage.
     pub fn short(self) -> u64 {
         self.0
     }
 
     fn finish(hasher: Sha256) -> Self {
-        let whole: [u8; 32] = hasher.finalize().into();
-        let word = |at: usize| {
+        let sha256: [u8; 32] = hasher.finalize().into();
+        let word = |offset: usize| {
             let mut bytes = [0; 8];
-            bytes.copy_from_slice(&whole[at..at + 8]);
+            bytes.copy_from_slice(&sha256[offset..offset + 8]);
             u64::from_be_bytes(bytes)
         };
         Self(word(0), word(8))
--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -1,11 +1,11 @@
-//! What a source can tell a follower of the configuration, by the version
-//! that the follower holds.
+//! Configuration updates that a source sends, depending on the version that
+//! the follower holds.
 //!
-//! Load pattern: thousands of followers, nearly all of them at the version
-//! before the newest, a few further behind, and herds that hold nothing.
-//! Without this module the source would encode the whole document for each
-//! of them. Here every distinct answer is made once and shared: one delta
-//! for each base that is asked from, one encoded snapshot for all others.
+//! Load pattern: thousands of followers. Nearly all hold the version before the
+//! newest and a few an older one, but after an outage many start at once and
+//! hold none. Encoding the whole document for each of them would be too slow, so
+//! each distinct answer is computed once and shared: one delta for each base
+//! that followers hold, and one encoded snapshot for all others.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,31 +23,32 @@
 use crate::snapshot_chunks::SnapshotHeader;
 use crate::version::ConfigVersion;
 
-/// Earlier documents kept as bases of deltas. At 13,000 changes a day it is
-/// seven minutes, which covers a reconnect storm and a node's pause. Items
-/// of documents share their strings, so one costs about 0.25 MB at the
-/// two-year size, and all of them 16 MB of a control instance.
-const BASES_KEPT: usize = 64;
+/// Maximum number of earlier documents kept as bases of deltas. At 13,000
+/// changes a day they cover seven minutes, enough for a reconnect storm or a
+/// node's pause. Documents share their strings, so each takes about 0.25 MB at
+/// the size expected in two years; all of them take 16 MB of a control
+/// instance's memory.
+const BASES_MAX: usize = 64;
 
-/// Largest snapshot whose chunk goes along with the news that name it.
-const ALONG_BYTES_MAX: u32 = 16 * 1024;
+/// Largest snapshot, in bytes, whose chunk is sent along with its header.
+const INLINE_BYTES_MAX: u32 = 16 * 1024;
 
-/// What a source tells of the configuration.
+/// Configuration update from a source to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// The follower holds what the source holds, or something newer.
+    /// The follower holds or has refused the source's version or a newer one.
     Current,
-    /// What changed since the follower's version.
+    /// Delta from the follower's version.
     Delta(Arc<ConfigDelta>),
-    /// Chunks to fetch, and a delta to apply on top before anything is
-    /// used, where the encoded snapshot is not the newest version.
+    /// Snapshot to fetch in chunks. If it is not the newest version, a delta to
+    /// the newest comes with it, to be applied before the document is used.
     Snapshot(SnapshotHeader, Option<Arc<ConfigDelta>>),
 }
 
-/// A delta already computed; none where the snapshot is to be sent.
+/// A computed delta; `None` if a snapshot is to be sent instead.
 type CachedDelta = Option<Arc<ConfigDelta>>;
 
-/// The configuration in force and the way to it from earlier versions.
+/// The configuration in force and the deltas to it from earlier versions.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
     current: ConfigSnapshot,
@@ -63,7 +64,8 @@
         &self.current
     }
 
-    /// Puts a newer configuration in force; true where it was newer.
+    /// Puts a newer configuration in force. Returns false, without effect, if it
+    /// is not newer.
     pub fn publish(&mut self, snapshot: ConfigSnapshot) -> bool {
         if snapshot.version <= self.current.version {
             return false;
@@ -71,33 +73,34 @@
         self.digest = ConfigDigest::of_document(&snapshot.document);
         let earlier = std::mem::replace(&mut self.current, snapshot);
         self.bases.insert(earlier.version, earlier.document);
-        if self.bases.len() > BASES_KEPT {
+        if self.bases.len() > BASES_MAX {
             self.bases.pop_first();
         }
         self.deltas.clear();
         true
     }
 
-    /// True where a follower at `place` has no news to come.
-    pub fn is_current(&self, place: &FollowerState) -> bool {
-        place.held.max(place.refused) >= self.current.version
+    /// True if there is no update for `follower`.
+    pub fn is_current(&self, follower: &FollowerState) -> bool {
+        follower.held.max(follower.refused) >= self.current.version
     }
 
-    /// True where the news for a follower at `place` are small.
-    pub fn is_update_small(&self, place: &FollowerState) -> bool {
-        let starting = place.held == ConfigVersion::ZERO;
-        let delta = !place.whole && !starting && self.bases.contains_key(&place.held);
-        delta || self.is_current(place)
+    /// True if the update for `follower` is small: a delta or nothing.
+    pub fn is_update_small(&self, follower: &FollowerState) -> bool {
+        let starting = follower.held == ConfigVersion::ZERO;
+        let delta =
+            !follower.whole && !starting && self.bases.contains_key(&follower.held);
+        delta || self.is_current(follower)
     }
 
-    /// News for a follower at `place`. One that refused the newest version
-    /// waits for the next, instead of being sent the same again at once.
-    pub fn update_for(&mut self, place: &FollowerState) -> ConfigUpdate {
-        if self.is_current(place) {
+    /// Returns the update for `follower`. A follower that refused the newest
+    /// version waits for the next one and is not sent the same one again.
+    pub fn update_for(&mut self, follower: &FollowerState) -> ConfigUpdate {
+        if self.is_current(follower) {
             return ConfigUpdate::Current;
         }
-        if !place.whole {
-            if let Some(delta) = self.delta_from(place.held) {
+        if !follower.whole {
+            if let Some(delta) = self.delta_from(follower.held) {
                 return ConfigUpdate::Delta(delta);
             }
         }
@@ -106,8 +109,8 @@
         ConfigUpdate::Snapshot(header, rest)
     }
 
-    /// Bytes of the whole configuration as followers get it; 0 before the
-    /// first.
+    /// Length in bytes of the snapshot that followers fetch; 0 before the first
+    /// version.
     pub fn snapshot_bytes(&mut self) -> u64 {
         if self.current.version == ConfigVersion::ZERO {
             return 0;
@@ -115,8 +118,9 @@
         self.encoded().header().bytes.into()
     }
 
-    /// Chunk `at` of the encoded snapshot of `version`; `None` where that
-    /// is not the one kept, and the follower must ask for news again.
+    /// Returns chunk `at` of the encoded snapshot of `version`. If another
+    /// snapshot is kept, returns `None`, and the follower must request an update
+    /// again.
     pub fn chunk(&self, version: ConfigVersion, at: usize) -> Option<Bytes> {
         let encoded = self.encoded.as_ref()?;
         if encoded.header().version != version {
@@ -125,19 +129,21 @@
         encoded.chunk(at)
     }
 
-    /// The first chunk of a snapshot that `news` names, where it is small
-    /// enough to go along: one question less for each node of a herd.
-    pub fn first_chunk(&self, news: &ConfigUpdate) -> Option<Bytes> {
-        let ConfigUpdate::Snapshot(header, _) = news else {
+    /// Returns the first chunk of the snapshot in `update` if it is small enough
+    /// to be sent along. This saves a request of each node when many start at
+    /// once.
+    pub fn first_chunk(&self, update: &ConfigUpdate) -> Option<Bytes> {
+        let ConfigUpdate::Snapshot(header, _) = update else {
             return None;
         };
-        let small = header.bytes <= ALONG_BYTES_MAX;
+        let small = header.bytes <= INLINE_BYTES_MAX;
         small.then(|| self.chunk(header.version, 0)).flatten()
     }
 
-    /// The encoded snapshot: the one at hand as long as a delta leads on
-    /// from it, so that quick changes neither encode again nor take away a
-    /// snapshot from under the followers that are fetching it.
+    /// Returns the encoded snapshot. The existing one is kept as long as there
+    /// is a delta from it to the newest version, so that changes in quick
+    /// succession neither encode the document again nor replace a snapshot while
+    /// followers fetch it.
     fn encoded(&mut self) -> &ChunkedSnapshot {
         let usable = match self.encoded.as_ref().map(|kept| kept.header().version) {
             Some(version) if version == self.current.version => true,
@@ -152,6 +158,8 @@
             .get_or_insert_with(|| ChunkedSnapshot::new(current, digest))
     }
 
+    /// Returns the delta from version `held` to the current one; `None` if a
+    /// snapshot is to be sent instead or `held` is current.
     fn delta_from(&mut self, held: ConfigVersion) -> CachedDelta {
         if held == self.current.version {
             return None;
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration as operators write it.
+//! The fleet's configuration, called the document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,31 +19,31 @@
 mod label_stripper;
 mod validate;
 
-/// Services, routes, fleet defaults and the short list of exceptions.
+/// Services, routes, fleet defaults and the exceptions to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetDocument {
     /// Services by name.
     #[serde(default)]
     pub services: BTreeMap<Arc<str>, ServiceSpec>,
-    /// Routes; the longest matching path prefix wins. Versions of the
-    /// document share those that no change touched.
+    /// Routes; the longest matching path prefix wins. Versions of the document
+    /// share unchanged routes in memory.
     #[serde(default)]
     pub routes: Vec<Arc<RouteSpec>>,
-    /// Figures for the whole fleet.
+    /// Tuning parameters of the whole fleet.
     #[serde(default)]
     pub defaults: TuningTable,
-    /// Departures from the defaults, each with its reason.
+    /// Exceptions to the defaults, each with a reason.
     #[serde(default)]
     pub exceptions: Vec<ExceptionEntry>,
-    /// Bounds on what callers may send.
+    /// Limits on requests and connections of callers.
     #[serde(default, skip_serializing_if = "CallerLimits::is_empty")]
     pub limits: CallerLimits,
-    /// What operators noted on the document; carried and shown, never read.
+    /// Operators' labels of the document; stored and shown, but not interpreted.
     #[serde(default, skip_serializing_if = "LabelTable::is_empty")]
     pub labels: LabelTable,
-    /// Nodes that hold the claims of non-idempotent calls; kept by the
-    /// leader, not by operators.
+    /// Nodes that hold the claims of non-idempotent calls; set by the leader,
+    /// not by operators.
     #[serde(default, skip_serializing_if = "HolderRoster::is_empty")]
     pub holders: HolderRoster,
 }
@@ -56,71 +56,71 @@
     }
 }
 
-/// Notes by name, such as the display name of a route.
+/// Labels by name, such as the display name of a route.
 pub type LabelTable = BTreeMap<Arc<str>, Arc<str>>;
 
-/// Bounds on what a caller may send and how long it may take; a figure that
-/// is absent is the node's own.
+/// Limits on what a caller may send and how long it may take. The node's own
+/// limit applies for a field that is absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum length of a request's head, in bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head_bytes: Option<u64>,
-    /// Largest body of a request, in bytes.
+    /// Maximum length of a request's body, in bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body_bytes: Option<u64>,
-    /// Longest time for a head to arrive whole, in milliseconds.
+    /// Timeout for a whole head to arrive, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head_ms: Option<u64>,
-    /// How long a connection may stay idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idle_ms: Option<u64>,
 }
 
 impl CallerLimits {
-    /// True where nothing is set.
+    /// True if no limit is set.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Stands for a backend server version in service that nobody has named
-/// yet: the leader puts the first one announced in its place.
+/// Placeholder for the version of a service until the leader replaces it by the
+/// first version that a backend server announces.
 pub const ANY_VERSION: &str = "any";
 
-/// A service and the backend server version that serves it.
+/// A service and the version of the backend servers that serve it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
     /// Backend server version in service, or [`ANY_VERSION`].
     pub version: Arc<str>,
-    /// Version that is taking over, while a move is on its way.
+    /// Version that is taking over while a move is running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub candidate: Option<CandidateShare>,
-    /// Versions that moves have taken back since the last one that went
-    /// through; kept by the leader, not by operators.
+    /// Versions whose moves were taken back since the last move that finished;
+    /// set by the leader, not by operators.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub withdrawn: Vec<Arc<str>>,
-    /// Path of a backend server's own health page.
+    /// Path at which a backend server reports its health.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub health_path: Option<Arc<str>>,
-    /// Connections that one backend server takes at most.
+    /// Maximum number of connections to one backend server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connections_max: Option<u32>,
-    /// What operators noted on the service; carried and shown, never read.
+    /// Operators' labels of the service; stored and shown, but not interpreted.
     #[serde(default, skip_serializing_if = "LabelTable::is_empty")]
     pub labels: LabelTable,
 }
 
 impl ServiceSpec {
-    /// True where any version that a server announces is in service.
+    /// True if any version that a backend server announces is in service.
     pub fn takes_any_version(&self) -> bool {
         *self.version == *ANY_VERSION
     }
 }
 
-/// A new version beside the old one, with its share of the traffic.
+/// A new version that receives a share of a service's traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CandidateShare {
@@ -128,12 +128,13 @@
     pub version: Arc<str>,
     /// Share of the service's calls, in thousandths.
     pub share_per_mille: u16,
-    /// Version that started the move; `ZERO` where it was set by hand.
+    /// Configuration version that started the move; `ZERO` if an operator set the
+    /// share without a move.
     #[serde(default, skip_serializing_if = "ConfigVersion::is_zero")]
     pub rollout: ConfigVersion,
 }
 
-/// How urgent a route's calls are.
+/// Priority of a route's calls.
 #[derive(
     Clone,
     Copy,
@@ -149,17 +150,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum CallPriority {
-    /// Served first: somebody waits for the answer.
+    /// Served first, such as calls for which a user is waiting.
     High,
-    /// Served when nothing urgent waits.
+    /// Served if no `High` call is waiting.
     #[default]
     Normal,
-    /// May wait while others are served.
+    /// May wait while other calls are served.
     Low,
 }
 
 impl CallPriority {
-    /// The word used between nodes.
+    /// The name used in headers between nodes.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::High => "high",
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Reads the word back; `None` for any other.
+    /// Parses a name returned by [`Self::as_str`]; `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "high" => Some(Self::High),
@@ -183,35 +184,36 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSpec {
-    /// Path prefix, from the leading slash; matches whole segments.
+    /// Path prefix with a leading slash; matches whole segments.
     pub path: Arc<str>,
-    /// Service that answers.
+    /// Service that serves the calls.
     pub service: Arc<str>,
-    /// Urgency of the route's calls.
+    /// Priority of the route's calls.
     #[serde(default)]
     pub priority: CallPriority,
-    /// True where only backend servers' outbound calls may use the route.
+    /// True if only outbound calls of backend servers may use the route.
     #[serde(default)]
     pub internal: bool,
-    /// Host whose calls the route takes; calls to any where absent.
+    /// Host to which the route applies; any host if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<Arc<str>>,
-    /// Services that share the calls; `service` alone where empty.
+    /// Services that share the calls by weight; only `service` if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<WeightedService>,
-    /// Whether calls may run twice; by their method where absent.
+    /// Whether calls may run twice; decided by their method if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<RepeatRule>,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Longest time that a caller waits for the answer, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub timeout_ms: Option<u64>,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Target latency, within which an answer has its full value, in
+    /// milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ms: Option<u64>,
-    /// Backend servers to which one call may be sent.
+    /// Maximum number of backend servers to which one call is sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tries_max: Option<u64>,
-    /// What operators noted on the route; carried and shown, never read.
+    /// Operators' labels of the route; stored and shown, but not interpreted.
     #[serde(default, skip_serializing_if = "LabelTable::is_empty")]
     pub labels: LabelTable,
 }
@@ -220,9 +222,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its part of the sum of all weights.
+    /// The service's share of the calls is this weight over the sum of all.
     pub weight: u32,
 }
 
@@ -230,23 +232,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatRule {
-    /// Running it twice does no harm.
+    /// It may run more than once without harm.
     Idempotent,
     /// It runs at most once.
     AtMostOnce,
 }
 
 impl RouteSpec {
-    /// Every service that the route may lead to.
+    /// Returns every service that may serve the route's calls.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
-        let alone = self.split.is_empty().then_some(&self.service);
-        alone
+        let only_service = self.split.is_empty().then_some(&self.service);
+        only_service
             .into_iter()
             .chain(self.split.iter().map(|part| &part.service))
     }
 }
 
-/// What an exception applies to; an absent field matches everything.
+/// The calls and nodes to which an exception applies; an absent field matches
+/// all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExceptionScope {
@@ -261,35 +264,35 @@
     pub failure_domain: Option<Arc<str>>,
 }
 
-/// One departure from the fleet's defaults, with its written reason.
+/// One exception to the fleet's defaults, with a written reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExceptionEntry {
-    /// Name by which operators remove it again.
+    /// Id by which operators remove it again.
     pub id: Arc<str>,
-    /// What it applies to.
+    /// Where it applies.
     #[serde(default)]
     pub scope: ExceptionScope,
-    /// Figure that departs.
+    /// Tuning parameter with another value.
     pub key: TuningKey,
-    /// Its value in this scope.
+    /// Value of the parameter in this scope.
     pub value: u64,
-    /// Why; never blank.
+    /// Reason for the exception; never blank.
     pub reason: String,
 }
 
 impl ExceptionScope {
-    /// Number of fields that are named; the closest scope wins.
-    fn closeness(&self) -> usize {
+    /// Number of fields that are set; the most specific scope wins.
+    fn specificity(&self) -> usize {
         usize::from(self.service.is_some())
             + usize::from(self.route.is_some())
             + usize::from(self.failure_domain.is_some())
     }
 
-    fn matches(&self, place: &CallContext<'_>) -> bool {
-        matches_field(&self.service, place.service)
-            && matches_field(&self.route, place.route)
-            && matches_field(&self.failure_domain, place.failure_domain)
+    fn matches(&self, context: &CallContext<'_>) -> bool {
+        matches_field(&self.service, context.service)
+            && matches_field(&self.route, context.route)
+            && matches_field(&self.failure_domain, context.failure_domain)
     }
 }
 
@@ -297,27 +300,30 @@
     wanted.as_deref().is_none_or(|wanted| wanted == actual)
 }
 
-/// Where a call is decided, for looking up the figures that hold there.
+/// The service, route and node of a call, which determine its tuning parameters.
 #[derive(Clone, Copy, Debug)]
 pub struct CallContext<'a> {
-    /// Service called.
+    /// Name of the service called.
     pub service: &'a str,
     /// Path of the matching route.
     pub route: &'a str,
-    /// Failure domain of the node that decides.
+    /// Failure domain of the node that routes the call.
     pub failure_domain: &'a str,
 }
 
 impl FleetDocument {
-    /// The figure in force at `place`: the closest exception, the last
-    /// added among equals, else the fleet's default.
-    pub fn tuning(&self, key: TuningKey, place: &CallContext<'_>) -> u64 {
+    /// Returns the value of a tuning parameter for a call: that of the most
+    /// specific matching exception, the last added among equals, or else the
+    /// fleet's default.
+    pub fn tuning(&self, key: TuningKey, context: &CallContext<'_>) -> u64 {
         let mut best: Option<&ExceptionEntry> = None;
         for entry in &self.exceptions {
-            if entry.key != key || !entry.scope.matches(place) {
+            if entry.key != key || !entry.scope.matches(context) {
                 continue;
             }
-            if best.is_none_or(|held| entry.scope.closeness() >= held.scope.closeness()) {
+            if best
+                .is_none_or(|best| entry.scope.specificity() >= best.scope.specificity())
+            {
                 best = Some(entry);
             }
         }
--- a/crates/core/src/document/label_stripper.rs
+++ b/crates/core/src/document/label_stripper.rs
@@ -1,9 +1,10 @@
-//! The document without what operators noted on its parts.
+//! Removes operators' labels from the document before it is sent to nodes.
 //!
-//! Load pattern: a change of one route of 1,800, several a second. Copied
-//! bare each time, two versions share nothing, so that every instance copies
-//! all routes and compares them word by word to find the one that changed.
-//! Here the routes that no change touched stay the same in memory.
+//! Load pattern: several changes a second, each of one route out of 1,800. If
+//! each version were copied without labels from scratch, two versions would
+//! share no memory, and every instance would have to copy all routes and compare
+//! them field by field to find the one that changed. Here unchanged routes are
+//! shared between versions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,41 +12,43 @@
 use super::FleetDocument;
 use super::RouteSpec;
 
-/// Makes the bare document of each version from the one before.
+/// Removes the labels from successive versions of the document, reusing the
+/// routes of the previous version.
 #[derive(Clone, Debug, Default)]
 pub struct LabelStripper {
-    whole: Arc<FleetDocument>,
-    bare: Arc<FleetDocument>,
+    labeled: Arc<FleetDocument>,
+    stripped: Arc<FleetDocument>,
 }
 
 impl LabelStripper {
-    /// `document` without labels; the same where it has none.
+    /// Returns `document` without labels, or `document` itself if it has none.
     pub fn strip(&mut self, document: &Arc<FleetDocument>) -> Arc<FleetDocument> {
         if !document.has_labels() {
             return Arc::clone(document);
         }
-        let mut bare = (**document).clone();
-        bare.labels.clear();
-        for spec in bare.services.values_mut() {
+        let mut stripped = (**document).clone();
+        stripped.labels.clear();
+        for spec in stripped.services.values_mut() {
             spec.labels.clear();
         }
-        let held = self.held();
-        for route in &mut bare.routes {
-            match held.get(&Arc::as_ptr(route)) {
-                Some(known) => *route = Arc::clone(known),
+        let known = self.stripped_routes();
+        for route in &mut stripped.routes {
+            match known.get(&Arc::as_ptr(route)) {
+                Some(stripped_route) => *route = Arc::clone(stripped_route),
                 None => Arc::make_mut(route).labels.clear(),
             }
         }
-        drop(held);
-        self.whole = Arc::clone(document);
-        self.bare = Arc::new(bare);
-        Arc::clone(&self.bare)
+        drop(known);
+        self.labeled = Arc::clone(document);
+        self.stripped = Arc::new(stripped);
+        Arc::clone(&self.stripped)
     }
 
-    /// Bare routes by the place in memory of the whole ones, which are held
-    /// here, so that no other route can take their place.
-    fn held(&self) -> HashMap<*const RouteSpec, &Arc<RouteSpec>> {
-        let whole = self.whole.routes.iter().map(Arc::as_ptr);
-        whole.zip(&self.bare.routes).collect()
+    /// Stripped routes of the previous version by the address of the labeled
+    /// route. `labeled` keeps those routes alive, so that no other route can
+    /// have the same address.
+    fn stripped_routes(&self) -> HashMap<*const RouteSpec, &Arc<RouteSpec>> {
+        let labeled = self.labeled.routes.iter().map(Arc::as_ptr);
+        labeled.zip(&self.stripped.routes).collect()
     }
 }
--- a/crates/core/src/document/validate.rs
+++ b/crates/core/src/document/validate.rs
@@ -1,7 +1,8 @@
-//! Validates a whole document before anything of it is accepted.
+//! Validates a whole document before it is accepted.
 //!
-//! The same check runs at the leader before acceptance and on every node
-//! before a swap, so that a bad version is never applied, not even in part.
+//! The same checks run when a change is applied and on every node before it
+//! switches to a new version, so that an invalid document is never used, not
+//! even in part.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -15,26 +16,26 @@
 use super::FleetDocument;
 use super::RouteSpec;
 
-/// Names longer than this are refused: they stand in every log line.
+/// Maximum length of a name in bytes; names appear in every log line.
 const NAME_BYTES_MAX: usize = 64;
 
-/// Whole traffic, in thousandths.
-const WHOLE_PER_MILLE: u16 = 1_000;
+/// Largest share of the traffic, in per mille.
+const SHARE_PER_MILLE_MAX: u16 = 1_000;
 
-/// Changed routes up to which a document is not looked at whole: each is
-/// compared with all others, some microseconds for 1,800.
-const CHANGED_MAX: usize = 16;
+/// Number of changed routes up to which only these are validated. Each is
+/// compared with all other routes, which takes some microseconds for 1,800.
+const CHANGED_ROUTES_MAX: usize = 16;
 
-/// Timeouts of a route, in milliseconds: up to ten minutes, beyond which a
-/// caller has long gone.
+/// Allowed timeouts of a route, in milliseconds. Callers do not wait longer than
+/// ten minutes.
 const TIMEOUT_MS: RangeInclusive<u64> = 1..=600_000;
 
-/// One fault of a document, with its path and what would be right.
+/// A fault of a document or of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentFault {
-    /// Where, such as `routes[2].service`.
+    /// Path of the faulty field, such as `routes[2].service`.
     pub path: String,
-    /// What is wrong, and what would be right.
+    /// Description of the fault and how to correct it.
     pub problem: String,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// Finds every fault of `document`; an empty list means it may be accepted.
+/// Returns all faults of `document`, which is valid if there are none.
 pub fn validate(document: &FleetDocument) -> Vec<DocumentFault> {
     let mut faults = FaultList::default();
     check_services(document, &mut faults);
@@ -54,20 +55,21 @@
     faults.0
 }
 
-/// Finds every fault of `edited`, which was made from `held`, a document
-/// without any.
+/// Returns all faults of `edited`, an edited copy of the valid document `held`.
 ///
-/// Load pattern: a control instance starts again and replays some dozens of
-/// changes of a document of 2,300 routes before it can tell any node its
-/// configuration. Looked at whole each time, that took 0.3 s of its 0.075 of
-/// a core. Where few routes differ, only those are looked at here.
+/// Load pattern: a control instance restarts and replays some dozens of changes
+/// of a document of 2,300 routes before it can send any node its configuration.
+/// Validating the whole document each time takes 0.3 s with 0.075 of a core. If
+/// few routes differ, only these are validated.
 pub fn validate_edit(held: &FleetDocument, edited: &FleetDocument) -> Vec<DocumentFault> {
-    let kept = held
+    let services_kept = held
         .services
         .keys()
         .all(|name| edited.services.contains_key(name));
-    let scoped = held.exceptions.is_empty() && edited.exceptions.is_empty();
-    let Some(changed) = changed_routes(held, edited).filter(|_| kept && scoped) else {
+    let no_exceptions = held.exceptions.is_empty() && edited.exceptions.is_empty();
+    let Some(changed) =
+        changed_routes(held, edited).filter(|_| services_kept && no_exceptions)
+    else {
         return validate(edited);
     };
     let mut faults = FaultList::default();
@@ -76,12 +78,13 @@
     for at in changed {
         check_route(edited, at, &mut faults);
         let route = &edited.routes[at];
-        let same = edited
+        let duplicates = edited
             .routes
             .iter()
-            .filter(|other| is_same_place(route, other));
-        if same.count() > 1 {
-            // Which of them stands twice is told by the order of all.
+            .filter(|other| has_same_match(route, other));
+        if duplicates.count() > 1 {
+            // The fault is reported for the later duplicate, which may not be
+            // the changed route.
             return validate(edited);
         }
     }
@@ -92,8 +95,9 @@
     }
 }
 
-/// Places of the routes that `held` does not share; `None` where they are
-/// many, or the order has changed.
+/// Returns the indexes of the routes that `edited` does not share with `held`, or
+/// `None` if there are more than [`CHANGED_ROUTES_MAX`]. A route that was moved
+/// may count as changed.
 fn changed_routes(held: &FleetDocument, edited: &FleetDocument) -> Option<Vec<usize>> {
     let mut changed = Vec::new();
     let mut old = held.routes.iter().peekable();
@@ -101,23 +105,24 @@
         if old.next_if(|old| Arc::ptr_eq(old, route)).is_some() {
             continue;
         }
-        // The old one was replaced or removed, or this one was inserted.
-        let mut ahead = old.clone().take(CHANGED_MAX);
-        if let Some(skipped) = ahead.position(|old| Arc::ptr_eq(old, route)) {
+        // Old routes were replaced or removed, or this one was inserted.
+        let mut lookahead = old.clone().take(CHANGED_ROUTES_MAX);
+        if let Some(skipped) = lookahead.position(|old| Arc::ptr_eq(old, route)) {
             for _ in 0..=skipped {
                 old.next();
             }
             continue;
         }
         changed.push(at);
-        if changed.len() > CHANGED_MAX {
+        if changed.len() > CHANGED_ROUTES_MAX {
             return None;
         }
     }
     Some(changed)
 }
 
-fn is_same_place(route: &RouteSpec, other: &RouteSpec) -> bool {
+/// True if both routes match the same host and path prefix.
+fn has_same_match(route: &RouteSpec, other: &RouteSpec) -> bool {
     route.path == other.path && route.host == other.host
 }
 
@@ -131,8 +136,8 @@
     }
 
     fn check_name(&mut self, path: String, name: &str) {
-        let legal = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if name.is_empty() || name.len() > NAME_BYTES_MAX || !name.chars().all(legal) {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if name.is_empty() || name.len() > NAME_BYTES_MAX || !name.chars().all(allowed) {
             let problem = format!(
                 "{name:?} is no name; use 1 to {NAME_BYTES_MAX} letters, digits, '-', '_' or '.'"
             );
@@ -156,7 +161,7 @@
                 "the candidate is the version in service; name another",
             );
         }
-        if candidate.share_per_mille > WHOLE_PER_MILLE {
+        if candidate.share_per_mille > SHARE_PER_MILLE_MAX {
             faults.push(
                 format!("{path}.candidate.share_per_mille"),
                 "a share is 0 to 1000 thousandths",
@@ -176,7 +181,7 @@
     }
 }
 
-/// What can be told of a route without the others.
+/// Checks a route on its own, without comparing it with the others.
 fn check_route(document: &FleetDocument, at: usize, faults: &mut FaultList) {
     let route = &document.routes[at];
     check_route_path(at, route, faults);
@@ -187,10 +192,10 @@
         let problem = format!("no service {service:?} in this document");
         faults.push(format!("routes[{at}].service"), problem);
     }
-    check_route_terms(at, route, faults);
+    check_route_settings(at, route, faults);
 }
 
-fn check_route_terms(at: usize, route: &RouteSpec, faults: &mut FaultList) {
+fn check_route_settings(at: usize, route: &RouteSpec, faults: &mut FaultList) {
     if route.timeout_ms.is_some_and(|ms| !TIMEOUT_MS.contains(&ms)) {
         let problem = "a timeout is 1 ms to ten minutes";
         faults.push(format!("routes[{at}].timeout_ms"), problem);
@@ -207,8 +212,8 @@
     let printable = path
         .bytes()
         .all(|b| b.is_ascii_graphic() && b != b'?' && b != b'#');
-    let trailing = path.len() > 1 && path.ends_with('/');
-    if !path.starts_with('/') || trailing || !printable || path.contains("//") {
+    let trailing_slash = path.len() > 1 && path.ends_with('/');
+    if !path.starts_with('/') || trailing_slash || !printable || path.contains("//") {
         faults.push(
             format!("routes[{at}].path"),
             "a path starts with '/', ends without one and has no query",
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,4 +1,4 @@
-//! The number that orders every accepted configuration.
+//! Version numbers, which order all accepted configurations.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,10 +8,10 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Position of an accepted change in the agreed log.
+/// Position of an accepted change in the replicated log.
 ///
-/// Ordered by term first, so a version accepted under a later leader is
-/// above every version of an earlier one.
+/// Ordered by term first, so a version accepted under a later leader is above
+/// all versions accepted under earlier ones.
 #[derive(
     Clone,
     Copy,
@@ -26,22 +26,22 @@
     Deserialize,
 )]
 pub struct ConfigVersion {
-    /// Term of the leader that accepted the change; 0 before any.
+    /// Term of the leader that accepted the change; 0 before the first change.
     pub term: u64,
-    /// Index in the log; 0 before any.
+    /// Index in the log; 0 before the first change.
     pub index: u64,
 }
 
 impl ConfigVersion {
-    /// The version of a fleet that has accepted nothing yet.
+    /// The version of a fleet that has accepted no change yet.
     pub const ZERO: Self = Self { term: 0, index: 0 };
 
-    /// Version `index` of `term`.
+    /// Creates the version for `index` of `term`.
     pub fn new(term: u64, index: u64) -> Self {
         Self { term, index }
     }
 
-    /// True for the version before any change.
+    /// True for the version before the first change.
     pub fn is_zero(&self) -> bool {
         *self == Self::ZERO
     }
@@ -53,14 +53,14 @@
     }
 }
 
-/// A version that is not written as `TERM.INDEX`.
+/// The reason why a text is not a version of the form `TERM.INDEX`.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum VersionError {
-    /// No dot between the two numbers.
-    #[error("a version is written TERM.INDEX, such as 3.120")]
+    /// There is no dot between the two numbers.
+    #[error("a version has the form TERM.INDEX, such as 3.120")]
     MissingDot,
-    /// One of the two is not a number.
-    #[error("a version is two whole numbers, TERM.INDEX: {0}")]
+    /// One of the two parts is not a whole number.
+    #[error("a version consists of two whole numbers, TERM.INDEX: {0}")]
     NotNumber(#[from] ParseIntError),
 }
 
