--- a/crates/core/benches/control_state.rs
+++ b/crates/core/benches/control_state.rs
@@ -1,5 +1,5 @@
-//! What one change costs a control instance, by the size of the document,
-//! and what the state made of the log holds.
+//! Time of one change at a control instance and memory held by the replicated
+//! state, by the size of the document.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -18,26 +18,28 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_core::version::ConfigVersion;
 
-/// Routes of each service; the users' routes depend on services.
+/// Number of routes of each service. As in users' documents, every route depends
+/// on a service.
 const ROUTES_PER_SERVICE: usize = 3;
 
-/// Changes timed at each size.
+/// Number of changes timed at each size.
 const CHANGES: u64 = 200;
 
-/// Counts the bytes that are held, so that memory is told without noise.
+/// Counts the allocated bytes exactly, without the noise of a process's memory
+/// figures.
 struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes on to the system's allocator unchanged.
+// SAFETY: every call is passed unchanged to the system's allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, block: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(block, layout) }
     }
 }
@@ -51,14 +53,14 @@
         let mut routes = Vec::new();
         for route in 0..ROUTES_PER_SERVICE {
             let path = format!("/service-{service}/route-{route}");
-            routes.push(serde_route(&path, service));
+            routes.push(route_spec(&path, service));
         }
         entries.push((service, routes));
     }
     let mut document = FleetDocument::default();
     let mut specs = BTreeMap::new();
     for (service, routes) in entries {
-        specs.insert(name(service), version_one());
+        specs.insert(name(service), service_spec());
         document.routes.extend(routes.into_iter().map(Arc::new));
     }
     document.services = specs;
@@ -69,15 +71,15 @@
     format!("service-{service}").into()
 }
 
-// The document's types are read from their encoding, so that this program
-// does not change with every field that they gain.
-fn version_one() -> cowslip_core::document::ServiceSpec {
+// The document's types are decoded from maps, so that this program need not
+// change whenever they gain a field.
+fn service_spec() -> cowslip_core::document::ServiceSpec {
     let spec = BTreeMap::from([("version", "v1")]);
     let bytes = rmp_serde::to_vec_named(&spec).expect("it encodes");
     rmp_serde::from_slice(&bytes).expect("a service")
 }
 
-fn serde_route(path: &str, service: usize) -> cowslip_core::document::RouteSpec {
+fn route_spec(path: &str, service: usize) -> cowslip_core::document::RouteSpec {
     let service = name(service).to_string();
     let spec = BTreeMap::from([("path", path), ("service", &service)]);
     let bytes = rmp_serde::to_vec_named(&spec).expect("it encodes");
@@ -101,9 +103,9 @@
 }
 
 fn measure(services: usize) {
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let document = document(services);
-    let held = HELD.load(Ordering::Relaxed) - before;
+    let held = ALLOCATED.load(Ordering::Relaxed) - before;
     let encoded = rmp_serde::to_vec_named(&document)
         .expect("it encodes")
         .len();
@@ -115,7 +117,7 @@
     let mut state = ControlState::default();
     let apply = entry(0, ConfigChange::Apply(document));
     state.apply(ConfigVersion::new(1, 1), &apply);
-    let before = HELD.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
     let began = Instant::now();
     for number in 1..=CHANGES {
         let change = ConfigChange::SetDefault {
@@ -125,7 +127,7 @@
         state.apply(ConfigVersion::new(1, number + 1), &entry(number, change));
     }
     let changed = began.elapsed() / CHANGES as u32;
-    let grown = HELD.load(Ordering::Relaxed) - before;
+    let grown = ALLOCATED.load(Ordering::Relaxed) - before;
     println!(
         "{services:8}  {:11.1}  {:7.1}  {:11.1}  {:9.1}  {:16}",
         encoded as f64 / 1_024.0,
--- a/crates/core/tests/config_delta.rs
+++ b/crates/core/tests/config_delta.rs
@@ -1,5 +1,5 @@
-//! Deltas, chunks and the history that makes them, against the naive way:
-//! sending the whole document.
+//! Deltas, chunks and the history that produces them must give the same document
+//! as sending the whole document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Lists in any order, without a key twice.
+/// Lists in any order, with unique keys.
 fn unique<T: Clone + std::fmt::Debug>(
     items: impl Strategy<Value = (u8, T)>,
 ) -> impl Strategy<Value = Vec<(u8, T)>> {
@@ -112,70 +112,70 @@
     }
 }
 
-fn place(held: &ConfigSnapshot) -> FollowerState {
+fn follower_state(held: &ConfigSnapshot) -> FollowerState {
     FollowerState {
         held: held.version,
         ..FollowerState::default()
     }
 }
 
-/// What a follower holds after it took everything that the news names.
+/// Returns what a follower holds after it has applied the whole update.
 fn follow(
     history: &mut ConfigHistory,
     held: &ConfigSnapshot,
 ) -> Result<ConfigSnapshot, String> {
-    match history.update_for(&place(held)) {
+    match history.update_for(&follower_state(held)) {
         ConfigUpdate::Current => Ok(held.clone()),
         ConfigUpdate::Delta(delta) => delta.apply(held).map_err(|e| e.to_string()),
-        ConfigUpdate::Snapshot(header, rest) => {
+        ConfigUpdate::Snapshot(header, delta) => {
             let version = header.version;
             let mut assembly = ChunkAssembly::new(header).map_err(|e| e.to_string())?;
             while let Some(at) = assembly.wanted() {
                 let chunk = history.chunk(version, at).ok_or("no chunk")?;
                 assembly.take(&chunk).map_err(|e| e.to_string())?;
             }
-            let whole = assembly.finish().map_err(|e| e.to_string())?;
-            match rest {
-                Some(rest) => rest.apply(&whole).map_err(|e| e.to_string()),
-                None => Ok(whole),
+            let snapshot = assembly.finish().map_err(|e| e.to_string())?;
+            match delta {
+                Some(delta) => delta.apply(&snapshot).map_err(|e| e.to_string()),
+                None => Ok(snapshot),
             }
         }
     }
 }
 
 proptest! {
-    // A delta between any two documents gives exactly the second one, as a
-    // whole replacement would, and changes no other base.
+    // A delta between any two documents gives exactly the second one, and is
+    // refused for any other base version.
     #[test]
-    fn a_delta_gives_what_replacement_gives(old in document(), new in document()) {
+    fn a_delta_gives_the_target_document(old in document(), new in document()) {
         let digest = ConfigDigest::of_document(&new);
         let (old, new) = (snapshot(1, old), snapshot(2, new));
         let delta = ConfigDelta::between(&old, &new, digest);
-        let delta = delta.expect("a document of unique keys has a delta");
+        let delta = delta.expect("documents with unique keys have a delta");
         let applied = delta.apply(&old);
         prop_assert_eq!(applied.as_ref(), Ok(&new));
         let other = snapshot(3, (*old.document).clone());
-        let wrong = DeltaError::WrongBase { base: old.version, held: other.version };
-        prop_assert_eq!(delta.apply(&other), Err(wrong));
+        let wrong_base = DeltaError::WrongBase { base: old.version, held: other.version };
+        prop_assert_eq!(delta.apply(&other), Err(wrong_base));
     }
 
-    // A follower asks after any number of versions, so that it gets deltas
-    // from old bases, snapshots, or a snapshot with a delta on top. It ends
-    // with the source's document each time it asks.
+    // A follower that requests an update after any number of versions gets a
+    // delta, a snapshot, or a snapshot with a delta on top, and then holds the
+    // source's document.
     #[test]
-    fn a_follower_ends_at_the_source(
+    fn a_follower_ends_with_the_source_document(
         documents in prop::collection::vec((document(), any::<bool>()), 1..12),
     ) {
         let mut history = ConfigHistory::default();
-        let mut near = ConfigSnapshot::default();
-        let mut far = ConfigSnapshot::default();
+        let mut prompt = ConfigSnapshot::default();
+        let mut lagging = ConfigSnapshot::default();
         for (at, (document, asks)) in documents.into_iter().enumerate() {
             prop_assert!(history.publish(snapshot(at as u64 + 1, document)));
-            near = follow(&mut history, &near).expect("news fit");
-            prop_assert_eq!(&near, history.current());
+            prompt = follow(&mut history, &prompt).expect("the update applies");
+            prop_assert_eq!(&prompt, history.current());
             if asks {
-                far = follow(&mut history, &far).expect("news fit");
-                prop_assert_eq!(&far, history.current());
+                lagging = follow(&mut history, &lagging).expect("the update applies");
+                prop_assert_eq!(&lagging, history.current());
             }
         }
     }
@@ -201,9 +201,9 @@
     document
 }
 
-// A delta arrives whose result is not what the leader holds, after a fault
-// of the program or of memory. The node must go on with what it has and not
-// route by a document that no operator accepted.
+// A software or memory fault makes the result of a delta differ from the
+// leader's document. The node must keep its current version and not route by a
+// document that no operator accepted.
 #[test]
 fn a_result_with_the_wrong_digest_is_refused() {
     let old = snapshot(1, large(1));
@@ -214,11 +214,11 @@
     assert!(matches!(refused, Err(DeltaError::WrongDigest { .. })));
 }
 
-// A chunk is damaged on its way. It is dropped and stays wanted; the chunks
-// before it are kept, and the snapshot comes out whole from another source.
+// A chunk is damaged in transit. It is dropped and requested again, the chunks
+// before it are kept, and the snapshot can be completed from another source.
 #[test]
 fn a_damaged_chunk_is_fetched_again() {
-    // Paths that no compression shortens, so that there are several chunks.
+    // Incompressible paths, so that there are several chunks.
     let mut document = large(8_000);
     for (at, route) in document.routes.iter_mut().enumerate() {
         let path = ConfigDigest::of_bytes(&at.to_be_bytes());
@@ -244,14 +244,14 @@
     assert_eq!(assembly.finish(), Ok(whole));
 }
 
-// Changes come quickly while a node on a thin link fetches a snapshot. Were
-// the snapshot replaced by each newer one, the node would start over for
-// ever; it is kept, and a delta on top leads to the newest.
+// Changes come in quick succession while a node on a slow link fetches a
+// snapshot. If each change replaced the snapshot, the node would start over for
+// ever. The snapshot is kept, and a delta on top leads to the newest version.
 #[test]
-fn quick_changes_do_not_take_the_snapshot_away() {
+fn quick_changes_do_not_replace_the_snapshot() {
     let mut history = ConfigHistory::default();
     history.publish(snapshot(1, large(2_000)));
-    let start = place(&ConfigSnapshot::default());
+    let start = follower_state(&ConfigSnapshot::default());
     let ConfigUpdate::Snapshot(header, None) = history.update_for(&start) else {
         panic!("a follower with nothing gets a snapshot");
     };
@@ -260,20 +260,20 @@
         document.defaults.set(TuningKey::DeadlineMs, index);
         history.publish(snapshot(index, document));
         assert!(history.chunk(header.version, 0).is_some());
-        let ConfigUpdate::Snapshot(again, rest) = history.update_for(&start) else {
+        let ConfigUpdate::Snapshot(again, delta) = history.update_for(&start) else {
             panic!("a follower with nothing gets a snapshot");
         };
         assert_eq!(again, header);
-        let rest = rest.expect("a delta on top");
-        assert_eq!(rest.version, history.current().version);
+        let delta = delta.expect("a delta on top");
+        assert_eq!(delta.version, history.current().version);
     }
 }
 
 // An operator adds a thousand routes at once. Every node fetches the whole
-// document chunk by chunk, and a small control instance needs 10 ms for each:
-// in five chunks the last nodes route by the old document for three seconds.
+// document chunk by chunk, and a small control instance takes 10 ms for each.
+// With five chunks the last nodes route by the old document for three seconds.
 #[test]
-fn a_large_document_travels_in_one_chunk() {
+fn a_large_document_fits_in_one_chunk() {
     let whole = snapshot(7, large(1_800));
     let digest = ConfigDigest::of_document(&whole.document);
     let packed = ChunkedSnapshot::new(&whole, digest);
@@ -285,8 +285,8 @@
     assert_eq!(assembly.finish(), Ok(whole));
 }
 
-// A source states a small document for bytes that decompress to a large one,
-// or a large one for a small one. Neither is taken.
+// The length stated in a snapshot header does not match the decompressed
+// length, or exceeds the limit. Such a snapshot is refused.
 #[test]
 fn a_wrong_length_is_refused() {
     let whole = snapshot(7, large(100));
--- a/crates/core/tests/control_state.rs
+++ b/crates/core/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: races and resends of operators.
+//! The replicated state under concurrent and resent changes of operators.
 
 use std::sync::Arc;
 
@@ -27,10 +27,11 @@
     ConfigVersion::new(1, index)
 }
 
-// Two operators change the same version at once. One must win and the other
-// must be told who did, or each believes that their own value is in force.
+// Two operators change the same version at once. One change must win and the
+// other must be answered with the winner's id, or both operators believe that
+// their own value is in force.
 #[test]
-fn one_of_two_racers_wins() {
+fn one_of_two_concurrent_changes_wins() {
     let mut state = ControlState::default();
     let zero = Some(ConfigVersion::ZERO);
     let first = state.apply(at(1), &entry("anna", zero, 100));
@@ -43,8 +44,8 @@
     assert_eq!(document.defaults.get(TuningKey::DeadlineMs), 100);
 }
 
-// The answer to a change is lost and the operator sends it again. A second
-// acceptance would undo what somebody else changed in between.
+// The answer to a change is lost and the operator resends the change. If it
+// were accepted again, it would undo another change made in between.
 #[test]
 fn a_resend_gets_the_first_answer() {
     let mut state = ControlState::default();
@@ -57,8 +58,8 @@
     assert_eq!(document.defaults.get(TuningKey::DeadlineMs), 200);
 }
 
-// An exception without a written reason is refused whole and changes
-// nothing, not even the version.
+// An exception without a written reason is refused and changes nothing, not even
+// the version.
 #[test]
 fn an_exception_needs_a_reason() {
     let mut state = ControlState::default();
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -1,4 +1,4 @@
-//! Documents that operators replace under numbers of their own.
+//! Numbered revisions by which operators replace the document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
         }
     }
 
-    fn order(
+    fn revision_change(
         &self,
         builds_on: u64,
         number: u64,
@@ -71,7 +71,7 @@
         ConfigChange::Revise(Box::new(NumberedRevision {
             number,
             builds_on,
-            delta: delta.expect("a difference"),
+            delta: delta.expect("a delta"),
         }))
     }
 
@@ -91,14 +91,17 @@
     matches!(outcome, ChangeOutcome::Accepted { .. })
 }
 
-// Two operators build on the same revision and choose the same number. One
-// is accepted; the other is told, and nothing of its document is in force.
+// Two operators build on the same revision and choose the same number. One is
+// accepted. The other gets a conflict, and no part of its document is in force.
 #[test]
-fn of_two_revisions_on_one_base_one_wins() {
+fn one_of_two_concurrent_revisions_wins() {
     let mut operator = Operator::new();
     let first = document(vec![route("a", "/one", "ledger")]);
     let second = document(vec![route("a", "/two", "ledger")]);
-    let (anna, beatriz) = (operator.order(0, 5, &first), operator.order(0, 5, &second));
+    let (anna, beatriz) = (
+        operator.revision_change(0, 5, &first),
+        operator.revision_change(0, 5, &second),
+    );
     assert!(accepted(&operator.apply("anna", anna)));
     let lost = operator.apply("beatriz", beatriz);
     assert!(matches!(lost, ChangeOutcome::Conflict { .. }), "{lost:?}");
@@ -107,86 +110,87 @@
 }
 
 // Operators change one route of a document of thousands, several times a
-// second. Each instance applies each change; where versions share nothing,
-// small ones copy and compare all routes, and a leader's lease runs out
-// meanwhile. So routes that a change leaves alone stay the same in memory,
-// also without the notes that nodes are not sent.
+// second, and each instance applies each change. If versions shared no memory, a
+// small instance would copy and compare all routes, and a leader's lease could
+// expire meanwhile. So versions share unchanged routes, also after the labels,
+// which are not sent to nodes, are removed.
 #[test]
-fn versions_share_the_routes_that_no_change_touched() {
-    let noted = |path: &str| RouteSpec {
+fn versions_share_unchanged_routes() {
+    let labeled = |path: &str| RouteSpec {
         labels: BTreeMap::from([("note".into(), path.into())]),
         ..route("a", path, "ledger")
     };
     let mut operator = Operator::new();
-    let first = document(vec![noted("/one"), noted("/two"), noted("/three")]);
-    let order = operator.order(0, 1, &first);
-    assert!(accepted(&operator.apply("first", order)));
+    let first = document(vec![labeled("/one"), labeled("/two"), labeled("/three")]);
+    let change = operator.revision_change(0, 1, &first);
+    assert!(accepted(&operator.apply("first", change)));
     let before = Arc::clone(&operator.state.snapshot().document);
     let mut second = first;
-    second.routes.insert(0, Arc::new(noted("/zero")));
+    second.routes.insert(0, Arc::new(labeled("/zero")));
     Arc::make_mut(&mut second.routes[2]).timeout_ms = Some(70);
-    let order = operator.order(1, 2, &second);
-    assert!(accepted(&operator.apply("second", order)));
+    let change = operator.revision_change(1, 2, &second);
+    assert!(accepted(&operator.apply("second", change)));
     let after = Arc::clone(&operator.state.snapshot().document);
 
-    let mut bare = LabelStripper::default();
+    let mut stripper = LabelStripper::default();
     for (before, after) in [
         (Arc::clone(&before), Arc::clone(&after)),
-        (bare.strip(&before), bare.strip(&after)),
+        (stripper.strip(&before), stripper.strip(&after)),
     ] {
         assert!(Arc::ptr_eq(&before.routes[0], &after.routes[1]));
         assert!(!Arc::ptr_eq(&before.routes[1], &after.routes[2]));
         assert!(Arc::ptr_eq(&before.routes[2], &after.routes[3]));
     }
-    let bare = bare.strip(&after);
-    assert_eq!(bare.routes[2].timeout_ms, Some(70));
-    assert!(bare.routes.iter().all(|route| route.labels.is_empty()));
+    let stripped = stripper.strip(&after);
+    assert_eq!(stripped.routes[2].timeout_ms, Some(70));
+    assert!(stripped.routes.iter().all(|route| route.labels.is_empty()));
 }
 
-// The answer to an order is lost, and it is sent again when many others have
-// come into force. It was accepted, so it is told so, and nothing changes.
+// The answer to a revision is lost, and the revision is resent after many others
+// have come into force. It is answered as accepted again, and nothing changes.
 #[test]
-fn a_revision_sent_again_much_later_is_still_accepted() {
+fn a_revision_resent_much_later_is_still_accepted() {
     let mut operator = Operator::new();
-    let first = operator.order(0, 3, &document(vec![route("a", "/one", "ledger")]));
+    let first =
+        operator.revision_change(0, 3, &document(vec![route("a", "/one", "ledger")]));
     assert!(accepted(&operator.apply("first", first.clone())));
     let mut number = 3;
     for step in 0..50 {
         let path = format!("/step-{step}");
         let next = document(vec![route("a", &path, "ledger")]);
-        let order = operator.order(number, number + 7, &next);
+        let change = operator.revision_change(number, number + 7, &next);
         number += 7;
-        assert!(accepted(&operator.apply(&path, order)));
+        assert!(accepted(&operator.apply(&path, change)));
     }
     assert!(accepted(&operator.apply("first", first)));
     assert_eq!(operator.state.revision(), number);
 }
 
-// A number that is not above the one in force is refused, be the document
-// new or not.
+// A revision whose number is not above the one in force is refused, even if its
+// document is new.
 #[test]
-fn numbers_only_grow() {
+fn a_revision_needs_a_higher_number() {
     let mut operator = Operator::new();
-    let first = operator.order(0, 9, &document(Vec::new()));
+    let first = operator.revision_change(0, 9, &document(Vec::new()));
     assert!(accepted(&operator.apply("first", first)));
     let again = document(vec![route("a", "/one", "ledger")]);
-    let order = operator.order(9, 9, &again);
-    let outcome = operator.apply("same-number", order);
+    let change = operator.revision_change(9, 9, &again);
+    let outcome = operator.apply("same-number", change);
     assert!(
         matches!(outcome, ChangeOutcome::Invalid { .. }),
         "{outcome:?}"
     );
-    // Refused orders are judged anew: this one may be right one day.
-    let order = operator.order(9, 10, &again);
-    assert!(accepted(&operator.apply("same-number", order)));
+    // Refused revisions are decided anew, since they may become valid later.
+    let change = operator.revision_change(9, 10, &again);
+    assert!(accepted(&operator.apply("same-number", change)));
 }
 
-// Operators write routes and no versions. A revision that came during a move
-// must not undo which version is in service.
+// Revisions contain routes and no versions. A revision must not reset the
+// version that is in service, such as during a move.
 #[test]
-fn a_revision_leaves_versions_alone() {
+fn a_revision_keeps_service_versions() {
     let mut operator = Operator::new();
-    let first = operator.order(0, 1, &document(Vec::new()));
+    let first = operator.revision_change(0, 1, &document(Vec::new()));
     operator.apply("first", first);
     let pin = ConfigChange::PinVersion {
         service: "ledger".into(),
@@ -195,14 +199,14 @@
     assert!(accepted(&operator.apply("pin", pin.clone())));
     assert!(!accepted(&operator.apply("pin-again", pin)));
     let next = document(vec![route("a", "/one", "ledger")]);
-    let order = operator.order(1, 2, &next);
-    assert!(accepted(&operator.apply("second", order)));
+    let change = operator.revision_change(1, 2, &next);
+    assert!(accepted(&operator.apply("second", change)));
     let services = &operator.state.snapshot().document.services;
     assert_eq!(&*services["ledger"].version, "v1");
 }
 
-// The same path under two hosts leads to two services, the longest prefix
-// of whole segments wins, and no host is served by another's routes.
+// The same path under two hosts leads to two services, the longest prefix of
+// whole segments wins, and routes of one host do not serve another host.
 #[test]
 fn routes_are_matched_by_host_and_longest_path() {
     let table = RouteTable::new(&document(vec![
@@ -227,10 +231,10 @@
     assert_eq!(service("c.example", "/one/x"), None);
 }
 
-// What cannot be carried out is refused whole: a part of a split that leads
-// nowhere, weights that are all zero, a timeout of nothing or of an hour.
+// Invalid routes are refused: a split with an unknown service or with only zero
+// weights, and a timeout of zero or of an hour.
 #[test]
-fn impossible_routes_are_refused() {
+fn invalid_routes_are_refused() {
     let part = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
--- a/crates/core/tests/validate_edit.rs
+++ b/crates/core/tests/validate_edit.rs
@@ -1,5 +1,5 @@
-//! A document made from a valid one is found as good or bad as if it were
-//! looked at whole.
+//! The validation of an edited document must find the same faults as that of the
+//! whole document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     }
 }
 
-/// One edit: replaces, inserts, removes or moves a route.
+/// An edit that replaces, inserts, removes or moves a route.
 #[derive(Clone, Debug)]
 struct RouteEdit {
     kind: u8,
@@ -61,7 +61,7 @@
 
 proptest! {
     #[test]
-    fn an_edited_document_is_judged_as_a_whole_one(
+    fn an_edit_has_the_faults_of_the_whole_document(
         count in 1..40_usize,
         edits in prop::collection::vec(edit(), 0..24),
         services in 3..6_usize,
