--- a/crates/core/src/config_history.rs
+++ b/crates/core/src/config_history.rs
@@ -105,8 +105,8 @@
             }
         }
         let header = self.encoded().header().clone();
-        let rest = self.delta_from(header.version);
-        ConfigUpdate::Snapshot(header, rest)
+        let delta = self.delta_from(header.version);
+        ConfigUpdate::Snapshot(header, delta)
     }
 
     /// Length in bytes of the snapshot that followers fetch; 0 before the first
--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -214,11 +214,11 @@
 }
 
 /// Returns the document that a revision puts in force: `written`, with the
-/// parts that operators do not write taken from the document in force, `held`.
-pub fn merge_revision(held: &FleetDocument, written: &FleetDocument) -> FleetDocument {
+/// parts that operators do not write taken from the document in force, `current`.
+pub fn merge_revision(current: &FleetDocument, written: &FleetDocument) -> FleetDocument {
     let mut edited = written.clone();
-    keep_service_versions(held, &mut edited);
-    edited.holders = held.holders.clone();
+    keep_service_versions(current, &mut edited);
+    edited.holders = current.holders.clone();
     edited
 }
 
--- a/crates/core/src/document/validate.rs
+++ b/crates/core/src/document/validate.rs
@@ -55,20 +55,20 @@
     faults.0
 }
 
-/// Returns all faults of `edited`, an edited copy of the valid document `held`.
+/// Returns all faults of `edited`, an edited copy of the valid document `base`.
 ///
 /// Load pattern: a control instance restarts and replays some dozens of changes
 /// of a document of 2,300 routes before it can send any node its configuration.
 /// Validating the whole document each time takes 0.3 s with 0.075 of a core. If
 /// few routes differ, only these are validated.
-pub fn validate_edit(held: &FleetDocument, edited: &FleetDocument) -> Vec<DocumentFault> {
-    let services_kept = held
+pub fn validate_edit(base: &FleetDocument, edited: &FleetDocument) -> Vec<DocumentFault> {
+    let services_kept = base
         .services
         .keys()
         .all(|name| edited.services.contains_key(name));
-    let no_exceptions = held.exceptions.is_empty() && edited.exceptions.is_empty();
+    let no_exceptions = base.exceptions.is_empty() && edited.exceptions.is_empty();
     let Some(changed) =
-        changed_routes(held, edited).filter(|_| services_kept && no_exceptions)
+        changed_routes(base, edited).filter(|_| services_kept && no_exceptions)
     else {
         return validate(edited);
     };
@@ -95,12 +95,12 @@
     }
 }
 
-/// Returns the indexes of the routes that `edited` does not share with `held`, or
+/// Returns the indexes of the routes that `edited` does not share with `base`, or
 /// `None` if there are more than [`CHANGED_ROUTES_MAX`]. A route that was moved
 /// may count as changed.
-fn changed_routes(held: &FleetDocument, edited: &FleetDocument) -> Option<Vec<usize>> {
+fn changed_routes(base: &FleetDocument, edited: &FleetDocument) -> Option<Vec<usize>> {
     let mut changed = Vec::new();
-    let mut old = held.routes.iter().peekable();
+    let mut old = base.routes.iter().peekable();
     for (at, route) in edited.routes.iter().enumerate() {
         if old.next_if(|old| Arc::ptr_eq(old, route)).is_some() {
             continue;
--- a/crates/core/tests/validate_edit.rs
+++ b/crates/core/tests/validate_edit.rs
@@ -67,8 +67,8 @@
         services in 3..6_usize,
     ) {
         let routes: Vec<_> = (0..count).map(|at| route(at, at % 4, 70)).collect();
-        let held = document(4, routes.clone());
-        prop_assert!(validate(&held).is_empty());
+        let base = document(4, routes.clone());
+        prop_assert!(validate(&base).is_empty());
         let mut routes = routes;
         for edit in &edits {
             let new = route(edit.path, edit.service, edit.timeout_ms);
@@ -85,6 +85,6 @@
             }
         }
         let edited = document(services, routes);
-        prop_assert_eq!(validate_edit(&held, &edited), validate(&edited));
+        prop_assert_eq!(validate_edit(&base, &edited), validate(&edited));
     }
 }
