--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::document::validate;
-use crate::document::CallPlace;
+use crate::document::CallContext;
 use crate::document::CandidateShare;
 use crate::document::DocumentFault;
 use crate::document::FleetDocument;
@@ -121,7 +121,7 @@
             return Ok(document.clone());
         };
         let spec = self.check_startable(service, to, document)?;
-        let place = CallPlace {
+        let place = CallContext {
             service,
             route: "",
             failure_domain: "",
@@ -131,8 +131,8 @@
         let given_ms = due_ms.saturating_sub(at_ms);
         if !(least_ms..=MOVE_MS_MAX).contains(&given_ms) {
             return refuse(format!(
-                "the deadline cannot be met: it leaves {} s, but a move takes at least {} s \
-                 and at most {} s",
+                "the set time cannot be met: it gives {} s, and a move needs {} s at least \
+                 and {} s at most",
                 given_ms / 1_000,
                 least_ms / 1_000,
                 MOVE_MS_MAX / 1_000
@@ -184,7 +184,7 @@
             return refuse(format!("no service {service:?} in the document"));
         };
         if *spec.version == *to {
-            return refuse(format!("{service} is already at version {to}"));
+            return refuse(format!("{service} is at version {to} already"));
         }
         if let Some(candidate) = &spec.candidate {
             return refuse(format!(
@@ -220,7 +220,7 @@
         // A late step from a replaced leader would lower the share again.
         if share <= running.share() || share > FULL_SHARE {
             return refuse(format!(
-                "move {rollout} is at share {} of {FULL_SHARE}; a step must go above it",
+                "move {rollout} is at share {} of {FULL_SHARE}; a step goes above it",
                 running.share()
             ));
         }
@@ -308,7 +308,7 @@
             faults.push(DocumentFault {
                 path: format!("services.{service}.candidate"),
                 problem: format!(
-                    "move {} is over; remove the candidate, or start another move",
+                    "move {} is over; leave the candidate out, or start another move",
                     candidate.rollout
                 ),
             });
@@ -319,7 +319,7 @@
 
 fn exposure_bound(
     document: &FleetDocument,
-    place: &CallPlace<'_>,
+    place: &CallContext<'_>,
 ) -> Option<ExposureBound> {
     let percent = document.tuning(TuningKey::MoveExposure, place);
     let calls = document.tuning(TuningKey::MoveExposureCalls, place);
--- a/crates/core/tests/validate_edit.rs
+++ b/crates/core/tests/validate_edit.rs
@@ -1,5 +1,5 @@
-//! A document made from a valid one is found as good or bad as if it were
-//! looked at whole.
+//! The validation of an edited document must find the same faults as that of the
+//! whole document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     }
 }
 
-/// One edit: replaces, inserts, removes or moves a route.
+/// An edit that replaces, inserts, removes or moves a route.
 #[derive(Clone, Debug)]
 struct RouteEdit {
     kind: u8,
@@ -61,14 +61,14 @@
 
 proptest! {
     #[test]
-    fn an_edited_document_is_judged_as_a_whole_one(
+    fn an_edit_has_the_faults_of_the_whole_document(
         count in 1..40_usize,
         edits in prop::collection::vec(edit(), 0..24),
         services in 3..6_usize,
     ) {
         let routes: Vec<_> = (0..count).map(|at| route(at, at % 4, 70)).collect();
-        let held = document(4, routes.clone());
-        prop_assert!(validate(&held).is_empty());
+        let base = document(4, routes.clone());
+        prop_assert!(validate(&base).is_empty());
         let mut routes = routes;
         for edit in &edits {
             let new = route(edit.path, edit.service, edit.timeout_ms);
@@ -85,6 +85,6 @@
             }
         }
         let edited = document(services, routes);
-        prop_assert_eq!(validate_edit(&held, &edited), validate(&edited));
+        prop_assert_eq!(validate_edit(&base, &edited), validate(&edited));
     }
 }
