--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -15,7 +15,7 @@
 use crate::call_forward::CallBody;
 use crate::hop::HopAnswer;
 use crate::hop::HopClient;
-use crate::hop::HopPlan;
+use crate::hop::HopOptions;
 use crate::hop::HopRequest;
 
 /// Time to connect to another node or the backend server. The kernel answers
@@ -35,7 +35,7 @@
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             care: RefCell::new(ConnectionRenewal::default()),
-            client: HopClient::new(HopPlan {
+            client: HopClient::new(HopOptions {
                 connect: CONNECT_TIMEOUT,
             }),
             started: BootInstant::now(),
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -24,7 +24,7 @@
 
 /// What differs between hops.
 #[derive(Clone, Copy, Debug)]
-pub struct HopPlan {
+pub struct HopOptions {
     /// Time to connect.
     pub connect: Duration,
 }
@@ -39,14 +39,14 @@
 
 /// Connections to next hops.
 pub struct HopClient {
-    plan: HopPlan,
+    plan: HopOptions,
     config: ServiceConfig,
     shelf: Rc<IdleShelf>,
 }
 
 impl HopClient {
     /// No connections yet.
-    pub fn new(plan: HopPlan) -> Self {
+    pub fn new(plan: HopOptions) -> Self {
         Self {
             plan,
             config: ServiceConfig::default(),
