--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -36,7 +36,7 @@
         Rc::new(Self {
             care: RefCell::new(ConnectionRenewal::default()),
             client: HopClient::new(HopOptions {
-                connect: CONNECT_TIMEOUT,
+                connect_timeout: CONNECT_TIMEOUT,
             }),
             started: BootInstant::now(),
         })
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HopOptions {
     /// Time to connect.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// An answer whose head has arrived.
@@ -116,7 +116,7 @@
     ) -> Result<HopConnection, TryFailure> {
         let codec = ClientCodec::new(self.config.clone());
         let opening = HopConnection::open(address, generation, codec);
-        let opened = actix_rt::time::timeout(self.plan.connect, opening).await;
+        let opened = actix_rt::time::timeout(self.plan.connect_timeout, opening).await;
         match opened {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) | Err(_) => Err(TryFailure {
