--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -35,8 +35,8 @@
 use crate::call_dialect::CallDialect;
 use crate::call_headers;
 use crate::hop::AnswerBody;
-use crate::hop::HopAnswer;
 use crate::hop::HopRequest;
+use crate::hop::HopResponse;
 
 /// Headers that one hop adds.
 pub type HopHeaders = Vec<(HeaderName, String)>;
@@ -168,12 +168,12 @@
 /// has been passed on or given up. A body that is still on its way at
 /// `give_up_at` is cut.
 pub fn pass_back<G: 'static>(
-    answer: HopAnswer,
+    answer: HopResponse,
     method: &Method,
     give_up_at: BootInstant,
     on_end: G,
 ) -> HttpReply {
-    let HopAnswer { head, body } = answer;
+    let HopResponse { head, body } = answer;
     let mut reply = Response::new(head.status);
     for (name, value) in &head.headers {
         if call_headers::passes_on(name) {
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -13,10 +13,10 @@
 use cowslip_wire::boot_instant::BootInstant;
 
 use crate::call_forward::CallBody;
-use crate::hop::HopAnswer;
 use crate::hop::HopClient;
 use crate::hop::HopOptions;
 use crate::hop::HopRequest;
+use crate::hop::HopResponse;
 
 /// Time to connect to another node or the backend server. The kernel answers
 /// within a round trip, 25 ms between regions, and 100 ms more where a thin
@@ -49,7 +49,7 @@
         request: &HopRequest,
         body: &mut CallBody,
         left: Duration,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let generation = self.begin(server);
         let mut watch = SilenceWatch {
             pools: self,
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -53,7 +53,7 @@
 use crate::entry_task::PlannedTry;
 use crate::entry_task::TryAnswer;
 use crate::gate_task::GateView;
-use crate::hop::HopAnswer;
+use crate::hop::HopResponse;
 use crate::keyed_call;
 use crate::node_stage::NodeStage;
 use crate::refusal_reply::refusal_reply;
@@ -285,7 +285,7 @@
     ) -> Result<HttpReply, CallRefusal> {
         // An answer by which a server failed the call, while another server
         // is asked. Where no other helps, the caller gets it as it came.
-        let mut failed_answer: Option<HopAnswer> = None;
+        let mut failed_answer: Option<HopResponse> = None;
         loop {
             let mut guard = TryGuard::new(self.entry.clone(), &planned);
             let started = BootInstant::now();
@@ -364,7 +364,7 @@
         planned: &mut PlannedTry,
         parts: &CallParts,
         body: &mut CallBody,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let request =
             parts.hop_request(&self.dialect, self.peer_headers(planned, body.is_held()));
         let address = planned.server.address;
@@ -435,7 +435,7 @@
         &self,
         planned: &PlannedTry,
         took: Duration,
-        tried: &Result<HopAnswer, TryFailure>,
+        tried: &Result<HopResponse, TryFailure>,
     ) {
         if !planned.measured {
             return;
@@ -486,7 +486,7 @@
 
 /// Whether a server's failure may be mended by another server: the call is
 /// idempotent, and both its body and the answer are held whole.
-fn may_ask_another(answer: &HopAnswer, planned: &PlannedTry, body: &CallBody) -> bool {
+fn may_ask_another(answer: &HopResponse, planned: &PlannedTry, body: &CallBody) -> bool {
     let failed = [
         StatusCode::INTERNAL_SERVER_ERROR,
         StatusCode::BAD_GATEWAY,
@@ -500,7 +500,7 @@
 }
 
 fn pass_answer<G: 'static>(
-    answer: HopAnswer,
+    answer: HopResponse,
     parts: &CallParts,
     give_up_at: BootInstant,
     guard: G,
@@ -512,21 +512,21 @@
 }
 
 /// How long a call would wait at the server now, as its node says.
-fn told_load(answer: &HopAnswer) -> Option<ReportedLoad> {
+fn told_load(answer: &HopResponse) -> Option<ReportedLoad> {
     Some(ReportedLoad {
         wait: told_time(answer, call_headers::WAIT_MS)?,
         work: told_time(answer, call_headers::WORK_MS),
     })
 }
 
-fn told_time(answer: &HopAnswer, name: &str) -> Option<Duration> {
+fn told_time(answer: &HopResponse, name: &str) -> Option<Duration> {
     let value = answer.head.headers().get(name)?;
     let millis = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
 /// What the server's node says where no backend server answered.
-fn refused_by_peer(answer: &HopAnswer) -> Option<TryFailure> {
+fn refused_by_peer(answer: &HopResponse) -> Option<TryFailure> {
     let text = |name: &str| answer.head.headers().get(name)?.to_str().ok();
     let verdict = CallVerdict::parse(text(call_headers::VERDICT)?)?;
     if verdict == CallVerdict::Ran {
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -14,7 +14,7 @@
 use crate::call_forward;
 use crate::entry_task::EntryMessage;
 use crate::entry_task::PlannedTry;
-use crate::hop::HopAnswer;
+use crate::hop::HopResponse;
 
 use super::ended_try;
 use super::told_load;
@@ -50,7 +50,7 @@
     pub(super) fn answered(
         &mut self,
         plan: &CallPlan,
-        answer: &HopAnswer,
+        answer: &HopResponse,
         taken: Duration,
     ) {
         let Some(EntryMessage::Abandoned(instance)) = self.message.take() else {
--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -7,9 +7,9 @@
 
 pub use self::answer_body::AnswerBody;
 pub use self::answer_body::AnswerBreak;
-pub use self::hop_client::HopAnswer;
 pub use self::hop_client::HopClient;
 pub use self::hop_client::HopOptions;
+pub use self::hop_client::HopResponse;
 pub use self::hop_request::HopRequest;
 
 mod answer_body;
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -30,7 +30,7 @@
 }
 
 /// An answer whose head has arrived.
-pub struct HopAnswer {
+pub struct HopResponse {
     /// Status and headers.
     pub head: ResponseHead,
     /// The rest.
@@ -62,7 +62,7 @@
         request: &HopRequest,
         body: &mut CallBody,
         left: Duration,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let mut stage = SendStage::Connecting;
         let sending = self.send_at_once(address, generation, request, body, &mut stage);
         match actix_rt::time::timeout(left, sending).await {
@@ -78,14 +78,14 @@
         request: &HopRequest,
         body: &mut CallBody,
         stage: &mut SendStage,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let mut connection = match self.shelf.take(address, generation) {
             Some(connection) => connection,
             None => self.connect(address, generation).await?,
         };
         *stage = SendStage::Sending;
         match connection.exchange(request, body).await {
-            Ok(head) => Ok(HopAnswer {
+            Ok(head) => Ok(HopResponse {
                 head,
                 body: AnswerBody::new(connection, Rc::clone(&self.shelf)),
             }),
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -47,7 +47,7 @@
 use crate::gate_task::GateView;
 use crate::gate_task::SlotGrant;
 use crate::holder_task::HolderMessage;
-use crate::hop::HopAnswer;
+use crate::hop::HopResponse;
 use crate::refusal_reply::refusal_reply;
 
 /// Bytes of a server's refusal that are read so that its connection can be
@@ -208,7 +208,7 @@
     }
 
     /// Whether the server says that it has not run the request.
-    fn is_not_run(&self, answer: &HopAnswer) -> bool {
+    fn is_not_run(&self, answer: &HopResponse) -> bool {
         let head = &answer.head;
         let told = head.headers().contains_key(&self.dialect.not_run);
         told || head.status == StatusCode::MISDIRECTED_REQUEST
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -27,8 +27,8 @@
 use cowslip_core::verdict::CallVerdict;
 use cowslip_node::call_forward::CallBody;
 use cowslip_node::call_pools::CallPools;
-use cowslip_node::hop::HopAnswer;
 use cowslip_node::hop::HopRequest;
+use cowslip_node::hop::HopResponse;
 
 const LEFT: Duration = Duration::from_secs(5);
 
@@ -110,12 +110,12 @@
     pools: &CallPools,
     address: SocketAddr,
     id: &str,
-) -> Result<HopAnswer, TryFailure> {
+) -> Result<HopResponse, TryFailure> {
     let mut body = CallBody::Held(Bytes::new());
     pools.send(address, &request(id), &mut body, LEFT).await
 }
 
-async fn whole(answer: Result<HopAnswer, TryFailure>) -> String {
+async fn whole(answer: Result<HopResponse, TryFailure>) -> String {
     let Ok(mut answer) = answer else {
         panic!("no answer");
     };
