--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -34,9 +34,9 @@
 
 use crate::call_dialect::CallDialect;
 use crate::call_headers;
-use crate::hop::AnswerBody;
 use crate::hop::HopRequest;
 use crate::hop::HopResponse;
+use crate::hop::ResponseBody;
 
 /// Headers that one hop adds.
 pub type HopHeaders = Vec<(HeaderName, String)>;
@@ -198,7 +198,7 @@
 
 /// The next hop's answer, passed on as it arrives.
 struct PassedBody<G> {
-    body: AnswerBody,
+    body: ResponseBody,
     give_up_at: BootInstant,
     _on_end: G,
 }
--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -5,15 +5,15 @@
 //! again, and which answer belongs to which request, is decided here, since
 //! the library's pool cannot be told. One request is in flight on each.
 
-pub use self::answer_body::AnswerBody;
-pub use self::answer_body::AnswerBreak;
 pub use self::hop_client::HopClient;
 pub use self::hop_client::HopOptions;
 pub use self::hop_client::HopResponse;
 pub use self::hop_request::HopRequest;
+pub use self::response_body::AnswerBreak;
+pub use self::response_body::ResponseBody;
 
-mod answer_body;
 mod hop_client;
 mod hop_connection;
 mod hop_request;
 mod idle_shelf;
+mod response_body;
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -16,11 +16,11 @@
 use cowslip_wire::process_log::LogValue;
 
 use crate::call_forward::CallBody;
-use crate::hop::answer_body::AnswerBody;
 use crate::hop::hop_connection::ExchangeError;
 use crate::hop::hop_connection::HopConnection;
 use crate::hop::hop_request::HopRequest;
 use crate::hop::idle_shelf::IdleShelf;
+use crate::hop::response_body::ResponseBody;
 
 /// What differs between hops.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
     /// Status and headers.
     pub head: ResponseHead,
     /// The rest.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// Connections to next hops.
@@ -87,7 +87,7 @@
         match connection.exchange(request, body).await {
             Ok(head) => Ok(HopResponse {
                 head,
-                body: AnswerBody::new(connection, Rc::clone(&self.shelf)),
+                body: ResponseBody::new(connection, Rc::clone(&self.shelf)),
             }),
             Err(ExchangeError::BodyBroken) => {
                 Err(may_have_run(RefusalReason::BodyTruncated))
--- a/crates/node/src/hop/answer_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -14,13 +14,13 @@
 
 /// The rest of an answer; dropped early, it ends its connection, so that the
 /// other side learns that nobody waits any more.
-pub struct AnswerBody {
+pub struct ResponseBody {
     held: Bytes,
     connection: Option<HopConnection>,
     shelf: Rc<IdleShelf>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(super) fn new(connection: HopConnection, shelf: Rc<IdleShelf>) -> Self {
         Self {
             held: Bytes::new(),
