--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -9,8 +9,8 @@
 pub use self::hop_client::HopOptions;
 pub use self::hop_client::HopResponse;
 pub use self::hop_request::HopRequest;
-pub use self::response_body::AnswerBreak;
 pub use self::response_body::ResponseBody;
+pub use self::response_body::ResponseError;
 
 mod hop_client;
 mod hop_connection;
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -10,7 +10,7 @@
 use crate::hop::idle_shelf::IdleShelf;
 
 /// An answer that broke off before its end.
-pub type AnswerBreak = PayloadError;
+pub type ResponseError = PayloadError;
 
 /// The rest of an answer; dropped early, it ends its connection, so that the
 /// other side learns that nobody waits any more.
@@ -30,7 +30,7 @@
     }
 
     /// The next part; `None` at the end.
-    pub async fn next_part(&mut self) -> Result<Option<Bytes>, AnswerBreak> {
+    pub async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseError> {
         if !self.held.is_empty() {
             return Ok(Some(std::mem::take(&mut self.held)));
         }
@@ -52,7 +52,7 @@
 
     /// Reads up to `limit` bytes ahead. True where that was all: the answer
     /// is whole, and its connection free again.
-    pub async fn hold(&mut self, limit: usize) -> Result<bool, AnswerBreak> {
+    pub async fn hold(&mut self, limit: usize) -> Result<bool, ResponseError> {
         let mut held = BytesMut::new();
         while held.len() < limit {
             let Some(part) = self.next_part().await? else {
