--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -98,7 +98,7 @@
             method: self.method.clone(),
             target: self.target.clone(),
             headers,
-            echoed: dialect.request_id.clone(),
+            request_id_header: dialect.request_id.clone(),
         }
     }
 }
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -342,7 +342,7 @@
 ) -> Result<ResponseHead, ExchangeError> {
     loop {
         let head = read_head(reader, codec, received).await?;
-        let echoed = head.headers.get(&request.echoed);
+        let echoed = head.headers.get(&request.request_id_header);
         let echoed = echoed.map(|value| value.as_bytes());
         if head.status.is_informational() {
             continue;
--- a/crates/node/src/hop/hop_request.rs
+++ b/crates/node/src/hop/hop_request.rs
@@ -16,13 +16,15 @@
     /// Headers, those of this hop included.
     pub headers: HeaderMap,
     /// Header by which answers name the request that they belong to.
-    pub echoed: HeaderName,
+    pub request_id_header: HeaderName,
 }
 
 impl HopRequest {
     /// The value that an answer to this request echoes, if it has one.
     pub(super) fn id(&self) -> Option<&[u8]> {
-        self.headers.get(&self.echoed).map(|value| value.as_bytes())
+        self.headers
+            .get(&self.request_id_header)
+            .map(|value| value.as_bytes())
     }
 
     /// The head as the codec writes it.
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -128,7 +128,7 @@
         method: Method::GET,
         target: check.page.clone(),
         headers,
-        echoed: dialect.request_id.clone(),
+        request_id_header: dialect.request_id.clone(),
     };
     let mut body = CallBody::Held(Bytes::new());
     let sending = pools.send(check.address, &request, &mut body, CHECK_TIME);
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -95,14 +95,17 @@
 }
 
 fn request(id: &str) -> HopRequest {
-    let echoed = HeaderName::from_static("cowslip-request-id");
+    let request_id_header = HeaderName::from_static("cowslip-request-id");
     let mut headers = HeaderMap::new();
-    headers.insert(echoed.clone(), HeaderValue::from_str(id).expect("an id"));
+    headers.insert(
+        request_id_header.clone(),
+        HeaderValue::from_str(id).expect("an id"),
+    );
     HopRequest {
         method: Method::GET,
         target: Uri::from_static("/sheets"),
         headers,
-        echoed,
+        request_id_header,
     }
 }
 
