--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -375,7 +375,7 @@
         // Short answers are held until they are whole: one that breaks off
         // can then still be asked for again, where that does no harm.
         let left = give_up_at.saturating_duration_since(BootInstant::now());
-        let holding = answer.body.hold(HELD_ANSWER_MAX);
+        let holding = answer.body.buffer(HELD_ANSWER_MAX);
         let held = actix_rt::time::timeout(left, holding).await;
         let broken = match held {
             Ok(Ok(_)) => None,
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -52,7 +52,7 @@
 
     /// Reads up to `limit` bytes ahead. True where that was all: the answer
     /// is whole, and its connection free again.
-    pub async fn hold(&mut self, limit: usize) -> Result<bool, ResponseError> {
+    pub async fn buffer(&mut self, limit: usize) -> Result<bool, ResponseError> {
         let mut held = BytesMut::new();
         while held.len() < limit {
             let Some(part) = self.next_part().await? else {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -176,7 +176,7 @@
         if self.is_not_run(&answer) {
             slot.outcome = SlotOutcome::Shed;
             // Read to its end, so that the connection can be used again.
-            let whole = answer.body.hold(REFUSAL_BYTES_MAX).await;
+            let whole = answer.body.buffer(REFUSAL_BYTES_MAX).await;
             debug!("event=server-refused process=node whole={whole:?}");
             return Err(not_run(RefusalReason::ServerRefused));
         }
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -138,6 +138,6 @@
     }
     let run = answer.head.headers().get(&dialect.healthy_run)?;
     let run = Arc::from(run.to_str().ok()?);
-    answer.body.hold(PAGE_BYTES_MAX).await.ok()?;
+    answer.body.buffer(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
 }
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -122,7 +122,7 @@
     let Ok(mut answer) = answer else {
         panic!("no answer");
     };
-    let held = answer.body.hold(1_000_000).await.expect("it is whole");
+    let held = answer.body.buffer(1_000_000).await.expect("it is whole");
     assert!(held);
     String::from_utf8(answer.body.held().to_vec()).expect("text")
 }
@@ -184,7 +184,7 @@
         let Ok(mut answer) = send(&pools, server.address, "1").await else {
             panic!("its head had come");
         };
-        assert!(answer.body.hold(1_000).await.is_err());
+        assert!(answer.body.buffer(1_000).await.is_err());
     });
 }
 
