--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -65,7 +65,7 @@
             status: answer.head.status.as_u16(),
             taken,
             bytes: call_forward::stated_length(answer.head.headers())
-                .or(Some(answer.body.held().len() as u64)),
+                .or(Some(answer.body.buffered().len() as u64)),
         };
         self.message = Some(EntryMessage::Ended(report, told_load(answer)));
         self.left = None;
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -15,7 +15,7 @@
 /// The rest of an answer; dropped early, it ends its connection, so that the
 /// other side learns that nobody waits any more.
 pub struct ResponseBody {
-    held: Bytes,
+    buffered: Bytes,
     connection: Option<HopConnection>,
     shelf: Rc<IdleShelf>,
 }
@@ -23,7 +23,7 @@
 impl ResponseBody {
     pub(super) fn new(connection: HopConnection, shelf: Rc<IdleShelf>) -> Self {
         Self {
-            held: Bytes::new(),
+            buffered: Bytes::new(),
             connection: Some(connection),
             shelf,
         }
@@ -31,8 +31,8 @@
 
     /// The next part; `None` at the end.
     pub async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseError> {
-        if !self.held.is_empty() {
-            return Ok(Some(std::mem::take(&mut self.held)));
+        if !self.buffered.is_empty() {
+            return Ok(Some(std::mem::take(&mut self.buffered)));
         }
         let Some(connection) = &mut self.connection else {
             return Ok(None);
@@ -56,12 +56,12 @@
         let mut held = BytesMut::new();
         while held.len() < limit {
             let Some(part) = self.next_part().await? else {
-                self.held = held.freeze();
+                self.buffered = held.freeze();
                 return Ok(true);
             };
             held.extend_from_slice(&part);
         }
-        self.held = held.freeze();
+        self.buffered = held.freeze();
         Ok(false)
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Bytes that were read ahead.
-    pub fn held(&self) -> &Bytes {
-        &self.held
+    pub fn buffered(&self) -> &Bytes {
+        &self.buffered
     }
 }
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -124,7 +124,7 @@
     };
     let held = answer.body.buffer(1_000_000).await.expect("it is whole");
     assert!(held);
-    String::from_utf8(answer.body.held().to_vec()).expect("text")
+    String::from_utf8(answer.body.buffered().to_vec()).expect("text")
 }
 
 // A server answers a request a second time, after the next one has been sent
