--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -496,7 +496,7 @@
         && planned.plan.is_idempotent()
         && planned.plan.origin == CallOrigin::Outside
         && body.is_held()
-        && answer.body.is_whole()
+        && answer.body.is_complete()
 }
 
 fn pass_answer<G: 'static>(
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -66,7 +66,7 @@
     }
 
     /// True where nothing is left to be read from the connection.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.connection.is_none()
     }
 
