--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -71,7 +71,7 @@
         let now = self.started.elapsed();
         let mut care = self.care.borrow_mut();
         for forgotten in care.sweep(now) {
-            self.client.forget(forgotten);
+            self.client.drop_idle(forgotten);
         }
         care.begin(now, server)
     }
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -105,7 +105,7 @@
     }
 
     /// Drops idle connections to an address that is not used any more.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn drop_idle(&self, address: SocketAddr) {
         self.shelf.clear(address);
     }
 
