--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -41,7 +41,7 @@
 
 /// Where the node's own endpoint stands in the fleet.
 #[derive(Clone, Debug)]
-pub struct GatePlace {
+pub struct GateEndpoint {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// Its failure domain.
@@ -145,7 +145,7 @@
 
 struct GateTask {
     view: GateView,
-    place: GatePlace,
+    place: GateEndpoint,
     gate: ServerGate,
     presence: ServerPresence,
     runs: ServerRuns,
@@ -162,7 +162,7 @@
 
 /// Starts the task; each change of the endpoint's record goes to `records`.
 pub fn spawn(
-    place: GatePlace,
+    place: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
 ) -> mpsc::UnboundedSender<GateMessage> {
     spawn_viewed(place, records, GateView::default())
@@ -170,7 +170,7 @@
 
 /// The same, with a view that it keeps up to date.
 pub fn spawn_viewed(
-    place: GatePlace,
+    place: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
     view: GateView,
 ) -> mpsc::UnboundedSender<GateMessage> {
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -36,8 +36,8 @@
 use crate::follow_task;
 use crate::follow_task::FollowPlan;
 use crate::gate_task;
+use crate::gate_task::GateEndpoint;
 use crate::gate_task::GateMessage;
-use crate::gate_task::GatePlace;
 use crate::gate_task::GateView;
 use crate::gate_task::ServerReport;
 use crate::holder_task;
@@ -186,7 +186,7 @@
         let instance = Arc::clone(&settings.instance);
         let failure_domain = Arc::clone(&settings.failure_domain);
         let (records, published) = mpsc::unbounded_channel();
-        let place = GatePlace {
+        let place = GateEndpoint {
             instance: Arc::clone(&settings.instance),
             failure_domain: Arc::clone(&settings.failure_domain),
             address: sockets.peer.local_addr()?,
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -21,8 +21,8 @@
 use cowslip_node::call_pools::CallPools;
 use cowslip_node::gate_task;
 use cowslip_node::gate_task::GateBounds;
+use cowslip_node::gate_task::GateEndpoint;
 use cowslip_node::gate_task::GateMessage;
-use cowslip_node::gate_task::GatePlace;
 use cowslip_node::gate_task::GateView;
 use cowslip_node::holder_task;
 use cowslip_node::peer_handler::PeerDesk;
@@ -61,7 +61,7 @@
 /// queue of `room`.
 fn node(server: SocketAddr, room: usize) -> HttpListener {
     let (records, _) = mpsc::unbounded_channel();
-    let place = GatePlace {
+    let place = GateEndpoint {
         instance: "records-1".into(),
         failure_domain: "voss".into(),
         address: loopback(),
