--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -52,7 +52,7 @@
 use crate::entry_task::OwnedHead;
 use crate::entry_task::PlannedTry;
 use crate::entry_task::TryAnswer;
-use crate::gate_task::GateView;
+use crate::gate_task::GateStatus;
 use crate::hop::HopResponse;
 use crate::keyed_call;
 use crate::node_stage::NodeStage;
@@ -77,7 +77,7 @@
     /// Key between nodes.
     pub system_key: AccessKey,
     /// What can be seen of the gate beside this node's backend server.
-    pub view: GateView,
+    pub view: GateStatus,
     /// The routing task.
     pub entry: mpsc::Sender<EntryMessage>,
     /// Claims of calls with a key.
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -120,13 +120,13 @@
 
 /// What can be seen of the gate at any time.
 #[derive(Clone, Debug, Default)]
-pub struct GateView {
+pub struct GateStatus {
     wait: Rc<Cell<Duration>>,
     repeats: Rc<Cell<RepeatProbability>>,
     works: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
 }
 
-impl GateView {
+impl GateStatus {
     /// How long a call that came now would wait for a slot.
     pub fn wait(&self) -> Duration {
         self.wait.get()
@@ -144,7 +144,7 @@
 }
 
 struct GateTask {
-    view: GateView,
+    view: GateStatus,
     place: GateEndpoint,
     gate: ServerGate,
     presence: ServerPresence,
@@ -165,14 +165,14 @@
     place: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
 ) -> mpsc::UnboundedSender<GateMessage> {
-    spawn_viewed(place, records, GateView::default())
+    spawn_viewed(place, records, GateStatus::default())
 }
 
 /// The same, with a view that it keeps up to date.
 pub fn spawn_viewed(
     place: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
-    view: GateView,
+    view: GateStatus,
 ) -> mpsc::UnboundedSender<GateMessage> {
     // Unbounded: every sender waits for its answer or sends one end for
     // each slot, so there are at most as many messages as connections.
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -38,7 +38,7 @@
 use crate::gate_task;
 use crate::gate_task::GateEndpoint;
 use crate::gate_task::GateMessage;
-use crate::gate_task::GateView;
+use crate::gate_task::GateStatus;
 use crate::gate_task::ServerReport;
 use crate::holder_task;
 use crate::install_hooks::InstallHooks;
@@ -194,7 +194,7 @@
         };
         let pools = CallPools::new();
         let dialect = Rc::new(fronts.dialect);
-        let gate_view = GateView::default();
+        let gate_view = GateStatus::default();
         let (check, checks) = mpsc::unbounded_channel();
         let gate = gate_task::spawn_viewed(place, records, gate_view.clone());
         let expectation = ServerExpectation {
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -44,7 +44,7 @@
 use crate::call_pools::CallPools;
 use crate::entry_task::CallRefusal;
 use crate::gate_task::GateMessage;
-use crate::gate_task::GateView;
+use crate::gate_task::GateStatus;
 use crate::gate_task::SlotGrant;
 use crate::holder_task::HolderMessage;
 use crate::hop::HopResponse;
@@ -63,7 +63,7 @@
     /// Key between nodes.
     pub system_key: AccessKey,
     /// What can be seen of the gate.
-    pub view: GateView,
+    pub view: GateStatus,
     /// The gate's task.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// This node's memory of claims.
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -23,7 +23,7 @@
 use cowslip_node::gate_task::GateBounds;
 use cowslip_node::gate_task::GateEndpoint;
 use cowslip_node::gate_task::GateMessage;
-use cowslip_node::gate_task::GateView;
+use cowslip_node::gate_task::GateStatus;
 use cowslip_node::holder_task;
 use cowslip_node::peer_handler::PeerDesk;
 use cowslip_node::peer_handler::PeerHandler;
@@ -86,7 +86,7 @@
     let desk = PeerDesk {
         pools: CallPools::new(),
         dialect: Rc::default(),
-        view: GateView::default(),
+        view: GateStatus::default(),
         system_key: AccessKey::new(KEY),
         gate,
         holder: holder_task::spawn(),
