--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -138,7 +138,7 @@
     }
 
     /// What a job on `route` takes lately, where that is known.
-    pub fn work(&self, route: &str) -> Option<Duration> {
+    pub fn service_time(&self, route: &str) -> Option<Duration> {
         self.works.borrow().get(route).copied()
     }
 }
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -130,7 +130,7 @@
         };
         let wait_ms = self.view.wait().as_millis().to_string();
         http_reply::set_header(&mut reply, call_headers::WAIT_MS, &wait_ms);
-        if let Some(work) = route.and_then(|route| self.view.work(&route)) {
+        if let Some(work) = route.and_then(|route| self.view.service_time(&route)) {
             let work_ms = work.as_millis().to_string();
             http_reply::set_header(&mut reply, call_headers::WORK_MS, &work_ms);
         }
