--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -128,7 +128,7 @@
 
 impl GateStatus {
     /// How long a call that came now would wait for a slot.
-    pub fn wait(&self) -> Duration {
+    pub fn expected_wait(&self) -> Duration {
         self.wait.get()
     }
 
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -128,7 +128,7 @@
                 refusal_reply(refusal, &self.dialect, None)
             }
         };
-        let wait_ms = self.view.wait().as_millis().to_string();
+        let wait_ms = self.view.expected_wait().as_millis().to_string();
         http_reply::set_header(&mut reply, call_headers::WAIT_MS, &wait_ms);
         if let Some(work) = route.and_then(|route| self.view.service_time(&route)) {
             let work_ms = work.as_millis().to_string();
