--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -190,7 +190,7 @@
                 CallOrigin::Outside if !self.dialect.mixed_callers => {
                     RepeatProbability::FIRST
                 }
-                _ => self.view.repeats(),
+                _ => self.view.repeat_probability(),
             },
         };
         let parts = CallParts::of(&request, &self.dialect);
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -133,7 +133,7 @@
     }
 
     /// How likely a request that the server runs now repeats earlier work.
-    pub fn repeats(&self) -> RepeatProbability {
+    pub fn repeat_probability(&self) -> RepeatProbability {
         self.repeats.get()
     }
 
