--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -100,7 +100,7 @@
     /// Whether anything listens at the backend server's address.
     Probed(SocketAddr, ProbeResult),
     /// A call wants a slot.
-    Begin(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
+    AcquireSlot(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
     /// A call is over, or whoever waited for its slot has left.
     End(CallTicket, SlotOutcome),
     /// The backend server sends a call of its own.
@@ -247,7 +247,7 @@
                 self.presence.drain(now);
                 self.withdraw("draining");
             }
-            GateMessage::Begin(ticket, call, reply) => {
+            GateMessage::AcquireSlot(ticket, call, reply) => {
                 self.askers.insert(ticket, reply);
                 let actions = self.gate.offer(now, ticket, call);
                 self.carry_out(actions);
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -237,7 +237,9 @@
         self.tickets.set(ticket + 1);
         let (reply, answer) = oneshot::channel();
         // The gate's task ends only with the node.
-        let _ = self.gate.send(GateMessage::Begin(ticket, call, reply));
+        let _ = self
+            .gate
+            .send(GateMessage::AcquireSlot(ticket, call, reply));
         // Before the wait, so that a caller who leaves gives up its place.
         let slot = SlotGuard {
             gate: self.gate.clone(),
