--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -102,7 +102,7 @@
     /// A call wants a slot.
     AcquireSlot(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
     /// A call is over, or whoever waited for its slot has left.
-    End(CallTicket, SlotOutcome),
+    ReleaseSlot(CallTicket, SlotOutcome),
     /// The backend server sends a call of its own.
     OutboundBegin,
     /// One of those calls has been answered or given up.
@@ -252,7 +252,7 @@
                 let actions = self.gate.offer(now, ticket, call);
                 self.carry_out(actions);
             }
-            GateMessage::End(ticket, outcome) => {
+            GateMessage::ReleaseSlot(ticket, outcome) => {
                 self.askers.remove(&ticket);
                 if let Some((route, work)) = self.gate.service_time(ticket) {
                     self.view.works.borrow_mut().insert(route, work);
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -306,6 +306,8 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let _ = self.gate.send(GateMessage::End(self.ticket, self.outcome));
+        let _ = self
+            .gate
+            .send(GateMessage::ReleaseSlot(self.ticket, self.outcome));
     }
 }
