--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -104,7 +104,7 @@
 pub type HandlerFront<D> = Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
 
 /// What the surroundings of a fleet need in front of a node.
-pub struct NodeFronts {
+pub struct NodeMiddleware {
     /// How callers and the backend server name headers.
     pub dialect: CallDialect,
     /// In front of the backend server's listener.
@@ -113,7 +113,7 @@
     pub admin: HandlerFront<NodeView>,
 }
 
-impl Default for NodeFronts {
+impl Default for NodeMiddleware {
     fn default() -> Self {
         Self {
             dialect: CallDialect::default(),
@@ -170,14 +170,14 @@
         sockets: NodeSockets,
         seed: u64,
     ) -> io::Result<Self> {
-        Self::spawn_behind(settings, sockets, NodeFronts::default(), seed)
+        Self::spawn_behind(settings, sockets, NodeMiddleware::default(), seed)
     }
 
     /// The same, behind `fronts`.
     pub fn spawn_behind(
         settings: &NodeSettings,
         sockets: NodeSockets,
-        fronts: NodeFronts,
+        fronts: NodeMiddleware,
         seed: u64,
     ) -> io::Result<Self> {
         let mut registry = Registry::default();
