--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -170,11 +170,11 @@
         sockets: NodeSockets,
         seed: u64,
     ) -> io::Result<Self> {
-        Self::spawn_behind(settings, sockets, NodeMiddleware::default(), seed)
+        Self::spawn_with_middleware(settings, sockets, NodeMiddleware::default(), seed)
     }
 
     /// The same, behind `fronts`.
-    pub fn spawn_behind(
+    pub fn spawn_with_middleware(
         settings: &NodeSettings,
         sockets: NodeSockets,
         fronts: NodeMiddleware,
