--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -108,7 +108,7 @@
     /// How callers and the backend server name headers.
     pub dialect: CallDialect,
     /// In front of the backend server's listener.
-    pub local: HandlerFront<ServerDesk>,
+    pub local: HandlerFront<ServerReporter>,
     /// In front of the admin listener.
     pub admin: HandlerFront<NodeView>,
 }
@@ -125,11 +125,11 @@
 
 /// Takes what the backend server reports of itself.
 #[derive(Clone)]
-pub struct ServerDesk {
+pub struct ServerReporter {
     gate: mpsc::UnboundedSender<GateMessage>,
 }
 
-impl ServerDesk {
+impl ServerReporter {
     /// A report; it is in force here once this returns.
     pub async fn report(&self, report: ServerReport) {
         let (reply, done) = oneshot::channel();
@@ -272,7 +272,7 @@
         let callers =
             EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
         let local = Rc::new(LocalHandler::new(gate.clone(), desk));
-        let local = (fronts.local)(ServerDesk { gate: gate.clone() }, local);
+        let local = (fronts.local)(ServerReporter { gate: gate.clone() }, local);
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let page = (fronts.admin)(view, Rc::new(page));
         let listen = HttpListener::spawn;
