--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -110,7 +110,7 @@
     /// In front of the backend server's listener.
     pub local: HandlerFront<ServerReporter>,
     /// In front of the admin listener.
-    pub admin: HandlerFront<NodeView>,
+    pub admin: HandlerFront<NodeStatus>,
 }
 
 impl Default for NodeMiddleware {
@@ -150,12 +150,12 @@
 
 /// What can be seen of a node from outside.
 #[derive(Clone)]
-pub struct NodeView {
+pub struct NodeStatus {
     configured: Rc<Cell<bool>>,
     stage: Rc<Cell<NodeStage>>,
 }
 
-impl NodeView {
+impl NodeStatus {
     /// True where callers may send it work: it has a configuration and is
     /// not leaving.
     pub fn is_ready(&self) -> bool {
@@ -202,7 +202,7 @@
             address: settings.server,
             check,
         };
-        let view = NodeView {
+        let view = NodeStatus {
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Open)),
         };
