--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -117,7 +117,7 @@
         let stage = Rc::clone(&self.stage);
         Box::pin(async move {
             let mut reply = desk.serve(request, origin, stage.get()).await;
-            if stage.get() != NodeStage::Open {
+            if stage.get() != NodeStage::Serving {
                 let head = reply.head_mut();
                 head.set_connection_type(ConnectionType::Close);
             }
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -66,7 +66,7 @@
                 _ => {
                     let _under_way = OutboundGuard::begin(gate);
                     calls
-                        .serve(request, CallOrigin::Backend, NodeStage::Open)
+                        .serve(request, CallOrigin::Backend, NodeStage::Serving)
                         .await
                 }
             }
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -159,7 +159,7 @@
     /// True where callers may send it work: it has a configuration and is
     /// not leaving.
     pub fn is_ready(&self) -> bool {
-        self.configured.get() && self.stage.get() == NodeStage::Open
+        self.configured.get() && self.stage.get() == NodeStage::Serving
     }
 }
 
@@ -204,7 +204,7 @@
         };
         let view = NodeStatus {
             configured: Rc::new(Cell::new(false)),
-            stage: Rc::new(Cell::new(NodeStage::Open)),
+            stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
         let (times, watched_times) = watch::channel(ListenerTimes::default());
         let entry = entry_task::spawn(
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeStage {
     /// It serves.
-    Open,
+    Serving,
     /// It serves still, and says that it leaves.
     Leaving,
     /// It serves only calls whose own time is over before this moment; what
@@ -27,7 +27,7 @@
     /// requests that it works on.
     pub fn takes(self, left: Option<Duration>) -> bool {
         match self {
-            Self::Open | Self::Leaving => true,
+            Self::Serving | Self::Leaving => true,
             Self::Ending(end) => {
                 let until_end = end.saturating_duration_since(BootInstant::now());
                 left.is_some_and(|left| left < until_end)
