--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -219,7 +219,7 @@
     }
 
     async fn admit(&self, head: OwnedHead, stage: NodeStage) -> TryAnswer {
-        if !stage.takes(head.deadline) {
+        if !stage.accepts(head.deadline) {
             return Err(not_run(RefusalReason::Stopping));
         }
         let (reply, answer) = oneshot::channel();
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -25,7 +25,7 @@
     /// may last longer are refused while that is still "not run". Short ones
     /// go on, such as the calls that the backend server makes for the last
     /// requests that it works on.
-    pub fn takes(self, left: Option<Duration>) -> bool {
+    pub fn accepts(self, left: Option<Duration>) -> bool {
         match self {
             Self::Serving | Self::Leaving => true,
             Self::Ending(end) => {
