--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -38,7 +38,7 @@
 use crate::gate_task::GateBounds;
 use crate::gate_task::GateMessage;
 use crate::install_hooks::InstallHooks;
-use crate::start_calls::StartCalls;
+use crate::startup_queue::StartupQueue;
 
 /// Messages waiting for the task; beyond them calls wait at their sockets.
 const MESSAGES_MAX: usize = 4_096;
@@ -145,7 +145,7 @@
     router: EntryRouter,
     gate: mpsc::UnboundedSender<GateMessage>,
     hooks: InstallHooks,
-    waiting: StartCalls,
+    waiting: StartupQueue,
     refused: Option<ConfigVersion>,
     heard: Option<BootInstant>,
     started: BootInstant,
@@ -166,7 +166,7 @@
         router: EntryRouter::new(Arc::clone(&failure_domain), seed),
         gate,
         hooks,
-        waiting: StartCalls::default(),
+        waiting: StartupQueue::default(),
         instance,
         failure_domain,
         refused: None,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -25,4 +25,4 @@
 pub mod refusal_reply;
 pub mod server_check;
 pub mod server_probe;
-pub mod start_calls;
+pub mod startup_queue;
--- a/crates/node/src/start_calls.rs
+++ b/crates/node/src/startup_queue.rs
@@ -48,11 +48,11 @@
 
 /// Calls that wait.
 #[derive(Debug, Default)]
-pub struct StartCalls {
+pub struct StartupQueue {
     calls: Vec<StartCall>,
 }
 
-impl StartCalls {
+impl StartupQueue {
     /// True where none waits.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
