--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -16,7 +16,7 @@
 
 /// A call that waits.
 #[derive(Debug)]
-pub struct StartCall {
+pub struct QueuedCall {
     /// Its head, as it came.
     pub head: OwnedHead,
     /// Where its answer goes.
@@ -28,7 +28,7 @@
     refusal: CallRefusal,
 }
 
-impl StartCall {
+impl QueuedCall {
     /// Its head with the time that is left of what the caller gave.
     pub fn head_at(&self, now: Duration) -> OwnedHead {
         let waited = now.saturating_sub(self.arrived_at);
@@ -49,7 +49,7 @@
 /// Calls that wait.
 #[derive(Debug, Default)]
 pub struct StartupQueue {
-    calls: Vec<StartCall>,
+    calls: Vec<QueuedCall>,
 }
 
 impl StartupQueue {
@@ -72,7 +72,7 @@
             let _ = reply.send(Err(refusal));
             return;
         };
-        self.calls.push(StartCall {
+        self.calls.push(QueuedCall {
             head,
             reply,
             arrived_at: now,
@@ -82,14 +82,14 @@
     }
 
     /// Takes out all that wait, to be tried again.
-    pub fn take(&mut self) -> Vec<StartCall> {
+    pub fn take(&mut self) -> Vec<QueuedCall> {
         std::mem::take(&mut self.calls)
     }
 
     /// Puts back a call that was refused again, or answers it with that.
-    pub fn put_back(&mut self, call: StartCall, refusal: CallRefusal) {
+    pub fn put_back(&mut self, call: QueuedCall, refusal: CallRefusal) {
         if may_pass(refusal) {
-            self.calls.push(StartCall { refusal, ..call });
+            self.calls.push(QueuedCall { refusal, ..call });
         } else {
             let _ = call.reply.send(Err(refusal));
         }
