--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -253,7 +253,7 @@
             Ok(planned) => self.hand_over(reply, Ok(planned)),
             Err(refusal) => {
                 let now = self.started.elapsed();
-                self.waiting.keep_or_refuse(now, head, refusal, reply);
+                self.waiting.enqueue_or_refuse(now, head, refusal, reply);
             }
         }
     }
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -59,7 +59,7 @@
     }
 
     /// Keeps a call that was refused at `now`, or answers it with that.
-    pub fn keep_or_refuse(
+    pub fn enqueue_or_refuse(
         &mut self,
         now: Duration,
         head: OwnedHead,
