--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -264,7 +264,7 @@
             let head = call.head_at(self.started.elapsed());
             match self.admit(&head) {
                 Ok(planned) => self.hand_over(call.reply, Ok(planned)),
-                Err(refusal) => self.waiting.put_back(call, refusal),
+                Err(refusal) => self.waiting.requeue_or_refuse(call, refusal),
             }
         }
     }
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -87,7 +87,7 @@
     }
 
     /// Puts back a call that was refused again, or answers it with that.
-    pub fn put_back(&mut self, call: QueuedCall, refusal: CallRefusal) {
+    pub fn requeue_or_refuse(&mut self, call: QueuedCall, refusal: CallRefusal) {
         if may_pass(refusal) {
             self.calls.push(QueuedCall { refusal, ..call });
         } else {
