--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -190,7 +190,7 @@
         receiver: &mut mpsc::Receiver<EntryMessage>,
     ) -> Option<EntryMessage> {
         while !self.waiting.is_empty() {
-            self.waiting.refuse_late(self.started.elapsed());
+            self.waiting.refuse_expired(self.started.elapsed());
             let next = actix_rt::time::timeout(START_TICK, receiver.recv()).await;
             if let Ok(message) = next {
                 return message;
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -96,7 +96,7 @@
     }
 
     /// Refuses those whose time is over.
-    pub fn refuse_late(&mut self, now: Duration) {
+    pub fn refuse_expired(&mut self, now: Duration) {
         for call in self.take() {
             if call.reply.is_closed() {
                 continue;
