--- a/crates/node/src/evidence_task.rs
+++ b/crates/node/src/evidence_task.rs
@@ -18,7 +18,7 @@
 
 /// A report not taken within this time is given up on: the next one holds
 /// all that it held.
-const REPORT_PATIENCE: Duration = Duration::from_secs(2);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts looking and reporting to the control instance in use, every `pause`
 /// while a service is under a move. The looks go on whatever becomes of the
@@ -29,21 +29,21 @@
     control: watch::Receiver<SocketAddr>,
     pause: Duration,
 ) {
-    let (newest, reports) = watch::channel(None);
-    actix_rt::spawn(look(entry, newest, pause));
-    actix_rt::spawn(send(reports, client, control));
+    let (latest, reports) = watch::channel(None);
+    actix_rt::spawn(evaluate(entry, latest, pause));
+    actix_rt::spawn(send_reports(reports, client, control));
 }
 
-async fn look(
+async fn evaluate(
     entry: mpsc::Sender<EntryMessage>,
-    newest: watch::Sender<Option<EvidenceReport>>,
+    latest: watch::Sender<Option<EvidenceReport>>,
     pause: Duration,
 ) {
-    let between = EVALUATION_INTERVAL.min(pause);
+    let interval = EVALUATION_INTERVAL.min(pause);
     let mut since_report = Duration::ZERO;
     loop {
-        actix_rt::time::sleep(between).await;
-        since_report += between;
+        actix_rt::time::sleep(interval).await;
+        since_report += interval;
         let (reply, report) = oneshot::channel();
         let due = since_report >= pause;
         if entry.send(EntryMessage::Look(due, reply)).await.is_err() {
@@ -54,12 +54,12 @@
         };
         if report.is_some() {
             since_report = Duration::ZERO;
-            newest.send_replace(report);
+            latest.send_replace(report);
         }
     }
 }
 
-async fn send(
+async fn send_reports(
     mut reports: watch::Receiver<Option<EvidenceReport>>,
     client: PeerClient,
     control: watch::Receiver<SocketAddr>,
@@ -72,7 +72,7 @@
         let call = EvidenceCall {
             reports: vec![report],
         };
-        let sent = client.send(address, &call, REPORT_PATIENCE).await;
+        let sent = client.send(address, &call, REPORT_TIMEOUT).await;
         if let Err(failure) = sent {
             warn!(
                 "event=evidence-failed process=node control={address} error={}",
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -9,7 +9,7 @@
 /// Counters of one follower, fed from its own counts.
 #[derive(Clone)]
 pub struct FollowMetrics {
-    seen: FollowCounts,
+    last_counts: FollowCounts,
     stale: Counter,
     damaged: Counter,
     refused: Counter,
@@ -23,7 +23,7 @@
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_follow");
         Self {
-            seen: FollowCounts::default(),
+            last_counts: FollowCounts::default(),
             stale: metric_start::counter(
                 registry,
                 "stale",
@@ -59,21 +59,23 @@
 
     /// Takes over the counts of the follower.
     pub fn update(&mut self, counts: FollowCounts) {
-        self.stale.inc_by(counts.stale - self.seen.stale);
-        self.damaged.inc_by(counts.damaged - self.seen.damaged);
-        self.refused.inc_by(counts.refused - self.seen.refused);
+        self.stale.inc_by(counts.stale - self.last_counts.stale);
+        self.damaged
+            .inc_by(counts.damaged - self.last_counts.damaged);
+        self.refused
+            .inc_by(counts.refused - self.last_counts.refused);
         self.unconfirmed
-            .inc_by(counts.unconfirmed - self.seen.unconfirmed);
-        self.seen = counts;
+            .inc_by(counts.unconfirmed - self.last_counts.unconfirmed);
+        self.last_counts = counts;
     }
 
     /// A question got no answer.
-    pub fn fail(&self) {
+    pub fn count_failure(&self) {
         self.failed.inc();
     }
 
     /// A control instance said when to come back.
-    pub fn wait(&self) {
+    pub fn count_later(&self) {
         self.told_later.inc();
     }
 }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -37,42 +37,42 @@
 
 /// An answer is given up on this long after it was due, and the next
 /// instance is asked; for short waits sooner.
-const ANSWER_MARGIN: Duration = Duration::from_secs(2);
-const SHORT_MARGIN: Duration = Duration::from_millis(200);
+const ANSWER_MARGIN_MAX: Duration = Duration::from_secs(2);
+const ANSWER_MARGIN_MIN: Duration = Duration::from_millis(200);
 
 /// Longest wait after failures, in multiples of the wait for news.
-const BACKOFF_WAITS: f64 = 2.5;
+const BACKOFF_FACTOR: f64 = 2.5;
 
 /// Part of the wait for news that a node without any configuration waits after
 /// a failure at most. A source that is up holds its question that whole wait,
 /// so that only refused connections follow each other this quickly.
-const START_PART: u32 = 2;
+const STARTUP_DIVISOR: u32 = 2;
 
 /// How a node paces its questions.
 #[derive(Clone, Copy, Debug)]
 struct FollowPace {
     wait: Duration,
-    patience: Duration,
-    backoff: Duration,
-    starting: Duration,
+    answer_timeout: Duration,
+    backoff_max: Duration,
+    startup_backoff_max: Duration,
 }
 
 impl FollowPace {
     fn of(wait: Duration) -> Self {
         Self {
             wait,
-            patience: wait + (wait + SHORT_MARGIN).min(ANSWER_MARGIN),
-            backoff: wait.mul_f64(BACKOFF_WAITS),
-            starting: wait / START_PART,
+            answer_timeout: wait + (wait + ANSWER_MARGIN_MIN).min(ANSWER_MARGIN_MAX),
+            backoff_max: wait.mul_f64(BACKOFF_FACTOR),
+            startup_backoff_max: wait / STARTUP_DIVISOR,
         }
     }
 }
 
 /// A report or a chunk is answered at once; so it is given up on earlier.
-const SHORT_PATIENCE: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What following needs.
-pub struct FollowPlan {
+pub struct FollowOptions {
     /// Name of the node's instance.
     pub instance: Arc<str>,
     /// Its failure domain.
@@ -94,16 +94,16 @@
 }
 
 /// Follows news for ever; which control instance is followed can be watched.
-pub fn spawn(plan: FollowPlan) -> watch::Receiver<SocketAddr> {
-    let first = plan.seed as usize;
-    let domain = Arc::clone(&plan.failure_domain);
-    let ring = SourceRing::new(domain, &plan.controls.borrow(), first);
+pub fn spawn(options: FollowOptions) -> watch::Receiver<SocketAddr> {
+    let first = options.seed as usize;
+    let domain = Arc::clone(&options.failure_domain);
+    let ring = SourceRing::new(domain, &options.controls.borrow(), first);
     let (current, watched) = watch::channel(ring.current());
-    let pace = FollowPace::of(plan.wait);
+    let pace = FollowPace::of(options.wait);
     let follower = ControlFollower {
         pace,
-        backoff: ReconnectBackoff::new(plan.seed).bounded(pace.backoff),
-        plan,
+        backoff: ReconnectBackoff::new(options.seed).bounded(pace.backoff_max),
+        options,
         ring,
         current,
         versions: VersionFollower::new(Duration::ZERO),
@@ -116,7 +116,7 @@
 }
 
 struct ControlFollower {
-    plan: FollowPlan,
+    options: FollowOptions,
     pace: FollowPace,
     ring: SourceRing,
     current: watch::Sender<SocketAddr>,
@@ -128,31 +128,31 @@
 }
 
 /// What follows a question.
-enum TurnEnd {
+enum PollOutcome {
     /// The source answered and stays in use.
     Stay,
     /// The source answered and cannot help, or another is nearer.
-    Turn,
+    Switch,
     /// The source answered and cannot tell whether it is behind.
-    Unsure,
+    Unconfirmed,
     /// The source said when to come back.
-    Later(Duration),
+    RetryAfter(Duration),
 }
 
 impl ControlFollower {
     async fn run(mut self) {
-        while !self.plan.entry.is_closed() {
-            self.take_controls();
-            let end = self.turn().await;
-            self.plan.metrics.update(self.versions.counts());
-            let wait = match end {
-                Ok(TurnEnd::Stay) => {
+        while !self.options.entry.is_closed() {
+            self.update_controls();
+            let outcome = self.poll().await;
+            self.options.metrics.update(self.versions.counts());
+            let wait = match outcome {
+                Ok(PollOutcome::Stay) => {
                     self.backoff.reset();
                     continue;
                 }
-                Ok(TurnEnd::Later(after)) => {
+                Ok(PollOutcome::RetryAfter(after)) => {
                     self.waited = true;
-                    self.plan.metrics.wait();
+                    self.options.metrics.count_later();
                     info!(
                         "event=follow-later process=node control={} held={} after_ms={}",
                         self.ring.current(),
@@ -161,21 +161,21 @@
                     );
                     self.backoff.retry_after(after)
                 }
-                Ok(TurnEnd::Turn) => self.turn_away(),
-                Ok(TurnEnd::Unsure) => {
-                    self.plan.metrics.wait();
-                    self.turn_away();
+                Ok(PollOutcome::Switch) => self.switch_source(),
+                Ok(PollOutcome::Unconfirmed) => {
+                    self.options.metrics.count_later();
+                    self.switch_source();
                     self.backoff.reset();
                     self.pace.wait / 2
                 }
                 Err(failure) => {
-                    self.plan.metrics.fail();
+                    self.options.metrics.count_failure();
                     warn!(
                         "event=follow-failed process=node control={} error={}",
                         self.ring.current(),
                         LogValue(failure)
                     );
-                    self.turn_away()
+                    self.switch_source()
                 }
             };
             actix_rt::time::sleep(wait).await;
@@ -184,51 +184,55 @@
 
     /// Guards against a node whose control instances were all replaced while
     /// it slept: it would ask addresses that nobody serves any more for ever.
-    fn take_controls(&mut self) {
+    fn update_controls(&mut self) {
         // An error means that nobody can change them any more.
-        if !self.plan.controls.has_changed().unwrap_or(false) {
+        if !self.options.controls.has_changed().unwrap_or(false) {
             return;
         }
-        let controls = self.plan.controls.borrow_and_update().clone();
+        let controls = self.options.controls.borrow_and_update().clone();
         self.ring.replace(self.started.elapsed(), &controls);
         self.current.send_replace(self.ring.current());
     }
 
-    fn turn_away(&mut self) -> Duration {
+    fn switch_source(&mut self) -> Duration {
         self.waited = false;
         self.ring.failed(self.started.elapsed());
         self.current.send_replace(self.ring.current());
         if self.versions.held() == ConfigVersion::ZERO {
-            self.backoff.next_starting_wait(self.pace.starting)
+            self.backoff
+                .next_starting_wait(self.pace.startup_backoff_max)
         } else {
             self.backoff.next_wait()
         }
     }
 
     /// One question and what it brings.
-    async fn turn(&mut self) -> Result<TurnEnd, PeerError> {
+    async fn poll(&mut self) -> Result<PollOutcome, PeerError> {
         let call = FollowCall {
-            follower: Arc::clone(&self.plan.instance),
+            follower: Arc::clone(&self.options.instance),
             held: self.versions.held(),
             refused: self.versions.refused(),
             whole: self.versions.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.request(),
             wait_ms: self.pace.wait.as_millis() as u64,
-            node_domain: Some(Arc::clone(&self.plan.failure_domain)),
+            node_domain: Some(Arc::clone(&self.options.failure_domain)),
         };
         let address = self.ring.current();
-        let client = &self.plan.client;
-        let answer = match client.send(address, &call, self.pace.patience).await? {
+        let client = &self.options.client;
+        let answer = match client
+            .send(address, &call, self.pace.answer_timeout)
+            .await?
+        {
             FollowReply::News(answer) => *answer,
             FollowReply::Later(after_ms) => {
-                return Ok(TurnEnd::Later(Duration::from_millis(after_ms)))
+                return Ok(PollOutcome::RetryAfter(Duration::from_millis(after_ms)))
             }
         };
         self.waited = false;
-        self.take_directory(answer.directory).await;
+        self.update_directory(answer.directory).await;
         let domain = Arc::clone(&answer.source.failure_domain);
-        let unsure = answer.source.fresh_ms == 0;
+        let unconfirmed = answer.source.fresh_ms == 0;
         let now = self.started.elapsed();
         let step = self.versions.handle_update(
             now,
@@ -238,33 +242,33 @@
         );
         match self.fetch(address, step, answer.chunk).await? {
             FollowStep::Offer(snapshot) => self.offer(snapshot).await,
-            FollowStep::AskElsewhere => return Ok(TurnEnd::Turn),
+            FollowStep::AskElsewhere => return Ok(PollOutcome::Switch),
             FollowStep::Ask | FollowStep::Fetch { .. } => {}
         }
         // The entry task ends only with the node.
-        let _ = self.plan.entry.send(EntryMessage::Heard).await;
+        let _ = self.options.entry.send(EntryMessage::Heard).await;
         if self.ring.answered(self.started.elapsed(), &domain) {
             self.current.send_replace(self.ring.current());
         }
         // Guards against a node that stays with an instance cut off from the
         // leader: it answers well, and never has news.
-        if unsure {
-            return Ok(TurnEnd::Unsure);
+        if unconfirmed {
+            return Ok(PollOutcome::Unconfirmed);
         }
-        Ok(TurnEnd::Stay)
+        Ok(PollOutcome::Stay)
     }
 
-    async fn take_directory(&mut self, news: DirectoryUpdate) {
+    async fn update_directory(&mut self, news: DirectoryUpdate) {
         let run = self.directory.place().run;
         let changed = self.directory.take(news);
         if self.directory.place().run != run {
             // The gate's task ends only with the node.
-            let _ = self.plan.gate.send(GateMessage::Repeat);
+            let _ = self.options.gate.send(GateMessage::Republish);
         }
         for record in &changed {
-            if record.instance == self.plan.instance {
+            if record.instance == self.options.instance {
                 let seen = Box::new(record.clone());
-                let _ = self.plan.gate.send(GateMessage::Learn(seen));
+                let _ = self.options.gate.send(GateMessage::Reconcile(seen));
             }
         }
         if changed.is_empty() {
@@ -272,7 +276,7 @@
         }
         let news = EntryMessage::Install(None, changed);
         // The entry task ends only with the node.
-        let _ = self.plan.entry.send(news).await;
+        let _ = self.options.entry.send(news).await;
     }
 
     /// Fetches chunks as long as the follower wants them, after the one that
@@ -281,16 +285,16 @@
         &mut self,
         address: SocketAddr,
         mut step: FollowStep,
-        along: Option<Bytes>,
+        first_chunk: Option<Bytes>,
     ) -> Result<FollowStep, PeerError> {
-        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, along) {
+        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, first_chunk) {
             let now = self.started.elapsed();
             step = self.versions.chunk(now, Some(&chunk));
         }
         while let FollowStep::Fetch { version, at } = step {
             let call = ChunkCall { version, at };
-            let client = &self.plan.client;
-            let answer = client.send(address, &call, SHORT_PATIENCE).await?;
+            let client = &self.options.client;
+            let answer = client.send(address, &call, REQUEST_TIMEOUT).await?;
             let now = self.started.elapsed();
             step = self.versions.chunk(now, answer.chunk.as_deref());
         }
@@ -301,16 +305,16 @@
     /// hears what became of it.
     async fn offer(&mut self, snapshot: ConfigSnapshot) {
         let news = EntryMessage::Install(Some(snapshot), Vec::new());
-        if self.plan.entry.send(news).await.is_err() {
+        if self.options.entry.send(news).await.is_err() {
             return;
         }
-        if let Some(report) = own_report(&self.plan.entry).await {
+        if let Some(report) = request_report(&self.options.entry).await {
             self.versions.record_outcome(report.applied, report.refused);
         }
     }
 }
 
-async fn own_report(entry: &mpsc::Sender<EntryMessage>) -> Option<NodeReport> {
+async fn request_report(entry: &mpsc::Sender<EntryMessage>) -> Option<NodeReport> {
     let (reply, report) = oneshot::channel();
     entry.send(EntryMessage::Report(reply)).await.ok()?;
     report.await.ok()
@@ -336,7 +340,7 @@
             };
             let address = *control.borrow();
             let call = ReportCall { batch };
-            let Err(failure) = client.send(address, &call, SHORT_PATIENCE).await else {
+            let Err(failure) = client.send(address, &call, REQUEST_TIMEOUT).await else {
                 break;
             };
             warn!(
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -88,9 +88,9 @@
     /// The backend server reports itself; answered once it is in force here.
     Report(ServerReport, oneshot::Sender<()>),
     /// A run that has not reported yet was found healthy at the address.
-    Found(Arc<str>, AnnouncedServer, SocketAddr),
+    RunFound(Arc<str>, AnnouncedServer, SocketAddr),
     /// The run of this name, started at this time where known, has left.
-    Left(Arc<str>, Option<u64>, oneshot::Sender<()>),
+    RunLeft(Arc<str>, Option<u64>, oneshot::Sender<()>),
     /// The backend server is leaving.
     Drain,
     /// The whole node is leaving.
@@ -108,9 +108,9 @@
     /// One of those calls has been answered or given up.
     OutboundEnd,
     /// The directory has this record of the node's own endpoint.
-    Learn(Box<EndpointRecord>),
+    Reconcile(Box<EndpointRecord>),
     /// The source has changed; it may not know the endpoint's last record.
-    Repeat,
+    Republish,
     /// Bounds of the queue, by service, changed.
     Configure(GateBounds),
 }
@@ -121,38 +121,38 @@
 /// What can be seen of the gate at any time.
 #[derive(Clone, Debug, Default)]
 pub struct GateStatus {
-    wait: Rc<Cell<Duration>>,
-    repeats: Rc<Cell<RepeatProbability>>,
-    works: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
+    expected_wait: Rc<Cell<Duration>>,
+    repeat_probability: Rc<Cell<RepeatProbability>>,
+    service_times: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
 }
 
 impl GateStatus {
     /// How long a call that came now would wait for a slot.
     pub fn expected_wait(&self) -> Duration {
-        self.wait.get()
+        self.expected_wait.get()
     }
 
     /// How likely a request that the server runs now repeats earlier work.
     pub fn repeat_probability(&self) -> RepeatProbability {
-        self.repeats.get()
+        self.repeat_probability.get()
     }
 
     /// What a job on `route` takes lately, where that is known.
     pub fn service_time(&self, route: &str) -> Option<Duration> {
-        self.works.borrow().get(route).copied()
+        self.service_times.borrow().get(route).copied()
     }
 }
 
 struct GateTask {
-    view: GateStatus,
-    place: GateEndpoint,
+    status: GateStatus,
+    endpoint: GateEndpoint,
     gate: ServerGate,
     presence: ServerPresence,
     runs: ServerRuns,
     probing: bool,
-    own: mpsc::WeakUnboundedSender<GateMessage>,
+    self_sender: mpsc::WeakUnboundedSender<GateMessage>,
     bounds: GateBounds,
-    askers: HashMap<CallTicket, oneshot::Sender<SlotAnswer>>,
+    waiters: HashMap<CallTicket, oneshot::Sender<SlotAnswer>>,
     started: BootInstant,
     server: Option<SocketAddr>,
     cold_start: ColdStart,
@@ -162,31 +162,31 @@
 
 /// Starts the task; each change of the endpoint's record goes to `records`.
 pub fn spawn(
-    place: GateEndpoint,
+    endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
 ) -> mpsc::UnboundedSender<GateMessage> {
-    spawn_viewed(place, records, GateStatus::default())
+    spawn_with_status(endpoint, records, GateStatus::default())
 }
 
 /// The same, with a view that it keeps up to date.
-pub fn spawn_viewed(
-    place: GateEndpoint,
+pub fn spawn_with_status(
+    endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
-    view: GateStatus,
+    status: GateStatus,
 ) -> mpsc::UnboundedSender<GateMessage> {
     // Unbounded: every sender waits for its answer or sends one end for
     // each slot, so there are at most as many messages as connections.
     let (sender, receiver) = mpsc::unbounded_channel();
     let task = GateTask {
-        view,
-        place,
+        status,
+        endpoint,
         gate: ServerGate::default(),
         presence: ServerPresence::default(),
         runs: ServerRuns::default(),
         probing: false,
-        own: sender.downgrade(),
+        self_sender: sender.downgrade(),
         bounds: GateBounds::new(),
-        askers: HashMap::new(),
+        waiters: HashMap::new(),
         started: BootInstant::now(),
         server: None,
         cold_start: ColdStart::default(),
@@ -202,20 +202,20 @@
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => break,
                 },
-                () = wake_at(self.started, self.gate.next_wake()) => {
+                () = wait_until(self.started, self.gate.next_wake()) => {
                     let actions = self.gate.wake(self.started.elapsed());
-                    self.carry_out(actions);
+                    self.apply(actions);
                 }
             }
-            self.view.wait.set(self.gate.expected_wait());
-            self.view.repeats.set(self.gate.repeats());
+            self.status.expected_wait.set(self.gate.expected_wait());
+            self.status.repeat_probability.set(self.gate.repeats());
         }
     }
 
-    fn take(&mut self, message: GateMessage) {
+    fn handle(&mut self, message: GateMessage) {
         let now = self.started.elapsed();
         match message {
             GateMessage::Announce(server, address, reply) => {
@@ -225,12 +225,12 @@
                 self.report(now, report);
                 let _ = reply.send(());
             }
-            GateMessage::Found(run, server, address) => {
+            GateMessage::RunFound(run, server, address) => {
                 if self.runs.find(&run) {
                     self.begin_run(&run, server, address);
                 }
             }
-            GateMessage::Left(run, born_ms, reply) => {
+            GateMessage::RunLeft(run, born_ms, reply) => {
                 if self.runs.leave(&run, born_ms) {
                     self.presence.drain(now);
                     self.withdraw("left");
@@ -242,29 +242,29 @@
                 self.withdraw("stopping");
             }
             GateMessage::Unreachable => self.probe(),
-            GateMessage::Probed(address, result) => self.probed(address, result),
+            GateMessage::Probed(address, result) => self.handle_probe(address, result),
             GateMessage::Drain => {
                 self.presence.drain(now);
                 self.withdraw("draining");
             }
             GateMessage::AcquireSlot(ticket, call, reply) => {
-                self.askers.insert(ticket, reply);
+                self.waiters.insert(ticket, reply);
                 let actions = self.gate.offer(now, ticket, call);
-                self.carry_out(actions);
+                self.apply(actions);
             }
             GateMessage::ReleaseSlot(ticket, outcome) => {
-                self.askers.remove(&ticket);
+                self.waiters.remove(&ticket);
                 if let Some((route, work)) = self.gate.service_time(ticket) {
-                    self.view.works.borrow_mut().insert(route, work);
+                    self.status.service_times.borrow_mut().insert(route, work);
                 }
                 let actions = self.gate.end(now, ticket, outcome);
-                self.carry_out(actions);
+                self.apply(actions);
             }
-            GateMessage::Learn(seen) => {
+            GateMessage::Reconcile(seen) => {
                 let record = self.announcer.reconcile(&seen);
                 self.send(record);
             }
-            GateMessage::Repeat => {
+            GateMessage::Republish => {
                 let record = self.announcer.last().cloned();
                 self.send(record);
             }
@@ -287,12 +287,12 @@
         self.presence.announce(now, address, in_flight)?;
         info!(
             "event=announced process=node instance={} service={} version={} slots={}",
-            self.place.instance, server.service, server.version, server.slots
+            self.endpoint.instance, server.service, server.version, server.slots
         );
-        let same = self.gate.announced() == Some(&server);
-        if !same || self.server != Some(address) {
+        let unchanged = self.gate.announced() == Some(&server);
+        if !unchanged || self.server != Some(address) {
             self.cold_start.restart();
-            self.view.works.borrow_mut().clear();
+            self.status.service_times.borrow_mut().clear();
         }
         self.gate.announce(server);
         self.configure();
@@ -307,11 +307,11 @@
             ReportEffect::Stale => {
                 info!(
                     "event=report-stale process=node instance={} run={run}",
-                    self.place.instance
+                    self.endpoint.instance
                 );
             }
             ReportEffect::Begins => self.begin_run(&run, report.server, report.address),
-            ReportEffect::GoesOn => self.go_on(report.server),
+            ReportEffect::GoesOn => self.continue_run(report.server),
             ReportEffect::Leaves => {
                 if !self.gate.is_draining() {
                     self.presence.drain(now);
@@ -330,17 +330,17 @@
         if let Err(refusal) = self.presence.begin_run(address) {
             info!(
                 "event=run-refused process=node instance={} run={run} reason={}",
-                self.place.instance,
+                self.endpoint.instance,
                 LogValue(refusal)
             );
             return;
         }
         info!(
             "event=run-begins process=node instance={} run={run} service={} version={} slots={}",
-            self.place.instance, server.service, server.version, server.slots
+            self.endpoint.instance, server.service, server.version, server.slots
         );
         self.cold_start.restart();
-        self.view.works.borrow_mut().clear();
+        self.status.service_times.borrow_mut().clear();
         self.gate.announce(server);
         self.configure();
         self.server = Some(address);
@@ -348,7 +348,7 @@
     }
 
     /// A run that was lost reports again, or says something new of itself.
-    fn go_on(&mut self, server: AnnouncedServer) {
+    fn continue_run(&mut self, server: AnnouncedServer) {
         let back = self.presence.reachable();
         if !back && self.gate.announced() == Some(&server) {
             return;
@@ -365,10 +365,10 @@
     fn withdraw(&mut self, event: &str) {
         info!(
             "event={event} process=node instance={}",
-            self.place.instance
+            self.endpoint.instance
         );
         let actions = self.gate.drain();
-        self.carry_out(actions);
+        self.apply(actions);
         self.publish();
     }
 
@@ -378,10 +378,10 @@
             return;
         };
         self.probing = true;
-        actix_rt::spawn(server_probe::watch(address, self.own.clone()));
+        actix_rt::spawn(server_probe::watch(address, self.self_sender.clone()));
     }
 
-    fn probed(&mut self, address: SocketAddr, result: ProbeResult) {
+    fn handle_probe(&mut self, address: SocketAddr, result: ProbeResult) {
         self.probing = result == ProbeResult::Refused;
         if self.server != Some(address) {
             return;
@@ -398,24 +398,24 @@
         if let Some(server) = self.gate.announced().cloned() {
             info!(
                 "event=server-back process=node instance={}",
-                self.place.instance
+                self.endpoint.instance
             );
             self.gate.announce(server);
             self.publish();
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<GateAction>) {
+    fn apply(&mut self, actions: Vec<GateAction>) {
         for action in actions {
             let (ticket, answer) = match action {
                 GateAction::Start(ticket) => (ticket, self.grant()),
                 GateAction::Refuse(ticket, reason) => (ticket, Err(reason)),
             };
-            let Some(asker) = self.askers.remove(&ticket) else {
+            let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
-            // An asker that has left meanwhile reports its end itself.
-            let _ = asker.send(answer);
+            // A call that stopped waiting releases its ticket itself.
+            let _ = waiter.send(answer);
         }
     }
 
@@ -455,11 +455,11 @@
             EndpointStanding::Serving
         };
         let record = EndpointRecord {
-            instance: Arc::clone(&self.place.instance),
+            instance: Arc::clone(&self.endpoint.instance),
             service: Arc::clone(&server.service),
             version: Arc::clone(&server.version),
-            failure_domain: Arc::clone(&self.place.failure_domain),
-            address: self.place.address,
+            failure_domain: Arc::clone(&self.endpoint.failure_domain),
+            address: self.endpoint.address,
             slots: server.slots,
             standing,
             incarnation: 0,
@@ -471,7 +471,7 @@
 }
 
 /// Ends when the gate has something to do, or never.
-async fn wake_at(started: BootInstant, at: Option<Duration>) {
+async fn wait_until(started: BootInstant, at: Option<Duration>) {
     match at {
         Some(at) => sleep(at.saturating_sub(started.elapsed())).await,
         None => std::future::pending().await,
--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -15,5 +15,5 @@
 mod hop_client;
 mod hop_connection;
 mod hop_request;
-mod idle_shelf;
+mod idle_pool;
 mod response_body;
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -19,7 +19,7 @@
 use crate::hop::hop_connection::ExchangeError;
 use crate::hop::hop_connection::HopConnection;
 use crate::hop::hop_request::HopRequest;
-use crate::hop::idle_shelf::IdleShelf;
+use crate::hop::idle_pool::IdlePool;
 use crate::hop::response_body::ResponseBody;
 
 /// What differs between hops.
@@ -39,18 +39,18 @@
 
 /// Connections to next hops.
 pub struct HopClient {
-    plan: HopOptions,
+    options: HopOptions,
     config: ServiceConfig,
-    shelf: Rc<IdleShelf>,
+    idle_pool: Rc<IdlePool>,
 }
 
 impl HopClient {
     /// No connections yet.
-    pub fn new(plan: HopOptions) -> Self {
+    pub fn new(options: HopOptions) -> Self {
         Self {
-            plan,
+            options,
             config: ServiceConfig::default(),
-            shelf: Rc::default(),
+            idle_pool: Rc::default(),
         }
     }
 
@@ -61,17 +61,17 @@
         generation: PoolGeneration,
         request: &HopRequest,
         body: &mut CallBody,
-        left: Duration,
+        limit: Duration,
     ) -> Result<HopResponse, TryFailure> {
         let mut stage = SendStage::Connecting;
-        let sending = self.send_at_once(address, generation, request, body, &mut stage);
-        match actix_rt::time::timeout(left, sending).await {
+        let sending = self.send_untimed(address, generation, request, body, &mut stage);
+        match actix_rt::time::timeout(limit, sending).await {
             Ok(answer) => answer,
-            Err(_) => Err(stage.out_of_time()),
+            Err(_) => Err(stage.timeout_failure()),
         }
     }
 
-    async fn send_at_once(
+    async fn send_untimed(
         &self,
         address: SocketAddr,
         generation: PoolGeneration,
@@ -79,7 +79,7 @@
         body: &mut CallBody,
         stage: &mut SendStage,
     ) -> Result<HopResponse, TryFailure> {
-        let mut connection = match self.shelf.take(address, generation) {
+        let mut connection = match self.idle_pool.take(address, generation) {
             Some(connection) => connection,
             None => self.connect(address, generation).await?,
         };
@@ -87,7 +87,7 @@
         match connection.exchange(request, body).await {
             Ok(head) => Ok(HopResponse {
                 head,
-                body: ResponseBody::new(connection, Rc::clone(&self.shelf)),
+                body: ResponseBody::new(connection, Rc::clone(&self.idle_pool)),
             }),
             Err(ExchangeError::BodyBroken) => {
                 Err(may_have_run(RefusalReason::BodyTruncated))
@@ -98,7 +98,7 @@
                     LogValue(error)
                 );
                 // What ended one connection has often ended the others too.
-                self.shelf.clear(address);
+                self.idle_pool.clear(address);
                 Err(may_have_run(RefusalReason::ConnectionBroken))
             }
         }
@@ -106,7 +106,7 @@
 
     /// Drops idle connections to an address that is not used any more.
     pub fn drop_idle(&self, address: SocketAddr) {
-        self.shelf.clear(address);
+        self.idle_pool.clear(address);
     }
 
     async fn connect(
@@ -116,7 +116,7 @@
     ) -> Result<HopConnection, TryFailure> {
         let codec = ClientCodec::new(self.config.clone());
         let opening = HopConnection::open(address, generation, codec);
-        let opened = actix_rt::time::timeout(self.plan.connect_timeout, opening).await;
+        let opened = actix_rt::time::timeout(self.options.connect_timeout, opening).await;
         match opened {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) | Err(_) => Err(TryFailure {
@@ -142,7 +142,7 @@
 }
 
 impl SendStage {
-    fn out_of_time(self) -> TryFailure {
+    fn timeout_failure(self) -> TryFailure {
         let verdict = match self {
             Self::Connecting => CallVerdict::NotRun,
             Self::Sending => CallVerdict::MayHaveRun,
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -42,7 +42,7 @@
 
 /// Idle time after which a connection is not used again, where the other
 /// side states none. Servers commonly close after ten seconds or more.
-const IDLE_TIME: Duration = Duration::from_secs(8);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// How long before the other side's stated idle time a connection is given
 /// up: a request must not meet the close on its way.
@@ -50,13 +50,13 @@
 
 /// Time without an acknowledgement of sent bytes after which a connection is
 /// broken off: some ten round trips between failure domains, with resends.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A silent connection is probed after this long, and as often.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Unanswered probes that end a connection.
-const PROBES_MAX: u32 = 2;
+const KEEPALIVE_PROBES_MAX: u32 = 2;
 
 /// Header that states the other side's idle time.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
@@ -83,22 +83,22 @@
     stream: TcpStream,
     address: SocketAddr,
     generation: PoolGeneration,
-    rest: AnswerRest,
+    read_state: ReadState,
     received: BytesMut,
     reusable: bool,
-    usable_until: BootInstant,
+    expires_at: BootInstant,
 }
 
 /// What of an answer is still to come.
-enum AnswerRest {
+enum ReadState {
     /// Nothing; the next request may be sent.
-    Nothing(ClientCodec),
+    Idle(ClientCodec),
     /// A body whose end the codec finds.
     Framed(ClientPayloadCodec),
     /// Everything until the connection ends.
-    ToTheEnd,
+    UntilClose,
     /// The connection is of no more use.
-    Spent,
+    Unusable,
 }
 
 impl HopConnection {
@@ -110,15 +110,15 @@
     ) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        watch_silence(&stream)?;
+        enable_keepalive(&stream)?;
         Ok(Self {
             stream,
             address,
             generation,
-            rest: AnswerRest::Nothing(codec),
+            read_state: ReadState::Idle(codec),
             received: BytesMut::new(),
             reusable: false,
-            usable_until: BootInstant::now() + IDLE_TIME,
+            expires_at: BootInstant::now() + IDLE_TIMEOUT,
         })
     }
 
@@ -130,12 +130,12 @@
         self.generation
     }
 
-    pub fn usable_until(&self) -> BootInstant {
-        self.usable_until
+    pub fn expires_at(&self) -> BootInstant {
+        self.expires_at
     }
 
     /// True where nothing has come since the last answer, not even the end.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_input(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -144,7 +144,7 @@
     /// True once the answer has been read to its end and the connection may
     /// carry another request.
     pub fn is_reusable(&self) -> bool {
-        let idle = matches!(self.rest, AnswerRest::Nothing(_));
+        let idle = matches!(self.read_state, ReadState::Idle(_));
         self.reusable && idle && self.received.is_empty()
     }
 
@@ -154,21 +154,21 @@
         request: &HopRequest,
         body: &mut CallBody,
     ) -> Result<ResponseHead, ExchangeError> {
-        let rest = std::mem::replace(&mut self.rest, AnswerRest::Spent);
-        let AnswerRest::Nothing(mut codec) = rest else {
+        let previous = std::mem::replace(&mut self.read_state, ReadState::Unusable);
+        let ReadState::Idle(mut codec) = previous else {
             let problem = "an answer is still being read";
             return Err(ExchangeError::Broken(problem.to_owned()));
         };
-        let mut first = BytesMut::new();
+        let mut head_bytes = BytesMut::new();
         let head = RequestHeadType::Owned(request.head());
-        codec.encode(Message::Item((head, body.size())), &mut first)?;
+        codec.encode(Message::Item((head, body.size())), &mut head_bytes)?;
         let (mut reader, mut writer) = self.stream.split();
         let mut sent = false;
         let received = &mut self.received;
         let head = {
-            let sending = send(&mut writer, first, body);
+            let sending = send(&mut writer, head_bytes, body);
             tokio::pin!(sending);
-            let reading = read_own(&mut reader, &mut codec, received, request);
+            let reading = read_matching_head(&mut reader, &mut codec, received, request);
             tokio::pin!(reading);
             loop {
                 tokio::select! {
@@ -188,18 +188,20 @@
         // Guards against bytes of the next request that the other side takes
         // for the rest of a body which it answered before its end.
         self.reusable = sent && codec.keep_alive();
-        self.note_idle_time(&head.headers);
-        self.rest = match codec.message_type() {
-            MessageType::None if is_unframed(&head, request) => AnswerRest::ToTheEnd,
-            MessageType::None => AnswerRest::Nothing(codec),
+        self.update_expiry(&head.headers);
+        self.read_state = match codec.message_type() {
+            MessageType::None if is_close_delimited(&head, request) => {
+                ReadState::UntilClose
+            }
+            MessageType::None => ReadState::Idle(codec),
             MessageType::Payload | MessageType::Stream => {
-                AnswerRest::Framed(codec.into_payload_codec())
+                ReadState::Framed(codec.into_payload_codec())
             }
         };
         Ok(head)
     }
 
-    fn note_idle_time(&mut self, headers: &HeaderMap) {
+    fn update_expiry(&mut self, headers: &HeaderMap) {
         let stated = headers.get(&KEEP_ALIVE).and_then(|value| {
             let text = value.to_str().ok()?;
             let seconds = text.split(',').find_map(|part| {
@@ -207,22 +209,23 @@
             })?;
             Some(Duration::from_secs(seconds))
         });
-        let idle = stated.map_or(IDLE_TIME, |stated| stated.saturating_sub(IDLE_MARGIN));
-        self.usable_until = BootInstant::now() + idle;
+        let idle =
+            stated.map_or(IDLE_TIMEOUT, |stated| stated.saturating_sub(IDLE_MARGIN));
+        self.expires_at = BootInstant::now() + idle;
     }
 
     /// The next part of the answer's body; `None` at its end.
     pub async fn next_part(&mut self) -> Result<Option<Bytes>, PayloadError> {
         loop {
-            match &mut self.rest {
-                AnswerRest::Nothing(_) | AnswerRest::Spent => return Ok(None),
-                AnswerRest::ToTheEnd if self.received.is_empty() => {}
-                AnswerRest::ToTheEnd => return Ok(Some(self.received.split().freeze())),
-                AnswerRest::Framed(payload) => {
+            match &mut self.read_state {
+                ReadState::Idle(_) | ReadState::Unusable => return Ok(None),
+                ReadState::UntilClose if self.received.is_empty() => {}
+                ReadState::UntilClose => return Ok(Some(self.received.split().freeze())),
+                ReadState::Framed(payload) => {
                     match payload.decode(&mut self.received)? {
                         Some(Some(part)) => return Ok(Some(part)),
                         Some(None) => {
-                            self.end_answer();
+                            self.finish_body();
                             return Ok(None);
                         }
                         None => {}
@@ -236,32 +239,32 @@
             }
             // Guards against an answer cut short that looks complete: only
             // one without a stated length ends with its connection.
-            let whole = matches!(self.rest, AnswerRest::ToTheEnd);
-            self.rest = AnswerRest::Spent;
-            if whole {
+            let complete = matches!(self.read_state, ReadState::UntilClose);
+            self.read_state = ReadState::Unusable;
+            if complete {
                 return Ok(None);
             }
             return Err(PayloadError::Incomplete(None));
         }
     }
 
-    fn end_answer(&mut self) {
-        let rest = std::mem::replace(&mut self.rest, AnswerRest::Spent);
-        if let AnswerRest::Framed(payload) = rest {
+    fn finish_body(&mut self) {
+        let previous = std::mem::replace(&mut self.read_state, ReadState::Unusable);
+        if let ReadState::Framed(payload) = previous {
             self.reusable &= payload.keep_alive();
-            self.rest = AnswerRest::Nothing(payload.into_message_codec());
+            self.read_state = ReadState::Idle(payload.into_message_codec());
         }
     }
 
     /// Frees what an idle connection does not need.
-    pub fn shrink(&mut self) {
+    pub fn release_buffer(&mut self) {
         self.received = BytesMut::new();
     }
 }
 
 /// True for an answer whose body has no stated length: it ends with its
 /// connection, whatever the codec takes it for.
-fn is_unframed(head: &ResponseHead, request: &HopRequest) -> bool {
+fn is_close_delimited(head: &ResponseHead, request: &HopRequest) -> bool {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
     let framed = head.headers.contains_key(CONTENT_LENGTH)
         || head.headers.contains_key(TRANSFER_ENCODING);
@@ -270,27 +273,27 @@
 
 /// Guards against a connection that something on the way has lost track of:
 /// nothing comes back, not even a reset, and every call on it would wait for
-/// its deadline. The kernel ends it within [`UNACKNOWLEDGED_MAX`].
-fn watch_silence(stream: &TcpStream) -> io::Result<()> {
+/// its deadline. The kernel ends it within [`UNACKNOWLEDGED_TIMEOUT`].
+fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES_MAX);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES_MAX);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 async fn send(
     writer: &mut WriteHalf<'_>,
-    mut first: BytesMut,
+    mut head: BytesMut,
     body: &mut CallBody,
 ) -> Result<(), ExchangeError> {
     if let CallBody::Held(bytes) = body {
-        first.extend_from_slice(bytes);
-        return Ok(writer.write_all(&first).await?);
+        head.extend_from_slice(bytes);
+        return Ok(writer.write_all(&head).await?);
     }
-    writer.write_all(&first).await?;
+    writer.write_all(&head).await?;
     let CallBody::Stream {
         first,
         length,
@@ -334,7 +337,7 @@
 /// Guards against a second answer to an earlier request that arrives late,
 /// where the next one is expected: passed on, a caller would get somebody
 /// else's data. Its echoed id tells it; it is read to its end and dropped.
-async fn read_own(
+async fn read_matching_head(
     reader: &mut ReadHalf<'_>,
     codec: &mut ClientCodec,
     received: &mut BytesMut,
@@ -354,11 +357,11 @@
             "event=late-answer-dropped process=node status={}",
             head.status
         );
-        if is_unframed(&head, request) {
+        if is_close_delimited(&head, request) {
             let problem = "an answer to another request ends with the connection";
             return Err(ExchangeError::Broken(problem.to_owned()));
         }
-        skip_body(reader, codec, received).await?;
+        discard_body(reader, codec, received).await?;
     }
 }
 
@@ -390,7 +393,7 @@
     Ok(())
 }
 
-async fn skip_body(
+async fn discard_body(
     reader: &mut ReadHalf<'_>,
     codec: &mut ClientCodec,
     received: &mut BytesMut,
@@ -398,8 +401,8 @@
     if codec.message_type() == MessageType::None {
         return Ok(());
     }
-    let whole = std::mem::take(codec);
-    let mut payload = whole.into_payload_codec();
+    let message = std::mem::take(codec);
+    let mut payload = message.into_payload_codec();
     loop {
         let decoded = payload.decode(received);
         let decoded =
--- a/crates/node/src/hop/idle_shelf.rs
+++ b/crates/node/src/hop/idle_pool.rs
@@ -11,18 +11,18 @@
 
 /// Idle connections kept to one address; more are closed. A backend server
 /// has some ten slots, and a node seldom has more calls at one other node.
-const KEPT_PER_ADDRESS: usize = 32;
+const IDLE_PER_ADDRESS_MAX: usize = 32;
 
-/// Addresses with idle connections beyond which a sweep looks at all.
-const SWEEP_ADDRESSES: usize = 64;
+/// Addresses with idle connections beyond which a remove_expired looks at all.
+const SWEEP_THRESHOLD: usize = 64;
 
 /// Idle connections by address, the last used first.
 #[derive(Default)]
-pub(super) struct IdleShelf {
-    lanes: RefCell<HashMap<SocketAddr, Vec<HopConnection>>>,
+pub(super) struct IdlePool {
+    by_address: RefCell<HashMap<SocketAddr, Vec<HopConnection>>>,
 }
 
-impl IdleShelf {
+impl IdlePool {
     /// The connection used last that still stands.
     ///
     /// Guards against a request sent on a connection that the other side has
@@ -33,41 +33,41 @@
         address: SocketAddr,
         generation: PoolGeneration,
     ) -> Option<HopConnection> {
-        let mut lanes = self.lanes.borrow_mut();
-        let lane = lanes.get_mut(&address)?;
+        let mut by_address = self.by_address.borrow_mut();
+        let connections = by_address.get_mut(&address)?;
         let now = BootInstant::now();
-        while let Some(connection) = lane.pop() {
+        while let Some(connection) = connections.pop() {
             let same = connection.generation() == generation;
-            if same && connection.usable_until() > now && connection.is_quiet() {
+            if same && connection.expires_at() > now && connection.has_no_input() {
                 return Some(connection);
             }
         }
-        lanes.remove(&address);
+        by_address.remove(&address);
         None
     }
 
     /// Keeps a connection whose last answer was read to its end.
     pub fn put(&self, connection: HopConnection) {
-        let mut lanes = self.lanes.borrow_mut();
-        if lanes.len() > SWEEP_ADDRESSES {
-            sweep(&mut lanes);
+        let mut by_address = self.by_address.borrow_mut();
+        if by_address.len() > SWEEP_THRESHOLD {
+            remove_expired(&mut by_address);
         }
-        let lane = lanes.entry(connection.address()).or_default();
-        if lane.len() < KEPT_PER_ADDRESS {
-            lane.push(connection);
+        let connections = by_address.entry(connection.address()).or_default();
+        if connections.len() < IDLE_PER_ADDRESS_MAX {
+            connections.push(connection);
         }
     }
 
     /// Drops every idle connection to `address`.
     pub fn clear(&self, address: SocketAddr) {
-        self.lanes.borrow_mut().remove(&address);
+        self.by_address.borrow_mut().remove(&address);
     }
 }
 
-fn sweep(lanes: &mut HashMap<SocketAddr, Vec<HopConnection>>) {
+fn remove_expired(by_address: &mut HashMap<SocketAddr, Vec<HopConnection>>) {
     let now = BootInstant::now();
-    lanes.retain(|_, lane| {
-        lane.retain(|connection| connection.usable_until() > now);
-        !lane.is_empty()
+    by_address.retain(|_, connections| {
+        connections.retain(|connection| connection.expires_at() > now);
+        !connections.is_empty()
     });
 }
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 
 use crate::hop::hop_connection::HopConnection;
-use crate::hop::idle_shelf::IdleShelf;
+use crate::hop::idle_pool::IdlePool;
 
 /// An answer that broke off before its end.
 pub type ResponseError = PayloadError;
@@ -17,15 +17,15 @@
 pub struct ResponseBody {
     buffered: Bytes,
     connection: Option<HopConnection>,
-    shelf: Rc<IdleShelf>,
+    idle_pool: Rc<IdlePool>,
 }
 
 impl ResponseBody {
-    pub(super) fn new(connection: HopConnection, shelf: Rc<IdleShelf>) -> Self {
+    pub(super) fn new(connection: HopConnection, idle_pool: Rc<IdlePool>) -> Self {
         Self {
             buffered: Bytes::new(),
             connection: Some(connection),
-            shelf,
+            idle_pool,
         }
     }
 
@@ -43,8 +43,8 @@
         }
         if let Some(mut connection) = self.connection.take() {
             if part.is_ok() && connection.is_reusable() {
-                connection.shrink();
-                self.shelf.put(connection);
+                connection.release_buffer();
+                self.idle_pool.put(connection);
             }
         }
         part
@@ -53,15 +53,15 @@
     /// Reads up to `limit` bytes ahead. True where that was all: the answer
     /// is whole, and its connection free again.
     pub async fn buffer(&mut self, limit: usize) -> Result<bool, ResponseError> {
-        let mut held = BytesMut::new();
-        while held.len() < limit {
+        let mut buffer = BytesMut::new();
+        while buffer.len() < limit {
             let Some(part) = self.next_part().await? else {
-                self.buffered = held.freeze();
+                self.buffered = buffer.freeze();
                 return Ok(true);
             };
-            held.extend_from_slice(&part);
+            buffer.extend_from_slice(&part);
         }
-        self.buffered = held.freeze();
+        self.buffered = buffer.freeze();
         Ok(false)
     }
 
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -9,31 +9,31 @@
 use cowslip_core::document::FleetDocument;
 use cowslip_wire::http_listener::ListenerTimes;
 
-use crate::server_check::ServerExpectation;
+use crate::server_check::ConfiguredServer;
 
 /// Told of each configuration that comes into force.
 pub struct InstallHooks {
     /// Set once a configuration is in force.
     pub configured: Rc<Cell<bool>>,
     /// The backend server that the node is told of.
-    pub expectation: ServerExpectation,
+    pub server: ConfiguredServer,
     /// Times that the callers' listener keeps.
-    pub times: watch::Sender<ListenerTimes>,
+    pub listener_times: watch::Sender<ListenerTimes>,
 }
 
 impl InstallHooks {
     /// A configuration has come into force.
     pub(crate) fn installed(&self, document: &FleetDocument) {
         if !self.configured.replace(true) {
-            self.expectation.ask(document);
+            self.server.request_check(document);
         }
-        let own = ListenerTimes::default();
+        let defaults = ListenerTimes::default();
         let millis = |set: Option<u64>| set.map(Duration::from_millis);
         let times = ListenerTimes {
-            head: millis(document.limits.head_ms).unwrap_or(own.head),
-            idle: millis(document.limits.idle_ms).unwrap_or(own.idle),
+            head: millis(document.limits.head_ms).unwrap_or(defaults.head),
+            idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
-        self.times.send_if_modified(|held| {
+        self.listener_times.send_if_modified(|held| {
             let changed = *held != times;
             *held = times;
             changed
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -45,27 +45,27 @@
 /// Serves the backend server's local listener.
 pub struct LocalHandler {
     gate: mpsc::UnboundedSender<GateMessage>,
-    calls: Rc<EntryDesk>,
+    entry: Rc<EntryDesk>,
 }
 
 impl LocalHandler {
     /// Announcements go to `gate`, outbound calls to `calls`.
-    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, calls: Rc<EntryDesk>) -> Self {
-        Self { gate, calls }
+    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, entry: Rc<EntryDesk>) -> Self {
+        Self { gate, entry }
     }
 }
 
 impl HttpHandler for LocalHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
         let gate = self.gate.clone();
-        let calls = Rc::clone(&self.calls);
+        let entry = Rc::clone(&self.entry);
         Box::pin(async move {
             match (request.method(), request.path()) {
                 (&Method::POST, "/announce") => announce(gate, request).await,
-                (&Method::POST, "/drain") => drain(&gate, &calls, &request).await,
+                (&Method::POST, "/drain") => drain(&gate, &entry, &request).await,
                 _ => {
-                    let _under_way = OutboundGuard::begin(gate);
-                    calls
+                    let _guard = OutboundGuard::begin(gate);
+                    entry
                         .serve(request, CallOrigin::Backend, NodeStage::Serving)
                         .await
                 }
@@ -102,24 +102,27 @@
             return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
         }
     };
-    let said: AnnounceBody = match serde_json::from_slice(&body) {
-        Ok(said) => said,
+    let announcement: AnnounceBody = match serde_json::from_slice(&body) {
+        Ok(announcement) => announcement,
         Err(fault) => {
             return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
         }
     };
-    if said.slots == 0 || said.service.is_empty() || said.version.is_empty() {
+    if announcement.slots == 0
+        || announcement.service.is_empty()
+        || announcement.version.is_empty()
+    {
         let problem = "service, version and at least one slot are needed";
         return http_reply::text(StatusCode::BAD_REQUEST, problem);
     }
     let server = AnnouncedServer {
-        service: said.service,
-        version: said.version,
-        slots: said.slots,
+        service: announcement.service,
+        version: announcement.version,
+        slots: announcement.slots,
     };
     let (reply, answer) = oneshot::channel();
     // The gate's task ends only with the node.
-    let _ = gate.send(GateMessage::Announce(server, said.address, reply));
+    let _ = gate.send(GateMessage::Announce(server, announcement.address, reply));
     match answer.await.unwrap_or(Err(PresenceRefusal::NodeStopping)) {
         Ok(()) => http_reply::text(StatusCode::OK, "announced"),
         Err(refusal) => http_reply::text(StatusCode::CONFLICT, refusal.to_string()),
@@ -130,11 +133,11 @@
 /// it all the same.
 async fn drain(
     gate: &mpsc::UnboundedSender<GateMessage>,
-    calls: &EntryDesk,
+    entry: &EntryDesk,
     request: &Request,
 ) -> HttpReply {
     let anyway = request.uri().query() == Some("anyway");
-    if !anyway && calls.is_last_old_server().await {
+    if !anyway && entry.is_last_old_server().await {
         let problem = "refused: the last server of the version in service, and a move \
                        to another is in progress; wait for it, or POST /drain?anyway";
         return http_reply::text(StatusCode::CONFLICT, problem);
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -34,7 +34,7 @@
 use crate::evidence_task;
 use crate::follow_metrics::FollowMetrics;
 use crate::follow_task;
-use crate::follow_task::FollowPlan;
+use crate::follow_task::FollowOptions;
 use crate::gate_task;
 use crate::gate_task::GateEndpoint;
 use crate::gate_task::GateMessage;
@@ -48,7 +48,7 @@
 use crate::peer_handler::PeerDesk;
 use crate::peer_handler::PeerHandler;
 use crate::server_check;
-use crate::server_check::ServerExpectation;
+use crate::server_check::ConfiguredServer;
 
 /// Connections on the nodes' and the local listener. A backend server has
 /// about 100; nodes get ten times that.
@@ -58,14 +58,14 @@
 /// on new connections and leave the old ones open until they are idle: 40 a
 /// second kept for 75 s filled 1,024, and everybody else waited to be taken
 /// for six seconds. 4,096 descriptors bear this many and all others.
-const CALLERS_MAX: usize = 2_400;
+const CALLER_CONNECTIONS_MAX: usize = 2_400;
 
 /// Longest wait for the requests in flight: the longest deadline.
-const STOP_PATIENCE: Duration = Duration::from_secs(600);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Part of a bounded stop that is kept, once the backend server's work has
 /// ended, for its last answers to reach their callers.
-const ANSWERS_TIME: Duration = Duration::from_millis(200);
+const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// The sockets of a node, bound before it runs.
 pub struct NodeSockets {
@@ -101,16 +101,17 @@
 }
 
 /// Puts a handler in front of a listener's own.
-pub type HandlerFront<D> = Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
+pub type HandlerWrapper<D> =
+    Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
 
 /// What the surroundings of a fleet need in front of a node.
 pub struct NodeMiddleware {
     /// How callers and the backend server name headers.
     pub dialect: CallDialect,
     /// In front of the backend server's listener.
-    pub local: HandlerFront<ServerReporter>,
+    pub local: HandlerWrapper<ServerReporter>,
     /// In front of the admin listener.
-    pub admin: HandlerFront<NodeStatus>,
+    pub admin: HandlerWrapper<NodeStatus>,
 }
 
 impl Default for NodeMiddleware {
@@ -143,7 +144,7 @@
     pub async fn left(&self, run: Arc<str>, born_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
         // The gate's task ends only with the node.
-        let _ = self.gate.send(GateMessage::Left(run, born_ms, reply));
+        let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
         let _ = done.await;
     }
 }
@@ -173,11 +174,11 @@
         Self::spawn_with_middleware(settings, sockets, NodeMiddleware::default(), seed)
     }
 
-    /// The same, behind `fronts`.
+    /// The same, behind `middleware`.
     pub fn spawn_with_middleware(
         settings: &NodeSettings,
         sockets: NodeSockets,
-        fronts: NodeMiddleware,
+        middleware: NodeMiddleware,
         seed: u64,
     ) -> io::Result<Self> {
         let mut registry = Registry::default();
@@ -186,23 +187,23 @@
         let instance = Arc::clone(&settings.instance);
         let failure_domain = Arc::clone(&settings.failure_domain);
         let (records, published) = mpsc::unbounded_channel();
-        let place = GateEndpoint {
+        let endpoint = GateEndpoint {
             instance: Arc::clone(&settings.instance),
             failure_domain: Arc::clone(&settings.failure_domain),
             address: sockets.peer.local_addr()?,
             server: settings.server,
         };
         let pools = CallPools::new();
-        let dialect = Rc::new(fronts.dialect);
-        let gate_view = GateStatus::default();
-        let (check, checks) = mpsc::unbounded_channel();
-        let gate = gate_task::spawn_viewed(place, records, gate_view.clone());
-        let expectation = ServerExpectation {
+        let dialect = Rc::new(middleware.dialect);
+        let gate_status = GateStatus::default();
+        let (checks, requested_checks) = mpsc::unbounded_channel();
+        let gate = gate_task::spawn_with_status(endpoint, records, gate_status.clone());
+        let server = ConfiguredServer {
             service: settings.service.clone(),
             address: settings.server,
-            check,
+            checks,
         };
-        let view = NodeStatus {
+        let status = NodeStatus {
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
@@ -212,15 +213,15 @@
             failure_domain,
             gate.clone(),
             InstallHooks {
-                configured: Rc::clone(&view.configured),
-                expectation,
-                times,
+                configured: Rc::clone(&status.configured),
+                server,
+                listener_times: times,
             },
             seed,
         );
         let peers = PeerClient::new(settings.system_key.clone());
         let (controls, watched_controls) = watch::channel(settings.controls.clone());
-        let control = follow_task::spawn(FollowPlan {
+        let control = follow_task::spawn(FollowOptions {
             instance: Arc::clone(&settings.instance),
             failure_domain: Arc::clone(&settings.failure_domain),
             controls: watched_controls,
@@ -243,7 +244,7 @@
         actix_rt::spawn(server_check::run(
             Rc::clone(&pools),
             Rc::clone(&dialect),
-            checks,
+            requested_checks,
             gate.clone(),
         ));
         let desk = Rc::new(EntryDesk {
@@ -251,7 +252,7 @@
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
             system_key: settings.system_key.clone(),
-            view: gate_view.clone(),
+            view: gate_status.clone(),
             entry,
             claims,
             metrics: entry_metrics,
@@ -260,7 +261,7 @@
         let peer_desk = PeerDesk {
             pools,
             dialect,
-            view: gate_view,
+            view: gate_status,
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
@@ -268,18 +269,18 @@
             metrics: server_metrics,
             log: CallLog::new("server"),
         };
-        let stage = Rc::clone(&view.stage);
+        let stage = Rc::clone(&status.stage);
         let callers =
             EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
         let local = Rc::new(LocalHandler::new(gate.clone(), desk));
-        let local = (fronts.local)(ServerReporter { gate: gate.clone() }, local);
+        let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
-        let page = (fronts.admin)(view, Rc::new(page));
+        let page = (middleware.admin)(status, Rc::new(page));
         let listen = HttpListener::spawn;
         let daemon = Self {
             callers: HttpListener::spawn_ahead(
                 sockets.callers,
-                CALLERS_MAX,
+                CALLER_CONNECTIONS_MAX,
                 Rc::new(callers),
                 watched_times,
             )?,
@@ -338,20 +339,20 @@
     pub async fn stop(self) -> bool {
         match self.stop_within {
             Some(within) => self.stop_within(within).await,
-            None => self.stop_patiently().await,
+            None => self.drain_and_stop().await,
         }
     }
 
-    async fn stop_patiently(self) -> bool {
+    async fn drain_and_stop(self) -> bool {
         self.stage.set(NodeStage::Stopping);
         let _ = self.gate.send(GateMessage::Stop);
         actix_rt::time::sleep(self.drain_notice).await;
-        let mut whole = self.callers.stop(STOP_PATIENCE).await;
-        whole &= self.peer.stop(STOP_PATIENCE).await;
+        let mut drained = self.callers.stop(DRAIN_TIMEOUT).await;
+        drained &= self.peer.stop(DRAIN_TIMEOUT).await;
         // Last of the three: what the backend server still runs for others
         // may need calls of its own.
-        whole &= self.local.stop(STOP_PATIENCE).await;
-        whole & self.admin.stop(STOP_PATIENCE).await
+        drained &= self.local.stop(DRAIN_TIMEOUT).await;
+        drained & self.admin.stop(DRAIN_TIMEOUT).await
     }
 
     /// A stop whose time is bounded; true where nothing was cut.
@@ -373,10 +374,13 @@
         self.stage.set(NodeStage::Ending(end));
         // Before the callers' listener closes: its work for others may need
         // calls of its own, which come in there.
-        let mut whole = self.peer.stop(left().saturating_sub(ANSWERS_TIME)).await;
+        let mut drained = self
+            .peer
+            .stop(left().saturating_sub(ANSWER_FLUSH_TIME))
+            .await;
         self.stage.set(NodeStage::Stopping);
-        whole &= self.callers.stop(left()).await;
-        whole &= self.local.stop(left()).await;
-        whole & self.admin.stop(left()).await
+        drained &= self.callers.stop(left()).await;
+        drained &= self.local.stop(left()).await;
+        drained & self.admin.stop(left()).await
     }
 }
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -32,24 +32,24 @@
 
 /// Time for the health page; a server that is full answers later, and
 /// reports by itself soon.
-const CHECK_TIME: Duration = Duration::from_millis(500);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Slots that a server is taken to have until it reports: fewer than any of
 /// the users' has.
-const SLOTS_UNTIL_REPORT: u32 = 4;
+const PROVISIONAL_SLOTS: u32 = 4;
 
 /// Bytes of the page that are read so that its connection can be used again.
 const PAGE_BYTES_MAX: usize = 4 * 1024;
 
 /// The server that a node is told of by its settings.
 #[derive(Clone, Debug)]
-pub struct ServerExpectation {
+pub struct ConfiguredServer {
     /// Its service.
     pub service: Option<Arc<str>>,
     /// Where it listens.
     pub address: Option<SocketAddr>,
     /// Where checks are asked for.
-    pub check: mpsc::UnboundedSender<ServerCheck>,
+    pub checks: mpsc::UnboundedSender<ServerCheck>,
 }
 
 /// A check to be made.
@@ -60,37 +60,39 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its health page.
-    pub page: Uri,
+    pub health_page: Uri,
 }
 
-impl ServerExpectation {
+impl ConfiguredServer {
     /// Asks for a check where `document` leaves no doubt of the version.
     ///
     /// Guards against a server of a version that was just taken back: it is
     /// still there for a while, and must get no calls as one of the version
     /// in service.
-    pub fn ask(&self, document: &FleetDocument) {
+    pub fn request_check(&self, document: &FleetDocument) {
         let (Some(service), Some(address)) = (&self.service, self.address) else {
             return;
         };
         let Some(spec) = document.services.get(service) else {
             return;
         };
-        let sure = spec.candidate.is_none() && spec.withdrawn.is_empty();
-        let page = spec.health_path.as_ref().and_then(|path| path.parse().ok());
-        let (Some(page), true, false) = (page, sure, spec.takes_any_version()) else {
+        let unambiguous = spec.candidate.is_none() && spec.withdrawn.is_empty();
+        let health_page = spec.health_path.as_ref().and_then(|path| path.parse().ok());
+        let (Some(health_page), true, false) =
+            (health_page, unambiguous, spec.takes_any_version())
+        else {
             return;
         };
         let server = AnnouncedServer {
             service: Arc::clone(service),
             version: Arc::clone(&spec.version),
-            slots: SLOTS_UNTIL_REPORT,
+            slots: PROVISIONAL_SLOTS,
         };
         // The task ends only with the node.
-        let _ = self.check.send(ServerCheck {
+        let _ = self.checks.send(ServerCheck {
             server,
             address,
-            page,
+            health_page,
         });
     }
 }
@@ -103,7 +105,7 @@
     gate: mpsc::UnboundedSender<GateMessage>,
 ) {
     while let Some(check) = checks.recv().await {
-        let Some(run) = healthy_run(&pools, &dialect, &check).await else {
+        let Some(run) = request_run(&pools, &dialect, &check).await else {
             continue;
         };
         info!(
@@ -111,12 +113,12 @@
             check.address
         );
         // The gate's task ends only with the node.
-        let _ = gate.send(GateMessage::Found(run, check.server, check.address));
+        let _ = gate.send(GateMessage::RunFound(run, check.server, check.address));
     }
 }
 
 /// The run that says of itself that it is healthy.
-async fn healthy_run(
+async fn request_run(
     pools: &CallPools,
     dialect: &CallDialect,
     check: &ServerCheck,
@@ -126,12 +128,12 @@
     headers.insert(HOST, host);
     let request = HopRequest {
         method: Method::GET,
-        target: check.page.clone(),
+        target: check.health_page.clone(),
         headers,
         request_id_header: dialect.request_id.clone(),
     };
     let mut body = CallBody::Held(Bytes::new());
-    let sending = pools.send(check.address, &request, &mut body, CHECK_TIME);
+    let sending = pools.send(check.address, &request, &mut body, CHECK_TIMEOUT);
     let mut answer = sending.await.ok()?;
     if answer.head.status != StatusCode::OK {
         return None;
--- a/crates/node/src/server_probe.rs
+++ b/crates/node/src/server_probe.rs
@@ -10,9 +10,9 @@
 use crate::gate_task::GateMessage;
 
 /// Time between looks while nothing listens. A restart takes longer.
-const PROBE_PAUSE: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a look found.
+/// What a probe found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// The connection was refused: nothing listens.
@@ -21,12 +21,12 @@
     Listening,
 }
 
-/// Looks until the address does not refuse any more, and reports each look.
+/// Looks until the address does not refuse any more, and reports each probe.
 /// Only a refusal counts as lost: the server's own instance answers it at
 /// once, and a server that is merely slow never gives one.
 pub async fn watch(address: SocketAddr, gate: mpsc::WeakUnboundedSender<GateMessage>) {
     loop {
-        let result = look(address).await;
+        let result = probe(address).await;
         let Some(gate) = gate.upgrade() else {
             return;
         };
@@ -36,13 +36,13 @@
             return;
         }
         drop(gate);
-        actix_rt::time::sleep(PROBE_PAUSE).await;
+        actix_rt::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-async fn look(address: SocketAddr) -> ProbeResult {
+async fn probe(address: SocketAddr) -> ProbeResult {
     let connecting = TcpStream::connect(address);
-    match actix_rt::time::timeout(PROBE_PAUSE, connecting).await {
+    match actix_rt::time::timeout(PROBE_INTERVAL, connecting).await {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
             ProbeResult::Refused
         }
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -23,7 +23,7 @@
     pub reply: oneshot::Sender<TryAnswer>,
     /// When it came, from the node's start.
     arrived_at: Duration,
-    until: Duration,
+    expires_at: Duration,
     /// Why it could not be served yet.
     refusal: CallRefusal,
 }
@@ -39,7 +39,7 @@
 }
 
 /// True for a refusal that a configuration or directory to come may end.
-fn may_pass(refusal: CallRefusal) -> bool {
+fn is_temporary(refusal: CallRefusal) -> bool {
     matches!(
         refusal.reason,
         RefusalReason::NoConfiguration | RefusalReason::NoEndpoint
@@ -66,8 +66,8 @@
         refusal: CallRefusal,
         reply: oneshot::Sender<TryAnswer>,
     ) {
-        let until = startup_wait::wait_until(now, head.deadline, self.calls.len());
-        let Some(until) = until.filter(|_| may_pass(refusal)) else {
+        let expires_at = startup_wait::wait_until(now, head.deadline, self.calls.len());
+        let Some(expires_at) = expires_at.filter(|_| is_temporary(refusal)) else {
             // A caller that left needs no answer.
             let _ = reply.send(Err(refusal));
             return;
@@ -76,7 +76,7 @@
             head,
             reply,
             arrived_at: now,
-            until,
+            expires_at,
             refusal,
         });
     }
@@ -88,7 +88,7 @@
 
     /// Puts back a call that was refused again, or answers it with that.
     pub fn requeue_or_refuse(&mut self, call: QueuedCall, refusal: CallRefusal) {
-        if may_pass(refusal) {
+        if is_temporary(refusal) {
             self.calls.push(QueuedCall { refusal, ..call });
         } else {
             let _ = call.reply.send(Err(refusal));
@@ -101,7 +101,7 @@
             if call.reply.is_closed() {
                 continue;
             }
-            if now < call.until {
+            if now < call.expires_at {
                 self.calls.push(call);
                 continue;
             }
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -28,7 +28,7 @@
 use cowslip_node::entry_task::OwnedHead;
 use cowslip_node::entry_task::TryAnswer;
 use cowslip_node::install_hooks::InstallHooks;
-use cowslip_node::server_check::ServerExpectation;
+use cowslip_node::server_check::ConfiguredServer;
 use cowslip_wire::http_listener::ListenerTimes;
 
 fn run(test: impl Future<Output = ()>) {
@@ -37,15 +37,15 @@
 
 fn entry() -> mpsc::Sender<EntryMessage> {
     let (gate, _) = mpsc::unbounded_channel();
-    let (check, _) = mpsc::unbounded_channel();
+    let (checks, _) = mpsc::unbounded_channel();
     let hooks = InstallHooks {
         configured: Rc::new(Cell::new(false)),
-        expectation: ServerExpectation {
+        server: ConfiguredServer {
             service: None,
             address: None,
-            check,
+            checks,
         },
-        times: watch::channel(ListenerTimes::default()).0,
+        listener_times: watch::channel(ListenerTimes::default()).0,
     };
     entry_task::spawn("records-1".into(), "voss".into(), gate, hooks, 1)
 }
