--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -141,7 +141,7 @@
 
     /// The run of this name, started at `born_ms` where that is known, takes
     /// no more work; true here once this returns.
-    pub async fn left(&self, run: Arc<str>, born_ms: Option<u64>) {
+    pub async fn run_left(&self, run: Arc<str>, born_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
         // The gate's task ends only with the node.
         let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
