--- a/crates/node/src/evidence_task.rs
+++ b/crates/node/src/evidence_task.rs
@@ -1,4 +1,5 @@
-//! Lets the node's guard look at its counts, and reports them to control.
+//! Evaluates the node's rollout guard periodically and reports its counts to
+//! the control instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,13 +17,13 @@
 
 use crate::entry_task::EntryMessage;
 
-/// A report not taken within this time is given up on: the next one holds
-/// all that it held.
+/// Timeout of a report. A lost report needs no retry, because the next one
+/// contains all of its counts.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts looking and reporting to the control instance in use, every `pause`
-/// while a service is under a move. The looks go on whatever becomes of the
-/// reports.
+/// Starts evaluating the guard, and reporting to the control instance in use
+/// every `pause` while a service is under a move. Failed reports do not stop the
+/// evaluation.
 pub fn spawn(
     entry: mpsc::Sender<EntryMessage>,
     client: PeerClient,
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what a node passed over while it followed.
+//! Counters of the updates that a node skipped and the polls that failed.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
@@ -6,7 +6,7 @@
 use cowslip_core::version_follower::FollowCounts;
 use cowslip_wire::metric_start;
 
-/// Counters of one follower, fed from its own counts.
+/// Counters of a follower, updated from the follower's own counts.
 #[derive(Clone)]
 pub struct FollowMetrics {
     last_counts: FollowCounts,
@@ -19,7 +19,7 @@
 }
 
 impl FollowMetrics {
-    /// Counters registered under `cowslip_follow`, all of them at zero.
+    /// Registers the counters under `cowslip_follow`, all at zero.
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_follow");
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes over the counts of the follower.
+    /// Adds what the follower counted since the last update.
     pub fn update(&mut self, counts: FollowCounts) {
         self.stale.inc_by(counts.stale - self.last_counts.stale);
         self.damaged
@@ -69,12 +69,12 @@
         self.last_counts = counts;
     }
 
-    /// A question got no answer.
+    /// Counts a poll that got no answer.
     pub fn count_failure(&self) {
         self.failed.inc();
     }
 
-    /// A control instance said when to come back.
+    /// Counts a poll whose answer asked for a later retry.
     pub fn count_later(&self) {
         self.told_later.inc();
     }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -1,4 +1,5 @@
-//! Follows control instances and tells them of this node.
+//! Fetches configuration and directory updates from control instances, and
+//! publishes the node's own endpoint record to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,20 +36,23 @@
 use crate::follow_metrics::FollowMetrics;
 use crate::gate_task::GateMessage;
 
-/// An answer is given up on this long after it was due, and the next
-/// instance is asked; for short waits sooner.
+/// Longest time past the poll wait before an answer counts as lost and the next
+/// control instance is tried.
 const ANSWER_MARGIN_MAX: Duration = Duration::from_secs(2);
+
+/// Margin past the poll wait, in addition to the wait itself, where that is
+/// shorter than [`ANSWER_MARGIN_MAX`].
 const ANSWER_MARGIN_MIN: Duration = Duration::from_millis(200);
 
-/// Longest wait after failures, in multiples of the wait for news.
+/// Longest backoff after failures, in multiples of the poll wait.
 const BACKOFF_FACTOR: f64 = 2.5;
 
-/// Part of the wait for news that a node without any configuration waits after
-/// a failure at most. A source that is up holds its question that whole wait,
-/// so that only refused connections follow each other this quickly.
+/// Divisor of the poll wait that gives the longest backoff of a node without
+/// any configuration. A control instance that is up holds a poll for the whole
+/// wait, so that only refused connections are retried this quickly.
 const STARTUP_DIVISOR: u32 = 2;
 
-/// How a node paces its questions.
+/// Timing of a node's polls.
 #[derive(Clone, Copy, Debug)]
 struct FollowPace {
     wait: Duration,
@@ -68,32 +72,35 @@
     }
 }
 
-/// A report or a chunk is answered at once; so it is given up on earlier.
+/// Timeout of reports and chunk requests. They are answered at once, so it is
+/// shorter than that of a poll.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What following needs.
+/// Options of the follow task.
 pub struct FollowOptions {
     /// Name of the node's instance.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Control instances; they may change.
+    /// Addresses of the control instances; they may change.
     pub controls: watch::Receiver<Vec<SocketAddr>>,
-    /// Spreads the nodes over them, and their waits.
+    /// Seed that spreads the nodes over the control instances, and jitters the
+    /// backoff.
     pub seed: u64,
-    /// Wait that is asked of them where they have no news.
+    /// How long a control instance holds a poll while it has no updates.
     pub wait: Duration,
-    /// Sends messages to them.
+    /// Client for the control instances.
     pub client: PeerClient,
-    /// Where news go.
+    /// Receives updates.
     pub entry: mpsc::Sender<EntryMessage>,
-    /// Where records of the node's own endpoint go.
+    /// Receives the directory's records of the node's own endpoint.
     pub gate: mpsc::UnboundedSender<GateMessage>,
-    /// Counters of what is passed over.
+    /// Counters of skipped updates and failed polls.
     pub metrics: FollowMetrics,
 }
 
-/// Follows news for ever; which control instance is followed can be watched.
+/// Starts following. The returned channel holds the address of the control
+/// instance in use.
 pub fn spawn(options: FollowOptions) -> watch::Receiver<SocketAddr> {
     let first = options.seed as usize;
     let domain = Arc::clone(&options.failure_domain);
@@ -127,15 +134,15 @@
     started: Instant,
 }
 
-/// What follows a question.
+/// Result of a poll that was answered.
 enum PollOutcome {
-    /// The source answered and stays in use.
+    /// Keep polling the same control instance.
     Stay,
-    /// The source answered and cannot help, or another is nearer.
+    /// The control instance cannot help, or another is nearer.
     Switch,
-    /// The source answered and cannot tell whether it is behind.
+    /// The control instance cannot tell whether its state is current.
     Unconfirmed,
-    /// The source said when to come back.
+    /// The control instance asked for the next poll after this time.
     RetryAfter(Duration),
 }
 
@@ -182,10 +189,12 @@
         }
     }
 
+    /// Applies changed addresses.
+    ///
     /// Guards against a node whose control instances were all replaced while
-    /// it slept: it would ask addresses that nobody serves any more for ever.
+    /// it waited: it would poll addresses that nobody serves any more forever.
     fn update_controls(&mut self) {
-        // An error means that nobody can change them any more.
+        // An error means that the sender is gone and the addresses are final.
         if !self.options.controls.has_changed().unwrap_or(false) {
             return;
         }
@@ -206,7 +215,7 @@
         }
     }
 
-    /// One question and what it brings.
+    /// Polls the control instance in use and applies its answer.
     async fn poll(&mut self) -> Result<PollOutcome, PeerError> {
         let call = FollowCall {
             follower: Arc::clone(&self.options.instance),
@@ -250,8 +259,8 @@
         if self.ring.answered(self.started.elapsed(), &domain) {
             self.current.send_replace(self.ring.current());
         }
-        // Guards against a node that stays with an instance cut off from the
-        // leader: it answers well, and never has news.
+        // Guards against staying with a control instance that is cut off from
+        // the leader: it answers, but never has updates.
         if unconfirmed {
             return Ok(PollOutcome::Unconfirmed);
         }
@@ -262,7 +271,7 @@
         let run = self.directory.place().run;
         let changed = self.directory.take(news);
         if self.directory.place().run != run {
-            // The gate's task ends only with the node.
+            // The gate task ends only with the node.
             let _ = self.options.gate.send(GateMessage::Republish);
         }
         for record in &changed {
@@ -279,8 +288,8 @@
         let _ = self.options.entry.send(news).await;
     }
 
-    /// Fetches chunks as long as the follower wants them, after the one that
-    /// came along.
+    /// Fetches chunks until the follower needs no more. `first_chunk` is the one
+    /// that came with the answer.
     async fn fetch(
         &mut self,
         address: SocketAddr,
@@ -301,8 +310,8 @@
         Ok(step)
     }
 
-    /// Hands a snapshot to the routing, which validates it and swaps, and
-    /// hears what became of it.
+    /// Sends a snapshot to the entry task, which validates and installs it, and
+    /// records the outcome.
     async fn offer(&mut self, snapshot: ConfigSnapshot) {
         let news = EntryMessage::Install(Some(snapshot), Vec::new());
         if self.options.entry.send(news).await.is_err() {
@@ -320,8 +329,8 @@
     report.await.ok()
 }
 
-/// Tells the control instance in use of each new record of the node's own
-/// endpoint; of several that wait, the last.
+/// Reports each new record of the node's own endpoint to the control instance in
+/// use. Of several waiting records only the last is sent.
 pub async fn publish(
     control: watch::Receiver<SocketAddr>,
     seed: u64,
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -1,5 +1,5 @@
-//! The task that owns the backend server's gate: its slots, its drain, and
-//! what the directory is told of it.
+//! Task that owns the gate of the backend server: it grants slots, drains the
+//! server and publishes the server's endpoint record to the directory.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -39,86 +39,87 @@
 use crate::server_probe;
 use crate::server_probe::ProbeResult;
 
-/// Where the node's own endpoint stands in the fleet.
+/// Identity and addresses of the node's own endpoint.
 #[derive(Clone, Debug)]
 pub struct GateEndpoint {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Where its node listens for other nodes.
+    /// Address on which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Where the backend server listens, where the node is told.
+    /// Address of the backend server, if the settings name one.
     pub server: Option<SocketAddr>,
 }
 
-/// A slot for one call.
+/// A slot granted to one call.
 #[derive(Clone, Debug)]
 pub struct SlotGrant {
-    /// Where the backend server listens.
+    /// Address of the backend server.
     pub server: SocketAddr,
-    /// True where the backend server is past its cold start.
+    /// True if the backend server is past its cold start.
     pub warm: bool,
-    /// Run of the backend server, where it names its runs.
+    /// Run of the backend server, if it names its runs.
     pub run: Option<Arc<str>>,
 }
 
-/// What a backend server that reports itself over and over says.
+/// A periodic report from a backend server.
 #[derive(Clone, Debug)]
 pub struct ServerReport {
-    /// Its run.
+    /// The run that sent the report.
     pub run: RunReport,
-    /// What it runs.
+    /// Service, version and slots.
     pub server: AnnouncedServer,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
 }
 
-/// What became of an announcement.
+/// Result of an announcement.
 pub type AnnounceAnswer = Result<(), PresenceRefusal>;
 
-/// What became of a call that wants a slot.
+/// Result of a request for a slot.
 pub type SlotAnswer = Result<SlotGrant, RefusalReason>;
 
-/// What others ask of the task.
+/// Messages to the gate task.
 #[derive(Debug)]
 pub enum GateMessage {
-    /// The backend server announced itself; it listens at the address.
+    /// The backend server at this address announced itself.
     Announce(AnnouncedServer, SocketAddr, oneshot::Sender<AnnounceAnswer>),
-    /// The backend server reports itself; answered once it is in force here.
+    /// A periodic report; answered once the gate has applied it.
     Report(ServerReport, oneshot::Sender<()>),
-    /// A run that has not reported yet was found healthy at the address.
+    /// A health check found a run that has not reported yet.
     RunFound(Arc<str>, AnnouncedServer, SocketAddr),
-    /// The run of this name, started at this time where known, has left.
+    /// The run takes no more work. The time is its start in milliseconds, if
+    /// known; answered once the gate has applied it.
     RunLeft(Arc<str>, Option<u64>, oneshot::Sender<()>),
-    /// The backend server is leaving.
+    /// The backend server shuts down: drain it.
     Drain,
-    /// The whole node is leaving.
+    /// The node shuts down.
     Stop,
-    /// No connection to the backend server could be made.
+    /// A connection to the backend server failed.
     Unreachable,
-    /// Whether anything listens at the backend server's address.
+    /// Result of a probe of the backend server's address.
     Probed(SocketAddr, ProbeResult),
-    /// A call wants a slot.
+    /// A call requests a slot.
     AcquireSlot(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
-    /// A call is over, or whoever waited for its slot has left.
+    /// A call ended, or its caller stopped waiting for a slot.
     ReleaseSlot(CallTicket, SlotOutcome),
-    /// The backend server sends a call of its own.
+    /// The backend server started an outbound call.
     OutboundBegin,
-    /// One of those calls has been answered or given up.
+    /// An outbound call of the backend server was answered or cancelled.
     OutboundEnd,
-    /// The directory has this record of the node's own endpoint.
+    /// The directory's current record of the node's own endpoint.
     Reconcile(Box<EndpointRecord>),
-    /// The source has changed; it may not know the endpoint's last record.
+    /// The control instance changed and may lack the endpoint's last record.
     Republish,
-    /// Bounds of the queue, by service, changed.
+    /// New queue bounds, by service.
     Configure(GateBounds),
 }
 
-/// The queue's bounds by service, from the configuration in force.
+/// Queue bounds by service, from the configuration in force.
 pub type GateBounds = HashMap<Arc<str>, QueueBounds>;
 
-/// What can be seen of the gate at any time.
+/// Current figures of the gate, shared with the handlers.
 #[derive(Clone, Debug, Default)]
 pub struct GateStatus {
     expected_wait: Rc<Cell<Duration>>,
@@ -127,17 +128,17 @@
 }
 
 impl GateStatus {
-    /// How long a call that came now would wait for a slot.
+    /// Expected wait for a slot of a call that arrives now.
     pub fn expected_wait(&self) -> Duration {
         self.expected_wait.get()
     }
 
-    /// How likely a request that the server runs now repeats earlier work.
+    /// Probability that a request the server runs now repeats earlier work.
     pub fn repeat_probability(&self) -> RepeatProbability {
         self.repeat_probability.get()
     }
 
-    /// What a job on `route` takes lately, where that is known.
+    /// Recent service time of calls on `route`, if known.
     pub fn service_time(&self, route: &str) -> Option<Duration> {
         self.service_times.borrow().get(route).copied()
     }
@@ -160,7 +161,8 @@
     records: mpsc::UnboundedSender<EndpointRecord>,
 }
 
-/// Starts the task; each change of the endpoint's record goes to `records`.
+/// Starts the task. It sends each change of the endpoint's record to
+/// `records`.
 pub fn spawn(
     endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
@@ -168,14 +170,14 @@
     spawn_with_status(endpoint, records, GateStatus::default())
 }
 
-/// The same, with a view that it keeps up to date.
+/// Starts the task and keeps `status` up to date.
 pub fn spawn_with_status(
     endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
     status: GateStatus,
 ) -> mpsc::UnboundedSender<GateMessage> {
-    // Unbounded: every sender waits for its answer or sends one end for
-    // each slot, so there are at most as many messages as connections.
+    // Unbounded: every sender waits for its answer or sends one release for
+    // each slot, so the connection limit also limits the queued messages.
     let (sender, receiver) = mpsc::unbounded_channel();
     let task = GateTask {
         status,
@@ -347,7 +349,8 @@
         self.publish();
     }
 
-    /// A run that was lost reports again, or says something new of itself.
+    /// Applies a report of the current run: the server is reachable again, or
+    /// its service, version or slots changed.
     fn continue_run(&mut self, server: AnnouncedServer) {
         let back = self.presence.reachable();
         if !back && self.gate.announced() == Some(&server) {
@@ -361,7 +364,7 @@
         self.publish();
     }
 
-    /// No new work from now on; what waits is sent elsewhere.
+    /// Stops granting slots; waiting calls are refused and go to other servers.
     fn withdraw(&mut self, event: &str) {
         info!(
             "event={event} process=node instance={}",
@@ -372,7 +375,7 @@
         self.publish();
     }
 
-    /// Looks whether anything listens at the backend server's address.
+    /// Starts probing the backend server's address, unless a probe is running.
     fn probe(&mut self) {
         let (Some(address), false) = (self.server, self.probing) else {
             return;
@@ -414,7 +417,7 @@
             let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
-            // A call that stopped waiting releases its ticket itself.
+            // A caller that stopped waiting sends `ReleaseSlot` itself.
             let _ = waiter.send(answer);
         }
     }
@@ -470,7 +473,8 @@
     }
 }
 
-/// Ends when the gate has something to do, or never.
+/// Completes at `at`, an offset from `started`; never completes if it is
+/// `None`.
 async fn wait_until(started: BootInstant, at: Option<Duration>) {
     match at {
         Some(at) => sleep(at.saturating_sub(started.elapsed())).await,
--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -1,9 +1,9 @@
-//! Calls to the next hop, another node or the backend server, over
-//! connections of our own.
+//! HTTP client for the next hop: another node or the backend server.
 //!
-//! The HTTP library's codec reads and writes; when a connection may be used
-//! again, and which answer belongs to which request, is decided here, since
-//! the library's pool cannot be told. One request is in flight on each.
+//! The HTTP library's codec encodes and decodes. This module keeps its own
+//! connection pool, because the library's pool cannot be told when a
+//! connection may be reused or which response belongs to which request. Each
+//! connection carries one request at a time.
 
 pub use self::hop_client::HopClient;
 pub use self::hop_client::HopOptions;
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the next hop and gives back answers.
+//! Sends requests to the next hop and returns the responses.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,22 +22,22 @@
 use crate::hop::idle_pool::IdlePool;
 use crate::hop::response_body::ResponseBody;
 
-/// What differs between hops.
+/// Options of a hop client.
 #[derive(Clone, Copy, Debug)]
 pub struct HopOptions {
-    /// Time to connect.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 pub struct HopResponse {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The rest.
+    /// Body, which may still be arriving.
     pub body: ResponseBody,
 }
 
-/// Connections to next hops.
+/// HTTP client with a pool of idle connections.
 pub struct HopClient {
     options: HopOptions,
     config: ServiceConfig,
@@ -45,7 +45,7 @@
 }
 
 impl HopClient {
-    /// No connections yet.
+    /// Creates a client without connections.
     pub fn new(options: HopOptions) -> Self {
         Self {
             options,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer up to `left`.
+    /// Sends a request and waits up to `limit` for the head of the response.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -97,14 +97,15 @@
                     "event=exchange-broken process=node to={address} error={}",
                     LogValue(error)
                 );
-                // What ended one connection has often ended the others too.
+                // A failure of one connection to an address often affects the
+                // others too.
                 self.idle_pool.clear(address);
                 Err(may_have_run(RefusalReason::ConnectionBroken))
             }
         }
     }
 
-    /// Drops idle connections to an address that is not used any more.
+    /// Closes the idle connections to an address that is no longer used.
     pub fn drop_idle(&self, address: SocketAddr) {
         self.idle_pool.clear(address);
     }
@@ -134,7 +135,7 @@
     }
 }
 
-/// How far a send has come when its time runs out.
+/// How far a send got before its timeout.
 #[derive(Clone, Copy)]
 enum SendStage {
     Connecting,
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the next hop.
+//! A connection to the next hop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,35 +40,37 @@
 use crate::call_forward::CallBody;
 use crate::hop::hop_request::HopRequest;
 
-/// Idle time after which a connection is not used again, where the other
-/// side states none. Servers commonly close after ten seconds or more.
+/// Idle timeout of a connection if the other side states none. Servers commonly
+/// close idle connections after ten seconds or more.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long before the other side's stated idle time a connection is given
-/// up: a request must not meet the close on its way.
+/// A connection expires this long before the idle timeout that the other side
+/// states, so that a request does not cross with the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time without an acknowledgement of sent bytes after which a connection is
-/// broken off: some ten round trips between failure domains, with resends.
+/// Time without an acknowledgement of sent bytes after which the kernel closes a
+/// connection: about ten round trips between failure domains, with
+/// retransmissions.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A silent connection is probed after this long, and as often.
+/// Silence after which the first keepalive probe is sent, and the interval
+/// between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes that end a connection.
+/// Unanswered keepalive probes after which a connection is closed.
 const KEEPALIVE_PROBES_MAX: u32 = 2;
 
-/// Header that states the other side's idle time.
+/// Header that states the other side's idle timeout.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Why an exchange gave no answer.
+/// Why an exchange returned no response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
-    /// The connection broke, or what came is no answer.
+    /// The connection failed, or the received bytes are not a valid response.
     #[error("{0}")]
     Broken(String),
-    /// The request's own body did not arrive whole.
-    #[error("the request's body broke off")]
+    /// The body of the request ended early or could not be read.
+    #[error("the request body ended early")]
     BodyBroken,
 }
 
@@ -78,7 +80,7 @@
     }
 }
 
-/// A connection with no request on it, or with an answer being read.
+/// A connection that is idle or has a response in progress.
 pub(super) struct HopConnection {
     stream: TcpStream,
     address: SocketAddr,
@@ -89,20 +91,20 @@
     expires_at: BootInstant,
 }
 
-/// What of an answer is still to come.
+/// What remains to be read of the current response.
 enum ReadState {
     /// Nothing; the next request may be sent.
     Idle(ClientCodec),
-    /// A body whose end the codec finds.
+    /// A body whose end the codec detects.
     Framed(ClientPayloadCodec),
-    /// Everything until the connection ends.
+    /// A body that ends when the connection closes.
     UntilClose,
-    /// The connection is of no more use.
+    /// The connection cannot be used any more.
     Unusable,
 }
 
 impl HopConnection {
-    /// Connects, with the kernel watching for silence.
+    /// Opens a connection with TCP keepalive and a user timeout.
     pub async fn open(
         address: SocketAddr,
         generation: PoolGeneration,
@@ -134,21 +136,21 @@
         self.expires_at
     }
 
-    /// True where nothing has come since the last answer, not even the end.
+    /// True if neither bytes nor a close arrived since the last response.
     pub fn has_no_input(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// True once the answer has been read to its end and the connection may
-    /// carry another request.
+    /// True if the response was read to its end and the connection may carry
+    /// another request.
     pub fn is_reusable(&self) -> bool {
         let idle = matches!(self.read_state, ReadState::Idle(_));
         self.reusable && idle && self.received.is_empty()
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     pub async fn exchange(
         &mut self,
         request: &HopRequest,
@@ -156,7 +158,7 @@
     ) -> Result<ResponseHead, ExchangeError> {
         let previous = std::mem::replace(&mut self.read_state, ReadState::Unusable);
         let ReadState::Idle(mut codec) = previous else {
-            let problem = "an answer is still being read";
+            let problem = "the previous response is still being read";
             return Err(ExchangeError::Broken(problem.to_owned()));
         };
         let mut head_bytes = BytesMut::new();
@@ -173,9 +175,9 @@
             loop {
                 tokio::select! {
                     done = &mut sending, if !sent => {
-                        // Guards against a refusal that is lost because the
-                        // sender was cut off in the middle of a long body:
-                        // the answer may have been sent before the reset.
+                        // Guards against losing a refusal because sending a
+                        // long body failed midway: the other side may have
+                        // sent its response before it reset the connection.
                         if let Err(ExchangeError::BodyBroken) = done {
                             return Err(ExchangeError::BodyBroken);
                         }
@@ -185,8 +187,8 @@
                 }
             }
         };
-        // Guards against bytes of the next request that the other side takes
-        // for the rest of a body which it answered before its end.
+        // Guards against a server that responds before it has read the whole
+        // body: it would read the next request as the rest of that body.
         self.reusable = sent && codec.keep_alive();
         self.update_expiry(&head.headers);
         self.read_state = match codec.message_type() {
@@ -214,7 +216,7 @@
         self.expires_at = BootInstant::now() + idle;
     }
 
-    /// The next part of the answer's body; `None` at its end.
+    /// Reads the next part of the response body; `None` at its end.
     pub async fn next_part(&mut self) -> Result<Option<Bytes>, PayloadError> {
         loop {
             match &mut self.read_state {
@@ -237,8 +239,8 @@
             if read.map_err(PayloadError::Io)? > 0 {
                 continue;
             }
-            // Guards against an answer cut short that looks complete: only
-            // one without a stated length ends with its connection.
+            // Guards against a truncated response that looks complete: a
+            // close ends only a body without a stated length.
             let complete = matches!(self.read_state, ReadState::UntilClose);
             self.read_state = ReadState::Unusable;
             if complete {
@@ -256,14 +258,14 @@
         }
     }
 
-    /// Frees what an idle connection does not need.
+    /// Frees the receive buffer, which an idle connection does not need.
     pub fn release_buffer(&mut self) {
         self.received = BytesMut::new();
     }
 }
 
-/// True for an answer whose body has no stated length: it ends with its
-/// connection, whatever the codec takes it for.
+/// True for a response whose body has no stated length and ends when the
+/// connection closes, whatever the codec reports for it.
 fn is_close_delimited(head: &ResponseHead, request: &HopRequest) -> bool {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
     let framed = head.headers.contains_key(CONTENT_LENGTH)
@@ -271,9 +273,10 @@
     !framed && request.method != Method::HEAD && !bodiless.contains(&head.status)
 }
 
-/// Guards against a connection that something on the way has lost track of:
-/// nothing comes back, not even a reset, and every call on it would wait for
-/// its deadline. The kernel ends it within [`UNACKNOWLEDGED_TIMEOUT`].
+/// Guards against a connection whose state was lost on the path, for example in
+/// a firewall: nothing comes back, not even a reset, and every call on it would
+/// wait for its deadline. The kernel closes it within
+/// [`UNACKNOWLEDGED_TIMEOUT`].
 fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
@@ -332,11 +335,12 @@
     writer.write_all(b"\r\n").await
 }
 
-/// Reads answers until the one that belongs to `request`.
+/// Reads response heads until the one that belongs to `request`.
 ///
-/// Guards against a second answer to an earlier request that arrives late,
-/// where the next one is expected: passed on, a caller would get somebody
-/// else's data. Its echoed id tells it; it is read to its end and dropped.
+/// Guards against a late second response to an earlier request: passed on as
+/// the response to the next request, it would give a caller somebody else's
+/// data. It is recognized by its echoed request id, read to its end and
+/// dropped.
 async fn read_matching_head(
     reader: &mut ReadHalf<'_>,
     codec: &mut ClientCodec,
@@ -358,7 +362,7 @@
             head.status
         );
         if is_close_delimited(&head, request) {
-            let problem = "an answer to another request ends with the connection";
+            let problem = "a response to another request ends only with the connection";
             return Err(ExchangeError::Broken(problem.to_owned()));
         }
         discard_body(reader, codec, received).await?;
@@ -387,7 +391,7 @@
     room: usize,
 ) -> Result<(), ExchangeError> {
     if read_ready(reader, received, room).await? == 0 {
-        let problem = "the connection ended before an answer";
+        let problem = "the connection closed before the end of a response";
         return Err(ExchangeError::Broken(problem.to_owned()));
     }
     Ok(())
--- a/crates/node/src/hop/hop_request.rs
+++ b/crates/node/src/hop/hop_request.rs
@@ -1,4 +1,4 @@
-//! What is sent to the next hop.
+//! Head of a request to the next hop.
 
 use actix_http::header::HeaderMap;
 use actix_http::header::HeaderName;
@@ -6,28 +6,28 @@
 use actix_http::RequestHead;
 use actix_http::Uri;
 
-/// A request's head on its way to the next hop.
+/// Head of a request to the next hop.
 #[derive(Clone, Debug)]
 pub struct HopRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with its query.
+    /// Path and query.
     pub target: Uri,
-    /// Headers, those of this hop included.
+    /// All headers, including those for this hop only.
     pub headers: HeaderMap,
-    /// Header by which answers name the request that they belong to.
+    /// Header that carries the request id; responses echo it.
     pub request_id_header: HeaderName,
 }
 
 impl HopRequest {
-    /// The value that an answer to this request echoes, if it has one.
+    /// Request id that a response echoes, if the request has one.
     pub(super) fn id(&self) -> Option<&[u8]> {
         self.headers
             .get(&self.request_id_header)
             .map(|value| value.as_bytes())
     }
 
-    /// The head as the codec writes it.
+    /// Converts the head to the codec's type.
     pub(super) fn head(&self) -> RequestHead {
         let mut head = RequestHead::default();
         head.method = self.method.clone();
--- a/crates/node/src/hop/idle_pool.rs
+++ b/crates/node/src/hop/idle_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their next request.
+//! Pool of idle connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,25 +9,26 @@
 
 use crate::hop::hop_connection::HopConnection;
 
-/// Idle connections kept to one address; more are closed. A backend server
-/// has some ten slots, and a node seldom has more calls at one other node.
+/// Idle connections kept per address; further ones are closed. A backend server
+/// has about ten slots, and a node rarely has more calls in flight to one other
+/// node.
 const IDLE_PER_ADDRESS_MAX: usize = 32;
 
-/// Addresses with idle connections beyond which a remove_expired looks at all.
+/// Number of addresses above which expired connections are removed.
 const SWEEP_THRESHOLD: usize = 64;
 
-/// Idle connections by address, the last used first.
+/// Idle connections by address; the most recently used is taken first.
 #[derive(Default)]
 pub(super) struct IdlePool {
     by_address: RefCell<HashMap<SocketAddr, Vec<HopConnection>>>,
 }
 
 impl IdlePool {
-    /// The connection used last that still stands.
+    /// Takes the most recently used connection that is still usable.
     ///
-    /// Guards against a request sent on a connection that the other side has
-    /// closed, or on which bytes wait that belong to no request: either is
-    /// seen before anything is sent, and the connection dropped.
+    /// Guards against sending a request on a connection that the other side
+    /// closed, or that has unread bytes which belong to no request. Both are
+    /// detected before anything is sent, and the connection is dropped.
     pub fn take(
         &self,
         address: SocketAddr,
@@ -46,7 +47,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Adds a connection whose last response was read to its end.
     pub fn put(&self, connection: HopConnection) {
         let mut by_address = self.by_address.borrow_mut();
         if by_address.len() > SWEEP_THRESHOLD {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Drops every idle connection to `address`.
+    /// Closes all idle connections to `address`.
     pub fn clear(&self, address: SocketAddr) {
         self.by_address.borrow_mut().remove(&address);
     }
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, read as it is wanted.
+//! Body of a response, read on demand.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 use crate::hop::hop_connection::HopConnection;
 use crate::hop::idle_pool::IdlePool;
 
-/// An answer that broke off before its end.
+/// Error of a body that ended early or could not be read.
 pub type ResponseError = PayloadError;
 
-/// The rest of an answer; dropped early, it ends its connection, so that the
-/// other side learns that nobody waits any more.
+/// Body of a response. Dropping it before its end closes the connection, which
+/// tells the other side that the response is no longer needed.
 pub struct ResponseBody {
     buffered: Bytes,
     connection: Option<HopConnection>,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The next part; `None` at the end.
+    /// Returns the next part, or `None` at the end of the body.
     pub async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseError> {
         if !self.buffered.is_empty() {
             return Ok(Some(std::mem::take(&mut self.buffered)));
@@ -50,8 +50,8 @@
         part
     }
 
-    /// Reads up to `limit` bytes ahead. True where that was all: the answer
-    /// is whole, and its connection free again.
+    /// Buffers the body until it ends or at least `limit` bytes are read.
+    /// Returns true if the body is complete, so that its connection is free.
     pub async fn buffer(&mut self, limit: usize) -> Result<bool, ResponseError> {
         let mut buffer = BytesMut::new();
         while buffer.len() < limit {
@@ -65,12 +65,12 @@
         Ok(false)
     }
 
-    /// True where nothing is left to be read from the connection.
+    /// True if nothing is left to read from the connection.
     pub fn is_complete(&self) -> bool {
         self.connection.is_none()
     }
 
-    /// Bytes that were read ahead.
+    /// Buffered bytes.
     pub fn buffered(&self) -> &Bytes {
         &self.buffered
     }
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -1,4 +1,4 @@
-//! What of a node, beside routing, goes by the configuration in force.
+//! Parts of a node besides routing that depend on the configuration in force.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 
 use crate::server_check::ConfiguredServer;
 
-/// Told of each configuration that comes into force.
+/// Hooks that run when a configuration is installed.
 pub struct InstallHooks {
-    /// Set once a configuration is in force.
+    /// Set once the first configuration is in force.
     pub configured: Rc<Cell<bool>>,
-    /// The backend server that the node is told of.
+    /// The backend server that the settings name.
     pub server: ConfiguredServer,
-    /// Times that the callers' listener keeps.
+    /// Timeouts of the callers' listener.
     pub listener_times: watch::Sender<ListenerTimes>,
 }
 
 impl InstallHooks {
-    /// A configuration has come into force.
+    /// Applies a configuration that has come into force.
     pub(crate) fn installed(&self, document: &FleetDocument) {
         if !self.configured.replace(true) {
             self.server.request_check(document);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The shell of `cowslip-node`: sockets, files and timers round the core.
+//! I/O layer of `cowslip-node`: sockets, files and timers around the core.
 
 pub mod call_dialect;
 pub mod call_forward;
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -1,5 +1,5 @@
-//! The backend server's side of a node: it announces itself here, says that
-//! it leaves, and sends its own calls.
+//! Handler of the listener for the backend server, which announces itself,
+//! requests a drain and sends its outbound calls there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,31 +25,33 @@
 use crate::gate_task::GateMessage;
 use crate::node_stage::NodeStage;
 
-/// Largest announcement taken, in bytes; they are a few lines of JSON.
+/// Largest accepted announcement, in bytes. Announcements are a few lines of
+/// JSON.
 const ANNOUNCE_BYTES_MAX: usize = 16 * 1024;
 
-/// What a backend server posts to `/announce`, as JSON.
+/// JSON body that a backend server posts to `/announce`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceBody {
-    /// Service it belongs to.
+    /// Service of the server.
     pub service: Arc<str>,
-    /// Backend server version it runs.
+    /// Backend server version.
     pub version: Arc<str>,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Number of requests that the server runs at once.
     pub slots: u32,
 }
 
-/// Serves the backend server's local listener.
+/// HTTP handler for the backend server's requests.
 pub struct LocalHandler {
     gate: mpsc::UnboundedSender<GateMessage>,
     entry: Rc<EntryDesk>,
 }
 
 impl LocalHandler {
-    /// Announcements go to `gate`, outbound calls to `calls`.
+    /// Creates a handler that sends announcements to `gate` and outbound calls to
+    /// `entry`.
     pub fn new(gate: mpsc::UnboundedSender<GateMessage>, entry: Rc<EntryDesk>) -> Self {
         Self { gate, entry }
     }
@@ -74,13 +76,13 @@
     }
 }
 
-/// Tells the gate that one of the server's own calls is over, also where
-/// the server has given it up.
+/// Counts an outbound call at the gate until it ends, even if the server
+/// cancels it.
 struct OutboundGuard(mpsc::UnboundedSender<GateMessage>);
 
 impl OutboundGuard {
     fn begin(gate: mpsc::UnboundedSender<GateMessage>) -> Self {
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = gate.send(GateMessage::OutboundBegin);
         Self(gate)
     }
@@ -121,7 +123,7 @@
         slots: announcement.slots,
     };
     let (reply, answer) = oneshot::channel();
-    // The gate's task ends only with the node.
+    // The gate task ends only with the node.
     let _ = gate.send(GateMessage::Announce(server, announcement.address, reply));
     match answer.await.unwrap_or(Err(PresenceRefusal::NodeStopping)) {
         Ok(()) => http_reply::text(StatusCode::OK, "announced"),
@@ -129,8 +131,8 @@
     }
 }
 
-/// Drains, unless a move still needs this backend server; `?anyway` drains
-/// it all the same.
+/// Drains the backend server, unless a move still needs it. `?anyway` skips that
+/// check.
 async fn drain(
     gate: &mpsc::UnboundedSender<GateMessage>,
     entry: &EntryDesk,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `cowslip-node`: the node beside a backend server.
+//! `cowslip-node`: runs the node beside a backend server.
 
 use std::path::PathBuf;
 use std::process::exit;
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a node together and stops it.
+//! Starts and stops the tasks and listeners of a node.
 
 use std::cell::Cell;
 use std::io;
@@ -50,24 +50,26 @@
 use crate::server_check;
 use crate::server_check::ConfiguredServer;
 
-/// Connections on the nodes' and the local listener. A backend server has
-/// about 100; nodes get ten times that.
+/// Connection limit of the peer listener and of the local listener. A backend
+/// server has about 100 connections; nodes may have ten times as many.
 const CONNECTIONS_MAX: usize = 1_024;
 
-/// Connections on the callers' listener. Callers that are refused come back
-/// on new connections and leave the old ones open until they are idle: 40 a
-/// second kept for 75 s filled 1,024, and everybody else waited to be taken
-/// for six seconds. 4,096 descriptors bear this many and all others.
+/// Connection limit of the callers' listener. Refused callers come back on new
+/// connections and leave the old ones open until they time out: 40 a second
+/// held for 75 s filled a limit of 1,024, and all other callers waited six
+/// seconds to be accepted. This limit and all others fit in 4,096 file
+/// descriptors.
 const CALLER_CONNECTIONS_MAX: usize = 2_400;
 
-/// Longest wait for the requests in flight: the longest deadline.
+/// Timeout for draining each listener; equal to the longest deadline of a
+/// request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Part of a bounded stop that is kept, once the backend server's work has
-/// ended, for its last answers to reach their callers.
+/// Part of a bounded stop that is reserved for the last answers to reach their
+/// callers after the backend server has finished its work.
 const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// The sockets of a node, bound before it runs.
+/// Listening sockets of a node, bound before it starts.
 pub struct NodeSockets {
     callers: TcpListener,
     local: TcpListener,
@@ -100,17 +102,17 @@
     stop_within: Option<Duration>,
 }
 
-/// Puts a handler in front of a listener's own.
+/// Wraps a listener's handler in another one.
 pub type HandlerWrapper<D> =
     Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
 
-/// What the surroundings of a fleet need in front of a node.
+/// Deployment-specific handlers in front of a node's own.
 pub struct NodeMiddleware {
-    /// How callers and the backend server name headers.
+    /// Header names used by callers and the backend server.
     pub dialect: CallDialect,
-    /// In front of the backend server's listener.
+    /// Wrapper of the backend server's listener.
     pub local: HandlerWrapper<ServerReporter>,
-    /// In front of the admin listener.
+    /// Wrapper of the admin listener.
     pub admin: HandlerWrapper<NodeStatus>,
 }
 
@@ -124,32 +126,32 @@
     }
 }
 
-/// Takes what the backend server reports of itself.
+/// Passes the backend server's reports to the gate.
 #[derive(Clone)]
 pub struct ServerReporter {
     gate: mpsc::UnboundedSender<GateMessage>,
 }
 
 impl ServerReporter {
-    /// A report; it is in force here once this returns.
+    /// Sends a report and waits until the gate has applied it.
     pub async fn report(&self, report: ServerReport) {
         let (reply, done) = oneshot::channel();
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::Report(report, reply));
         let _ = done.await;
     }
 
-    /// The run of this name, started at `born_ms` where that is known, takes
-    /// no more work; true here once this returns.
+    /// Reports that the run takes no more work, and waits until the gate has
+    /// applied it. `born_ms` is the start of the run, if known.
     pub async fn run_left(&self, run: Arc<str>, born_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
         let _ = done.await;
     }
 }
 
-/// What can be seen of a node from outside.
+/// Status of a node, as its readiness page shows it.
 #[derive(Clone)]
 pub struct NodeStatus {
     configured: Rc<Cell<bool>>,
@@ -157,15 +159,16 @@
 }
 
 impl NodeStatus {
-    /// True where callers may send it work: it has a configuration and is
-    /// not leaving.
+    /// True if callers may send calls: the node has a configuration and is not
+    /// leaving.
     pub fn is_ready(&self) -> bool {
         self.configured.get() && self.stage.get() == NodeStage::Serving
     }
 }
 
 impl NodeDaemon {
-    /// Starts a node on its sockets. `seed` spreads the nodes' choices.
+    /// Starts a node on its sockets. `seed` makes the random choices of nodes
+    /// differ.
     pub fn spawn(
         settings: &NodeSettings,
         sockets: NodeSockets,
@@ -174,7 +177,7 @@
         Self::spawn_with_middleware(settings, sockets, NodeMiddleware::default(), seed)
     }
 
-    /// The same, behind `middleware`.
+    /// Starts a node whose handlers are wrapped by `middleware`.
     pub fn spawn_with_middleware(
         settings: &NodeSettings,
         sockets: NodeSockets,
@@ -207,7 +210,7 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (times, watched_times) = watch::channel(ListenerTimes::default());
+        let (listener_times, watched_times) = watch::channel(ListenerTimes::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
@@ -215,7 +218,7 @@
             InstallHooks {
                 configured: Rc::clone(&status.configured),
                 server,
-                listener_times: times,
+                listener_times,
             },
             seed,
         );
@@ -309,8 +312,8 @@
         Ok(daemon)
     }
 
-    /// Takes what of `settings` can change while the node runs: its control
-    /// instances.
+    /// Applies the settings that can change while the node runs: the addresses
+    /// of the control instances.
     pub fn reload(&self, settings: &NodeSettings) {
         self.controls.send_if_modified(|held| {
             let changed = *held != settings.controls;
@@ -319,23 +322,23 @@
         });
     }
 
-    /// Where callers reach the node.
+    /// Address of the callers' listener.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the backend server reaches the node.
+    /// Address of the backend server's listener.
     pub fn local(&self) -> SocketAddr {
         self.local.address()
     }
 
-    /// Where metrics and health are served.
+    /// Address of the admin listener, which serves metrics and health.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// A planned stop: others are told, new work is refused, what is in
-    /// flight ends. True where nothing was cut.
+    /// Planned stop: announces the stop, refuses new calls and waits for those in
+    /// flight. Returns true if no call was cut off.
     pub async fn stop(self) -> bool {
         match self.stop_within {
             Some(within) => self.stop_within(within).await,
@@ -349,22 +352,23 @@
         actix_rt::time::sleep(self.drain_notice).await;
         let mut drained = self.callers.stop(DRAIN_TIMEOUT).await;
         drained &= self.peer.stop(DRAIN_TIMEOUT).await;
-        // Last of the three: what the backend server still runs for others
-        // may need calls of its own.
+        // The local listener closes last: work that the backend server still
+        // does for other nodes may need outbound calls.
         drained &= self.local.stop(DRAIN_TIMEOUT).await;
         drained & self.admin.stop(DRAIN_TIMEOUT).await
     }
 
-    /// A stop whose time is bounded; true where nothing was cut.
+    /// Planned stop that takes at most `within`. Returns true if no call was cut
+    /// off.
     ///
-    /// Load pattern: a fleet restarted node by node. Callers learn of a stop
-    /// from the readiness page within some two seconds, and the backend
-    /// server stays up: refused from the first moment on, callers would need
-    /// a second try each, and its slots would stand idle for the whole stop,
-    /// with four nodes of nine on their way for nearly half of all capacity.
-    /// So everything is served through the notice; then only what can end
-    /// before the process does, and what the backend server works on has
-    /// nearly all of the time that is left.
+    /// Load pattern: a fleet is restarted node by node. Callers learn of a stop
+    /// from the readiness page within about two seconds, and the backend server
+    /// stays up. If the node refused calls from the start, each caller would
+    /// need a second try, and the server's slots would be idle for the whole
+    /// stop; with four of nine nodes stopping, that is nearly half of the
+    /// capacity. The node therefore serves all calls during the drain notice,
+    /// and afterwards only those that can end before the process does. Work in
+    /// progress on the backend server gets nearly all of the remaining time.
     pub async fn stop_within(self, within: Duration) -> bool {
         let end = BootInstant::now() + within;
         let left = || end.saturating_duration_since(BootInstant::now());
@@ -372,8 +376,9 @@
         actix_rt::time::sleep(self.drain_notice).await;
         let _ = self.gate.send(GateMessage::Stop);
         self.stage.set(NodeStage::Ending(end));
-        // Before the callers' listener closes: its work for others may need
-        // calls of its own, which come in there.
+        // The peer listener closes before the callers' listener: the backend
+        // server's work for other nodes may need outbound calls, which arrive
+        // on the callers' listener.
         let mut drained = self
             .peer
             .stop(left().saturating_sub(ANSWER_FLUSH_TIME))
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -9,59 +9,59 @@
 use cowslip_wire::settings_reader::SettingsReader;
 use cowslip_wire::settings_reader::SettingsTime;
 
-/// What would be right for an address.
+/// Description of a valid address, for error messages.
 const ADDRESS: &str = "an address and port such as 127.0.0.1:7301";
 
-/// Time for other nodes to learn that this one is leaving, before its
-/// listeners close. Control passes directory news on within a second.
+/// Default time for other nodes to learn that this one is leaving before its
+/// listeners close. Control instances forward directory updates within a second.
 const DRAIN_NOTICE: Duration = Duration::from_secs(2);
 
-/// Each question to a control instance renews the node's leases; 250 bytes
-/// every four seconds, for fleets of thousands.
+/// Default wait of a poll. Each poll renews the node's leases and takes about 250
+/// bytes; one every four seconds suits fleets of thousands of nodes.
 const FOLLOW_WAIT: Duration = Duration::from_secs(4);
 
-/// A report of three routes takes about 1 KB of the 16 KB a second that a
-/// node may spend on control.
+/// Default pause between reports of a move's counts. A report of three routes
+/// takes about 1 KB, and a node may send 16 KB a second to control instances.
 const EVIDENCE_PAUSE: Duration = Duration::from_secs(1);
 
-/// What a node is told at its start.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Name of the instance; unique in the fleet.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub callers_listen: SocketAddr,
-    /// Where the backend server beside it announces and sends calls.
+    /// Listen address for the backend server's announcements and outbound calls.
     pub local_listen: SocketAddr,
-    /// Where other nodes reach it.
+    /// Listen address for other nodes.
     pub peer_listen: SocketAddr,
-    /// Where metrics and health are served.
+    /// Listen address of the metrics and health pages.
     pub admin_listen: SocketAddr,
-    /// Control instances to follow.
+    /// Addresses of the control instances to follow.
     pub controls: Vec<SocketAddr>,
-    /// Key between the system's own processes.
+    /// Key that authenticates the system's processes to each other.
     pub system_key: AccessKey,
-    /// Time between saying that it leaves and closing its listeners.
+    /// Time between announcing a stop and closing the listeners.
     pub drain_notice: Duration,
-    /// Wait that is asked of a control instance where it has no news. One
-    /// that has died is noticed this much later, and half a second or so.
+    /// How long a control instance holds a poll while it has no updates. A
+    /// control instance that died is noticed after this and about half a second.
     pub follow_wait: Duration,
     /// Pause between two reports of a move's counts.
     pub evidence_pause: Duration,
-    /// Service of the backend server beside it, where the node is told; the
-    /// server need not say it itself then.
+    /// Service of the backend server, if set; the server then need not state it.
     pub service: Option<Arc<str>>,
-    /// Where that server listens, where the node is told.
+    /// Address of the backend server, if set.
     pub server: Option<SocketAddr>,
-    /// Time that a planned stop may take in all; as long as calls need
-    /// where absent. During the notice the node goes on serving then.
+    /// Longest total time of a planned stop, during whose notice the node keeps
+    /// serving. If absent, a stop takes as long as the calls in flight need.
     pub stop_within: Option<Duration>,
 }
 
 impl NodeSettings {
-    /// Settings on free loopback ports, for fleets in one process.
+    /// Returns settings that listen on free loopback ports, for fleets in one
+    /// process.
     pub fn on_loopback(
         instance: Arc<str>,
         failure_domain: Arc<str>,
@@ -92,7 +92,8 @@
     fn from_settings(reader: &mut SettingsReader<'_>) -> Option<Self> {
         let instance =
             reader.required::<String>("instance", "a name unique in the fleet");
-        let failure_domain = reader.required::<String>("failure_domain", "its name");
+        let failure_domain =
+            reader.required::<String>("failure_domain", "the name of a failure domain");
         let callers_listen = reader.required("callers_listen", ADDRESS);
         let local_listen = reader.required("local_listen", ADDRESS);
         let peer_listen = reader.required("peer_listen", ADDRESS);
@@ -103,7 +104,8 @@
         let drain_notice = reader.optional("drain_notice", "a time such as 2s");
         let follow_wait = reader.optional("follow_wait", "a time such as 4s");
         let evidence_pause = reader.optional("evidence_pause", "a time such as 1s");
-        let service = reader.optional::<String>("service", "the service beside it");
+        let service =
+            reader.optional::<String>("service", "the backend server's service");
         let server = reader.optional("server", ADDRESS);
         let stop_within = reader.optional("stop_within", "a time such as 30s");
         if controls.is_empty() {
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -1,30 +1,31 @@
-//! Where a node stands in its planned stop, and which calls it still takes.
+//! Stage of a node's planned stop, and which calls it still accepts.
 
 use std::time::Duration;
 
 use cowslip_wire::boot_instant::BootInstant;
 
-/// Where a node stands in its planned stop.
+/// Stage of a node's planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeStage {
-    /// It serves.
+    /// The node accepts all calls.
     Serving,
-    /// It serves still, and says that it leaves.
+    /// The node accepts all calls, and its readiness page says that it leaves.
     Leaving,
-    /// It serves only calls whose own time is over before this moment; what
-    /// is in flight ends.
+    /// The node accepts only calls whose deadline is before this instant; calls
+    /// in flight finish.
     Ending(BootInstant),
-    /// It refuses new calls; what is in flight ends.
+    /// The node refuses new calls; calls in flight finish.
     Stopping,
 }
 
 impl NodeStage {
-    /// Whether a call is taken whose caller gives it `left`, where it says so.
+    /// True if a call is accepted. `left` is the time until its deadline, if the
+    /// caller states one.
     ///
-    /// Guards against calls that are cut by the end of the process: those that
-    /// may last longer are refused while that is still "not run". Short ones
-    /// go on, such as the calls that the backend server makes for the last
-    /// requests that it works on.
+    /// Guards against calls that the end of the process cuts off: calls that
+    /// may last longer are refused while their verdict is still "not run".
+    /// Short calls are accepted, such as those that the backend server makes
+    /// for the last requests that it works on.
     pub fn accepts(self, left: Option<Duration>) -> bool {
         match self {
             Self::Serving | Self::Leaving => true,
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -1,10 +1,10 @@
-//! Asks a backend server that has not reported yet whether it is there.
+//! Checks the health page of a backend server that has not reported yet.
 //!
-//! Load pattern: all nodes of a fleet are killed at once, their servers live
-//! on. Each server reports again within its own pause of a second or two, and
-//! until then its node would refuse all calls although every slot stands
-//! free. What such a server runs is known where only one version of its
-//! service can be in service; its health page names its run.
+//! Load pattern: all nodes of a fleet are killed at once while their backend
+//! servers keep running. Each server reports again within its report interval
+//! of one or two seconds; until then its node would refuse all calls although
+//! every slot is free. The version of such a server is known if only one
+//! version of its service can be in service. Its health page names its run.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,44 +30,43 @@
 use crate::gate_task::GateMessage;
 use crate::hop::HopRequest;
 
-/// Time for the health page; a server that is full answers later, and
-/// reports by itself soon.
+/// Timeout of a health check. A fully loaded server takes longer to answer, and
+/// its own report follows soon.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Slots that a server is taken to have until it reports: fewer than any of
-/// the users' has.
+/// Slots assumed for a server until it reports. No user's server has so few.
 const PROVISIONAL_SLOTS: u32 = 4;
 
-/// Bytes of the page that are read so that its connection can be used again.
+/// Bytes of the health page that are read so that the connection can be reused.
 const PAGE_BYTES_MAX: usize = 4 * 1024;
 
-/// The server that a node is told of by its settings.
+/// The backend server that the node's settings name.
 #[derive(Clone, Debug)]
 pub struct ConfiguredServer {
-    /// Its service.
+    /// Service of the server.
     pub service: Option<Arc<str>>,
-    /// Where it listens.
+    /// Address of the server.
     pub address: Option<SocketAddr>,
-    /// Where checks are asked for.
+    /// Receives the checks to run.
     pub checks: mpsc::UnboundedSender<ServerCheck>,
 }
 
-/// A check to be made.
+/// A health check to run.
 #[derive(Clone, Debug)]
 pub struct ServerCheck {
-    /// What the server must be, if it is there.
+    /// Service, version and slots to assume if the server is healthy.
     pub server: AnnouncedServer,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its health page.
+    /// Path of its health page.
     pub health_page: Uri,
 }
 
 impl ConfiguredServer {
-    /// Asks for a check where `document` leaves no doubt of the version.
+    /// Requests a check if `document` allows only one version of the service.
     ///
-    /// Guards against a server of a version that was just taken back: it is
-    /// still there for a while, and must get no calls as one of the version
+    /// Guards against a server of a version that was just taken back: it keeps
+    /// running for a while and must not get calls as a server of the version
     /// in service.
     pub fn request_check(&self, document: &FleetDocument) {
         let (Some(service), Some(address)) = (&self.service, self.address) else {
@@ -88,7 +87,7 @@
             version: Arc::clone(&spec.version),
             slots: PROVISIONAL_SLOTS,
         };
-        // The task ends only with the node.
+        // The check task ends only with the node.
         let _ = self.checks.send(ServerCheck {
             server,
             address,
@@ -97,7 +96,7 @@
     }
 }
 
-/// Makes the checks that are asked for.
+/// Runs the requested checks and reports healthy servers to the gate.
 pub async fn run(
     pools: Rc<CallPools>,
     dialect: Rc<CallDialect>,
@@ -112,12 +111,13 @@
             "event=server-found process=node run={run} address={}",
             check.address
         );
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = gate.send(GateMessage::RunFound(run, check.server, check.address));
     }
 }
 
-/// The run that says of itself that it is healthy.
+/// Requests the health page and returns the run that it names, or `None` if
+/// the server is not healthy.
 async fn request_run(
     pools: &CallPools,
     dialect: &CallDialect,
--- a/crates/node/src/server_probe.rs
+++ b/crates/node/src/server_probe.rs
@@ -1,4 +1,4 @@
-//! Looks whether anything listens where the backend server should.
+//! Probes whether anything listens at the backend server's address.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -9,28 +9,29 @@
 
 use crate::gate_task::GateMessage;
 
-/// Time between looks while nothing listens. A restart takes longer.
+/// Interval between probes while nothing listens, and the timeout of a probe.
+/// Shorter than a restart of a server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a probe found.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The connection was refused: nothing listens.
+    /// The connection was refused, so nothing listens.
     Refused,
-    /// Something listens, or nobody can tell; the watch is over.
+    /// Something listens, or the probe was inconclusive; probing stops.
     Listening,
 }
 
-/// Looks until the address does not refuse any more, and reports each probe.
-/// Only a refusal counts as lost: the server's own instance answers it at
-/// once, and a server that is merely slow never gives one.
+/// Probes `address` until it no longer refuses connections, and reports each
+/// result to the gate. Only a refusal counts as a lost server: the server's own
+/// machine sends it at once, and a server that is only slow never sends one.
 pub async fn watch(address: SocketAddr, gate: mpsc::WeakUnboundedSender<GateMessage>) {
     loop {
         let result = probe(address).await;
         let Some(gate) = gate.upgrade() else {
             return;
         };
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = gate.send(GateMessage::Probed(address, result));
         if result == ProbeResult::Listening {
             return;
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -1,7 +1,6 @@
-//! Calls that wait for the first configuration of a node.
+//! Queue of calls that wait for a node's first configuration.
 //!
-//! Which calls wait and how long is decided in
-//! [`cowslip_core::load::startup_wait`]; here they are kept.
+//! [`cowslip_core::load::startup_wait`] decides which calls wait and how long.
 
 use std::time::Duration;
 
@@ -14,22 +13,23 @@
 use crate::entry_task::OwnedHead;
 use crate::entry_task::TryAnswer;
 
-/// A call that waits.
+/// A waiting call.
 #[derive(Debug)]
 pub struct QueuedCall {
-    /// Its head, as it came.
+    /// Head of the call, as received.
     pub head: OwnedHead,
-    /// Where its answer goes.
+    /// Receives the answer.
     pub reply: oneshot::Sender<TryAnswer>,
-    /// When it came, from the node's start.
+    /// Arrival, since the start of the node.
     arrived_at: Duration,
+    /// Time at which the wait ends, since the start of the node.
     expires_at: Duration,
-    /// Why it could not be served yet.
+    /// The last reason why the call could not be served.
     refusal: CallRefusal,
 }
 
 impl QueuedCall {
-    /// Its head with the time that is left of what the caller gave.
+    /// Returns the head with the deadline reduced by the time spent waiting.
     pub fn head_at(&self, now: Duration) -> OwnedHead {
         let waited = now.saturating_sub(self.arrived_at);
         let mut head = self.head.clone();
@@ -38,7 +38,7 @@
     }
 }
 
-/// True for a refusal that a configuration or directory to come may end.
+/// True for a refusal that a later configuration or directory may resolve.
 fn is_temporary(refusal: CallRefusal) -> bool {
     matches!(
         refusal.reason,
@@ -46,19 +46,19 @@
     )
 }
 
-/// Calls that wait.
+/// Queue of calls that arrived before the first configuration.
 #[derive(Debug, Default)]
 pub struct StartupQueue {
     calls: Vec<QueuedCall>,
 }
 
 impl StartupQueue {
-    /// True where none waits.
+    /// True if no call waits.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Keeps a call that was refused at `now`, or answers it with that.
+    /// Queues a call that was refused at `now`, or answers it with `refusal`.
     pub fn enqueue_or_refuse(
         &mut self,
         now: Duration,
@@ -68,7 +68,7 @@
     ) {
         let expires_at = startup_wait::wait_until(now, head.deadline, self.calls.len());
         let Some(expires_at) = expires_at.filter(|_| is_temporary(refusal)) else {
-            // A caller that left needs no answer.
+            // Sending fails only if the caller has left.
             let _ = reply.send(Err(refusal));
             return;
         };
@@ -81,12 +81,12 @@
         });
     }
 
-    /// Takes out all that wait, to be tried again.
+    /// Removes and returns all calls, to be tried again.
     pub fn take(&mut self) -> Vec<QueuedCall> {
         std::mem::take(&mut self.calls)
     }
 
-    /// Puts back a call that was refused again, or answers it with that.
+    /// Queues a call that was refused again, or answers it with `refusal`.
     pub fn requeue_or_refuse(&mut self, call: QueuedCall, refusal: CallRefusal) {
         if is_temporary(refusal) {
             self.calls.push(QueuedCall { refusal, ..call });
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Refuses those whose time is over.
+    /// Refuses the calls whose wait has expired, and drops those whose caller has
+    /// left.
     pub fn refuse_expired(&mut self, now: Duration) {
         for call in self.take() {
             if call.reply.is_closed() {
