--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -54,15 +54,15 @@
 
 /// Timing of a node's polls.
 #[derive(Clone, Copy, Debug)]
-struct FollowPace {
+struct PollTiming {
     wait: Duration,
     answer_timeout: Duration,
     backoff_max: Duration,
     startup_backoff_max: Duration,
 }
 
-impl FollowPace {
-    fn of(wait: Duration) -> Self {
+impl PollTiming {
+    fn new(wait: Duration) -> Self {
         Self {
             wait,
             answer_timeout: wait + (wait + ANSWER_MARGIN_MIN).min(ANSWER_MARGIN_MAX),
@@ -106,10 +106,10 @@
     let domain = Arc::clone(&options.failure_domain);
     let ring = SourceRing::new(domain, &options.controls.borrow(), first);
     let (current, watched) = watch::channel(ring.current());
-    let pace = FollowPace::of(options.wait);
+    let timing = PollTiming::new(options.wait);
     let follower = ControlFollower {
-        pace,
-        backoff: ReconnectBackoff::new(options.seed).bounded(pace.backoff_max),
+        timing,
+        backoff: ReconnectBackoff::new(options.seed).bounded(timing.backoff_max),
         options,
         ring,
         current,
@@ -124,7 +124,7 @@
 
 struct ControlFollower {
     options: FollowOptions,
-    pace: FollowPace,
+    timing: PollTiming,
     ring: SourceRing,
     current: watch::Sender<SocketAddr>,
     versions: VersionFollower,
@@ -173,7 +173,7 @@
                     self.options.metrics.count_later();
                     self.switch_source();
                     self.backoff.reset();
-                    self.pace.wait / 2
+                    self.timing.wait / 2
                 }
                 Err(failure) => {
                     self.options.metrics.count_failure();
@@ -209,7 +209,7 @@
         self.current.send_replace(self.ring.current());
         if self.versions.held() == ConfigVersion::ZERO {
             self.backoff
-                .next_starting_wait(self.pace.startup_backoff_max)
+                .next_starting_wait(self.timing.startup_backoff_max)
         } else {
             self.backoff.next_wait()
         }
@@ -224,13 +224,13 @@
             whole: self.versions.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.request(),
-            wait_ms: self.pace.wait.as_millis() as u64,
+            wait_ms: self.timing.wait.as_millis() as u64,
             node_domain: Some(Arc::clone(&self.options.failure_domain)),
         };
         let address = self.ring.current();
         let client = &self.options.client;
         let answer = match client
-            .send(address, &call, self.pace.answer_timeout)
+            .send(address, &call, self.timing.answer_timeout)
             .await?
         {
             FollowReply::News(answer) => *answer,
@@ -267,9 +267,9 @@
         Ok(PollOutcome::Stay)
     }
 
-    async fn update_directory(&mut self, news: DirectoryUpdate) {
+    async fn update_directory(&mut self, update: DirectoryUpdate) {
         let run = self.directory.place().run;
-        let changed = self.directory.take(news);
+        let changed = self.directory.take(update);
         if self.directory.place().run != run {
             // The gate task ends only with the node.
             let _ = self.options.gate.send(GateMessage::Republish);
@@ -283,9 +283,9 @@
         if changed.is_empty() {
             return;
         }
-        let news = EntryMessage::Install(None, changed);
+        let update = EntryMessage::Install(None, changed);
         // The entry task ends only with the node.
-        let _ = self.options.entry.send(news).await;
+        let _ = self.options.entry.send(update).await;
     }
 
     /// Fetches chunks until the follower needs no more. `first_chunk` is the one
@@ -313,8 +313,8 @@
     /// Sends a snapshot to the entry task, which validates and installs it, and
     /// records the outcome.
     async fn offer(&mut self, snapshot: ConfigSnapshot) {
-        let news = EntryMessage::Install(Some(snapshot), Vec::new());
-        if self.options.entry.send(news).await.is_err() {
+        let update = EntryMessage::Install(Some(snapshot), Vec::new());
+        if self.options.entry.send(update).await.is_err() {
             return;
         }
         if let Some(report) = request_report(&self.options.entry).await {
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -33,9 +33,9 @@
             head: millis(document.limits.head_ms).unwrap_or(defaults.head),
             idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
-        self.listener_times.send_if_modified(|held| {
-            let changed = *held != times;
-            *held = times;
+        self.listener_times.send_if_modified(|current| {
+            let changed = *current != times;
+            *current = times;
             changed
         });
     }
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -315,9 +315,9 @@
     /// Applies the settings that can change while the node runs: the addresses
     /// of the control instances.
     pub fn reload(&self, settings: &NodeSettings) {
-        self.controls.send_if_modified(|held| {
-            let changed = *held != settings.controls;
-            held.clone_from(&settings.controls);
+        self.controls.send_if_modified(|current| {
+            let changed = *current != settings.controls;
+            current.clone_from(&settings.controls);
             changed
         });
     }
--- a/crates/node/tests/example_settings.rs
+++ b/crates/node/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The commented settings under settings/ are usable as they stand.
+//! The example settings under settings/ are valid as they are.
 
 use std::path::PathBuf;
 
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -1,5 +1,5 @@
-//! Calls to the next hop: whose answer is whose, and when a connection may
-//! be used again.
+//! Requests to the next hop: which response belongs to which request, and when
+//! a connection may be reused.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,13 +30,13 @@
 use cowslip_node::hop::HopRequest;
 use cowslip_node::hop::HopResponse;
 
-const LEFT: Duration = Duration::from_secs(5);
+const TRY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection on loopback that takes this long is not taken at all.
-const FULL_AFTER: Duration = Duration::from_millis(200);
+/// A connection attempt on loopback that takes this long will not be accepted.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the server writes for each request, in order, and whether it ends
-/// the connection after it.
+/// Responses of the server, in order, and whether it closes the connection after
+/// each.
 type Script = Vec<(String, bool)>;
 
 #[derive(Default)]
@@ -51,17 +51,17 @@
 }
 
 impl ScriptedServer {
-    /// Answers each connection's requests by `script`, begun anew for each.
+    /// Answers the requests of each connection from the start of `script`.
     async fn spawn(script: Script) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = TcpListener::bind(any).await.expect("a free port");
         let address = socket.local_addr().expect("its address");
         let log = Rc::new(RefCell::new(ServerLog::default()));
-        let held = Rc::clone(&log);
+        let shared_log = Rc::clone(&log);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = socket.accept().await {
-                held.borrow_mut().connections += 1;
-                actix_rt::spawn(serve(stream, script.clone(), Rc::clone(&held)));
+                shared_log.borrow_mut().connections += 1;
+                actix_rt::spawn(serve(stream, script.clone(), Rc::clone(&shared_log)));
             }
         });
         Self { address, log }
@@ -73,7 +73,7 @@
 }
 
 async fn serve(mut stream: TcpStream, script: Script, log: Rc<RefCell<ServerLog>>) {
-    for (answer, ends) in script {
+    for (answer, closes) in script {
         let mut head = Vec::new();
         while !head.windows(4).any(|end| end == b"\r\n\r\n") {
             match stream.read_buf(&mut head).await {
@@ -82,7 +82,7 @@
             }
         }
         log.borrow_mut().received.extend_from_slice(&head);
-        if stream.write_all(answer.as_bytes()).await.is_err() || ends {
+        if stream.write_all(answer.as_bytes()).await.is_err() || closes {
             return;
         }
     }
@@ -115,20 +115,26 @@
     id: &str,
 ) -> Result<HopResponse, TryFailure> {
     let mut body = CallBody::Held(Bytes::new());
-    pools.send(address, &request(id), &mut body, LEFT).await
+    pools
+        .send(address, &request(id), &mut body, TRY_TIMEOUT)
+        .await
 }
 
-async fn whole(answer: Result<HopResponse, TryFailure>) -> String {
+async fn read_all(answer: Result<HopResponse, TryFailure>) -> String {
     let Ok(mut answer) = answer else {
         panic!("no answer");
     };
-    let held = answer.body.buffer(1_000_000).await.expect("it is whole");
-    assert!(held);
+    let complete = answer
+        .body
+        .buffer(1_000_000)
+        .await
+        .expect("a complete body");
+    assert!(complete);
     String::from_utf8(answer.body.buffered().to_vec()).expect("text")
 }
 
-// A server answers a request a second time, after the next one has been sent
-// on the connection. Passed on, its caller would read somebody else's data.
+// Guards against passing on a late second response to an earlier request: the
+// caller of the next request on the connection would get somebody else's data.
 #[test]
 fn a_second_answer_to_an_earlier_request_is_dropped() {
     System::new().block_on(async {
@@ -137,15 +143,15 @@
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
-        assert_eq!(whole(first).await, "first");
+        assert_eq!(read_all(first).await, "first");
         let second = send(&pools, server.address, "2").await;
-        assert_eq!(whole(second).await, "own");
+        assert_eq!(read_all(second).await, "own");
         assert_eq!(server.connections(), 1);
     });
 }
 
-// A server sends more bytes behind a whole answer. They belong to no request,
-// so the connection carries none any more.
+// Guards against reusing a connection on which the server sent bytes after a
+// complete response. They belong to no request.
 #[test]
 fn bytes_behind_an_answer_end_the_connection() {
     System::new().block_on(async {
@@ -153,15 +159,15 @@
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
-        assert_eq!(whole(first).await, "first");
-        let again = send(&pools, server.address, "1").await;
-        assert_eq!(whole(again).await, "first");
+        assert_eq!(read_all(first).await, "first");
+        let second = send(&pools, server.address, "1").await;
+        assert_eq!(read_all(second).await, "first");
         assert_eq!(server.connections(), 2);
     });
 }
 
-// An answer without a stated length ends with its connection. Taken for one
-// without a body, its caller would get an empty answer that looks complete.
+// Guards against treating a response without a stated length as one without a
+// body: the caller would get an empty response that looks complete.
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
     System::new().block_on(async {
@@ -169,12 +175,12 @@
         let server = ScriptedServer::spawn(vec![(unframed.to_owned(), true)]).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
-        assert_eq!(whole(first).await, "to the end");
+        assert_eq!(read_all(first).await, "to the end");
     });
 }
 
-// A server dies in the middle of its answer. What had come is a part, and
-// must not pass for the whole.
+// Guards against a truncated response that passes for a complete one, after a
+// server died in the middle of it.
 #[test]
 fn an_answer_cut_short_is_no_whole_answer() {
     System::new().block_on(async {
@@ -182,14 +188,14 @@
         let server = ScriptedServer::spawn(vec![(cut.to_owned(), true)]).await;
         let pools = CallPools::new();
         let Ok(mut answer) = send(&pools, server.address, "1").await else {
-            panic!("its head had come");
+            panic!("no response head");
         };
         assert!(answer.body.buffer(1_000).await.is_err());
     });
 }
 
-// A server answers a long body before it has read it, and keeps the
-// connection. The next request's bytes would be taken for the body's rest.
+// Guards against reusing a connection after a server responded before it had
+// read a long body: it would read the next request as the rest of that body.
 #[test]
 fn an_early_answer_ends_the_connection() {
     System::new().block_on(async {
@@ -198,16 +204,16 @@
         let mut body = CallBody::Held(Bytes::from(vec![b'x'; 32 * 1024 * 1024]));
         let mut long = request("1");
         long.method = Method::POST;
-        let sending = pools.send(server.address, &long, &mut body, LEFT);
-        assert_eq!(whole(sending.await).await, "too long");
+        let sending = pools.send(server.address, &long, &mut body, TRY_TIMEOUT);
+        assert_eq!(read_all(sending.await).await, "too long");
         let next = send(&pools, server.address, "1").await;
-        assert_eq!(whole(next).await, "too long");
+        assert_eq!(read_all(next).await, "too long");
         assert_eq!(server.connections(), 2);
     });
 }
 
-// A server closes kept connections while they are idle. A request must not
-// be lost on one that is known to be closed.
+// Guards against losing a request on an idle connection that the server has
+// closed.
 #[test]
 fn a_closed_connection_is_not_used_again() {
     System::new().block_on(async {
@@ -215,15 +221,15 @@
         let pools = CallPools::new();
         for _ in 0..5 {
             let answered = send(&pools, server.address, "1").await;
-            assert_eq!(whole(answered).await, "first");
+            assert_eq!(read_all(answered).await, "first");
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(server.connections(), 5);
     });
 }
 
-// Nothing listens: the request cannot have run, and its caller may be told.
-// A server that closes without an answer may have run it.
+// Guards against a wrong verdict. If nothing listens, the request cannot have
+// run; a server that closes the connection without a response may have run it.
 #[test]
 fn only_a_request_that_was_not_sent_has_not_run() {
     System::new().block_on(async {
@@ -234,39 +240,39 @@
             socket.local_addr().expect("its address")
         };
         let refused = send(&pools, unused, "1").await.err();
-        let connect = TryFailure {
+        let connect_failed = TryFailure {
             verdict: CallVerdict::NotRun,
             reason: RefusalReason::ConnectFailed,
         };
-        assert_eq!(refused, Some(connect));
+        assert_eq!(refused, Some(connect_failed));
         let server = ScriptedServer::spawn(vec![(String::new(), true)]).await;
         let broken = send(&pools, server.address, "1").await.err();
-        let broken_off = TryFailure {
+        let connection_broken = TryFailure {
             verdict: CallVerdict::MayHaveRun,
             reason: RefusalReason::ConnectionBroken,
         };
-        assert_eq!(broken, Some(broken_off));
+        assert_eq!(broken, Some(connection_broken));
     });
 }
 
-// A machine loses its power while its server is in the directory: nothing
-// answers there, not even a refusal. Each call sent there is a call that
-// another server could have answered meanwhile.
+// Guards against waiting long for a machine that lost power while its server is
+// still in the directory. Nothing answers there, not even with a refusal, and
+// another server could answer the call meanwhile.
 #[test]
 fn a_machine_that_answers_nothing_is_given_up_soon() {
     System::new().block_on(async {
-        // A listener whose queue of new connections is full drops what comes,
-        // as a machine without power does.
+        // A listener with a full accept queue drops new connections, as a machine
+        // without power does.
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any.into()).expect("a free port");
         socket.listen(0).expect("a queue");
         let address = socket.local_addr().expect("its address");
-        let address = address.as_socket().expect("an IP number");
+        let address = address.as_socket().expect("an IP address");
         let mut filled = Vec::new();
         loop {
             let connecting = TcpStream::connect(address);
-            let connected = actix_rt::time::timeout(FULL_AFTER, connecting).await;
+            let connected = actix_rt::time::timeout(ACCEPT_TIMEOUT, connecting).await;
             let Ok(stream) = connected else {
                 break;
             };
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that come before a node that starts has its configuration.
+//! Calls that arrive before a starting node has a configuration.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -114,10 +114,10 @@
     sent.expect("the task runs");
 }
 
-// A fleet starts again after the loss of all processes. A caller's node is
-// up half a second before anybody can tell it the configuration, and learns
-// of a server a moment after that. Refused at once, the caller would come
-// back a second later and be late; it waits, and is served.
+// Guards against refusing calls while a fleet restarts after the loss of all
+// processes. A node is up about half a second before it can get a configuration,
+// and learns of a server shortly after. A refused caller would retry a second
+// later and be late, so the call waits and is served.
 #[test]
 fn a_call_waits_for_the_first_configuration_and_server() {
     run(async {
@@ -126,20 +126,21 @@
         let unknown = call(&entry, "/nowhere", 4_000).await;
         actix_rt::time::sleep(Duration::from_millis(60)).await;
         install(&entry, Some(configuration()), Vec::new()).await;
-        // What the configuration refuses for good is told at once.
+        // A call that the configuration refuses permanently is answered at once.
         let refused = unknown.await.expect("an answer").expect_err("no route");
         assert_eq!(refused.reason, RefusalReason::NoRoute);
         install(&entry, None, vec![server()]).await;
         let planned = served.await.expect("an answer").expect("a server");
         assert_eq!(&*planned.server.instance, "records-2");
-        // The wait is taken off the time that the caller gave.
+        // The wait is subtracted from the caller's deadline.
         assert!(planned.left < Duration::from_millis(3_960), "{planned:?}");
     });
 }
 
-// No control instance comes back. Whoever waits gets a final answer after a
-// part of its time, early enough to try elsewhere; whoever leaves is
-// forgotten; and nobody waits any more once the node has been up for a while.
+// Guards against calls that wait in vain when no control instance comes back. A
+// waiting call is refused after part of its deadline, early enough to try
+// elsewhere; a call whose caller left is dropped; and no call waits any more once
+// the node has been up for a while.
 #[test]
 fn a_call_is_refused_where_no_configuration_comes() {
     run(async {
