--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -34,9 +34,9 @@
 
 use crate::call_dialect::CallDialect;
 use crate::call_headers;
-use crate::hop::AnswerBody;
-use crate::hop::HopAnswer;
 use crate::hop::HopRequest;
+use crate::hop::HopResponse;
+use crate::hop::ResponseBody;
 
 /// Headers that a hop adds to a request.
 pub type HopHeaders = Vec<(HeaderName, String)>;
@@ -101,7 +101,7 @@
             method: self.method.clone(),
             target: self.target.clone(),
             headers,
-            echoed: dialect.request_id.clone(),
+            request_id_header: dialect.request_id.clone(),
         }
     }
 }
@@ -177,12 +177,12 @@
 /// dropped when the body has been forwarded or abandoned. A body that is not
 /// complete at `give_up_at` is cut off.
 pub fn forward_answer<G: 'static>(
-    answer: HopAnswer,
+    answer: HopResponse,
     method: &Method,
     give_up_at: BootInstant,
     on_end: G,
 ) -> HttpReply {
-    let HopAnswer { head, body } = answer;
+    let HopResponse { head, body } = answer;
     let mut reply = Response::new(head.status);
     for (name, value) in &head.headers {
         if call_headers::is_forwarded(name) {
@@ -207,7 +207,7 @@
 
 /// Body of the next hop's answer, forwarded as it arrives.
 struct ForwardedBody<G> {
-    body: AnswerBody,
+    body: ResponseBody,
     give_up_at: BootInstant,
     _on_end: G,
 }
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -13,10 +13,10 @@
 use cowslip_wire::boot_instant::BootInstant;
 
 use crate::call_forward::CallBody;
-use crate::hop::HopAnswer;
 use crate::hop::HopClient;
-use crate::hop::HopPlan;
+use crate::hop::HopOptions;
 use crate::hop::HopRequest;
+use crate::hop::HopResponse;
 
 /// Timeout for connecting to another node or the backend server. The kernel
 /// accepts within a round trip: 25 ms between regions, and up to 100 ms more
@@ -35,8 +35,8 @@
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             renewal: RefCell::new(ConnectionRenewal::default()),
-            client: HopClient::new(HopPlan {
-                connect: CONNECT_TIMEOUT,
+            client: HopClient::new(HopOptions {
+                connect_timeout: CONNECT_TIMEOUT,
             }),
             started: BootInstant::now(),
         })
@@ -54,7 +54,7 @@
         request: &HopRequest,
         body: &mut CallBody,
         left: Duration,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let generation = self.begin(server);
         let mut guard = SilenceGuard {
             pools: self,
@@ -78,7 +78,7 @@
         let now = self.started.elapsed();
         let mut renewal = self.renewal.borrow_mut();
         for unused in renewal.sweep(now) {
-            self.client.forget(unused);
+            self.client.drop_idle(unused);
         }
         renewal.begin(now, server)
     }
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -53,8 +53,8 @@
 use crate::entry_task::OwnedHead;
 use crate::entry_task::PlannedTry;
 use crate::entry_task::RoutingResult;
-use crate::gate_task::GateView;
-use crate::hop::HopAnswer;
+use crate::gate_task::GateStatus;
+use crate::hop::HopResponse;
 use crate::keyed_call;
 use crate::node_stage::NodeStage;
 use crate::refusal_reply::refusal_reply;
@@ -79,7 +79,7 @@
     /// Access key that nodes send to each other.
     pub system_key: AccessKey,
     /// Current state of the gate in front of this node's backend server.
-    pub view: GateView,
+    pub view: GateStatus,
     /// Channel to the routing task.
     pub entry: mpsc::Sender<EntryMessage>,
     /// Claims the keys of calls that carry an idempotency key.
@@ -120,7 +120,7 @@
         let stage = Rc::clone(&self.stage);
         Box::pin(async move {
             let mut reply = proxy.serve(request, origin, stage.get()).await;
-            if stage.get() != NodeStage::Open {
+            if stage.get() != NodeStage::Serving {
                 let head = reply.head_mut();
                 head.set_connection_type(ConnectionType::Close);
             }
@@ -194,7 +194,7 @@
                 CallOrigin::Outside if !self.dialect.servers_use_caller_listener => {
                     RepeatProbability::FIRST
                 }
-                _ => self.view.repeats(),
+                _ => self.view.repeat_probability(),
             },
         };
         let parts = CallParts::of(&request, &self.dialect);
@@ -226,7 +226,7 @@
 
     /// Asks the routing task for the first attempt's server.
     async fn admit(&self, head: OwnedHead, stage: NodeStage) -> RoutingResult {
-        if !stage.takes(head.deadline) {
+        if !stage.accepts(head.deadline) {
             return Err(not_run(RefusalReason::Stopping));
         }
         let (reply, answer) = oneshot::channel();
@@ -296,7 +296,7 @@
     ) -> Result<HttpReply, CallRefusal> {
         // A server's error answer while the call is retried elsewhere. The
         // caller gets it unchanged if no further attempt is possible.
-        let mut failed_answer: Option<HopAnswer> = None;
+        let mut failed_answer: Option<HopResponse> = None;
         loop {
             let mut guard = TryGuard::new(self.entry.clone(), &planned);
             let started = BootInstant::now();
@@ -386,7 +386,7 @@
         planned: &mut PlannedTry,
         parts: &CallParts,
         body: &mut CallBody,
-    ) -> Result<HopAnswer, TryFailure> {
+    ) -> Result<HopResponse, TryFailure> {
         let request = parts.hop_request(
             &self.dialect,
             self.peer_headers(planned, body.is_buffered()),
@@ -399,7 +399,7 @@
         // A short answer is buffered completely before it is forwarded, so that
         // an idempotent call can still be retried if the answer breaks off.
         let left = give_up_at.saturating_duration_since(BootInstant::now());
-        let buffering = answer.body.hold(BUFFERED_ANSWER_MAX);
+        let buffering = answer.body.buffer(BUFFERED_ANSWER_MAX);
         let buffered = actix_rt::time::timeout(left, buffering).await;
         let broken = match buffered {
             Ok(Ok(_)) => None,
@@ -461,7 +461,7 @@
         &self,
         planned: &PlannedTry,
         took: Duration,
-        tried: &Result<HopAnswer, TryFailure>,
+        tried: &Result<HopResponse, TryFailure>,
     ) {
         if !planned.measured {
             return;
@@ -517,7 +517,7 @@
 /// the call comes from outside and is idempotent, and both its body and the
 /// answer are buffered completely.
 fn may_retry_elsewhere(
-    answer: &HopAnswer,
+    answer: &HopResponse,
     planned: &PlannedTry,
     body: &CallBody,
 ) -> bool {
@@ -530,12 +530,12 @@
         && planned.plan.is_idempotent()
         && planned.plan.origin == CallOrigin::Outside
         && body.is_buffered()
-        && answer.body.is_whole()
+        && answer.body.is_complete()
 }
 
 /// Converts a backend server's answer to the caller's reply.
 fn caller_reply<G: 'static>(
-    answer: HopAnswer,
+    answer: HopResponse,
     parts: &CallParts,
     give_up_at: BootInstant,
     guard: G,
@@ -548,7 +548,7 @@
 }
 
 /// Returns the load that the server's node reports in the answer's headers.
-fn reported_load(answer: &HopAnswer) -> Option<ReportedLoad> {
+fn reported_load(answer: &HopResponse) -> Option<ReportedLoad> {
     Some(ReportedLoad {
         wait: header_millis(answer, call_headers::WAIT_MS)?,
         work: header_millis(answer, call_headers::WORK_MS),
@@ -556,7 +556,7 @@
 }
 
 /// Returns a header's value, in milliseconds, as a duration.
-fn header_millis(answer: &HopAnswer, name: &str) -> Option<Duration> {
+fn header_millis(answer: &HopResponse, name: &str) -> Option<Duration> {
     let value = answer.head.headers().get(name)?;
     let millis = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_millis(millis))
@@ -564,7 +564,7 @@
 
 /// Returns the failure that the server's node reports if the backend server
 /// did not answer.
-fn refused_by_peer(answer: &HopAnswer) -> Option<TryFailure> {
+fn refused_by_peer(answer: &HopResponse) -> Option<TryFailure> {
     let text = |name: &str| answer.head.headers().get(name)?.to_str().ok();
     let verdict = CallVerdict::parse(text(call_headers::VERDICT)?)?;
     if verdict == CallVerdict::Ran {
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -14,7 +14,7 @@
 use crate::call_forward;
 use crate::entry_task::EntryMessage;
 use crate::entry_task::PlannedTry;
-use crate::hop::HopAnswer;
+use crate::hop::HopResponse;
 
 use super::ended_try;
 use super::reported_load;
@@ -51,7 +51,7 @@
     pub(super) fn set_answered(
         &mut self,
         plan: &CallPlan,
-        answer: &HopAnswer,
+        answer: &HopResponse,
         taken: Duration,
     ) {
         let Some(EntryMessage::Abandoned(instance)) = self.message.take() else {
@@ -66,7 +66,7 @@
             status: answer.head.status.as_u16(),
             taken,
             bytes: call_forward::stated_length(answer.head.headers())
-                .or(Some(answer.body.held().len() as u64)),
+                .or(Some(answer.body.buffered().len() as u64)),
         };
         self.message = Some(EntryMessage::Ended(report, reported_load(answer)));
         self.abandoned = None;
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -38,7 +38,7 @@
 use crate::gate_task::GateBounds;
 use crate::gate_task::GateMessage;
 use crate::install_hooks::InstallHooks;
-use crate::start_calls::StartCalls;
+use crate::startup_queue::StartupQueue;
 
 /// Capacity of the task's channel. When it is full, senders wait, and with them
 /// the calls on their connections.
@@ -149,7 +149,7 @@
     router: EntryRouter,
     gate: mpsc::UnboundedSender<GateMessage>,
     hooks: InstallHooks,
-    waiting: StartCalls,
+    waiting: StartupQueue,
     refused_version: Option<ConfigVersion>,
     source_confirmed_at: Option<BootInstant>,
     started: BootInstant,
@@ -171,7 +171,7 @@
         router: EntryRouter::new(Arc::clone(&failure_domain), seed),
         gate,
         hooks,
-        waiting: StartCalls::default(),
+        waiting: StartupQueue::default(),
         instance,
         failure_domain,
         refused_version: None,
@@ -196,7 +196,7 @@
         receiver: &mut mpsc::Receiver<EntryMessage>,
     ) -> Option<EntryMessage> {
         while !self.waiting.is_empty() {
-            self.waiting.refuse_late(self.started.elapsed());
+            self.waiting.refuse_expired(self.started.elapsed());
             let next =
                 actix_rt::time::timeout(WAIT_CHECK_INTERVAL, receiver.recv()).await;
             if let Ok(message) = next {
@@ -268,7 +268,7 @@
             Ok(planned) => self.reply_or_abandon(reply, Ok(planned)),
             Err(refusal) => {
                 let now = self.started.elapsed();
-                self.waiting.keep_or_refuse(now, head, refusal, reply);
+                self.waiting.enqueue_or_refuse(now, head, refusal, reply);
             }
         }
     }
@@ -279,7 +279,7 @@
             let head = call.head_at(self.started.elapsed());
             match self.admit(&head) {
                 Ok(planned) => self.reply_or_abandon(call.reply, Ok(planned)),
-                Err(refusal) => self.waiting.put_back(call, refusal),
+                Err(refusal) => self.waiting.requeue_or_refuse(call, refusal),
             }
         }
     }
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what a node passed over while it followed.
+//! Counters of the updates that a node skipped and the polls that failed.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
@@ -6,10 +6,10 @@
 use cowslip_core::version_follower::FollowCounts;
 use cowslip_wire::metric_start;
 
-/// Counters of one follower, fed from its own counts.
+/// Counters of a follower, updated from the follower's own counts.
 #[derive(Clone)]
 pub struct FollowMetrics {
-    seen: FollowCounts,
+    last_counts: FollowCounts,
     stale: Counter,
     damaged: Counter,
     refused: Counter,
@@ -19,11 +19,11 @@
 }
 
 impl FollowMetrics {
-    /// Counters registered under `cowslip_follow`, all of them at zero.
+    /// Registers the counters under `cowslip_follow`, all at zero.
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_follow");
         Self {
-            seen: FollowCounts::default(),
+            last_counts: FollowCounts::default(),
             stale: metric_start::counter(
                 registry,
                 "stale",
@@ -57,23 +57,25 @@
         }
     }
 
-    /// Takes over the counts of the follower.
+    /// Adds what the follower counted since the last update.
     pub fn update(&mut self, counts: FollowCounts) {
-        self.stale.inc_by(counts.stale - self.seen.stale);
-        self.damaged.inc_by(counts.damaged - self.seen.damaged);
-        self.refused.inc_by(counts.refused - self.seen.refused);
+        self.stale.inc_by(counts.stale - self.last_counts.stale);
+        self.damaged
+            .inc_by(counts.damaged - self.last_counts.damaged);
+        self.refused
+            .inc_by(counts.refused - self.last_counts.refused);
         self.unconfirmed
-            .inc_by(counts.unconfirmed - self.seen.unconfirmed);
-        self.seen = counts;
+            .inc_by(counts.unconfirmed - self.last_counts.unconfirmed);
+        self.last_counts = counts;
     }
 
-    /// A question got no answer.
-    pub fn fail(&self) {
+    /// Counts a poll that got no answer.
+    pub fn count_failure(&self) {
         self.failed.inc();
     }
 
-    /// A control instance said when to come back.
-    pub fn wait(&self) {
+    /// Counts a poll whose answer asked for a later retry.
+    pub fn count_later(&self) {
         self.told_later.inc();
     }
 }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -1,4 +1,5 @@
-//! Follows control instances and tells them of this node.
+//! Fetches configuration and directory updates from control instances, and
+//! publishes the node's own endpoint record to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,75 +36,81 @@
 use crate::follow_metrics::FollowMetrics;
 use crate::gate_task::GateMessage;
 
-/// An answer is given up on this long after it was due, and the next
-/// instance is asked; for short waits sooner.
-const ANSWER_MARGIN: Duration = Duration::from_secs(2);
-const SHORT_MARGIN: Duration = Duration::from_millis(200);
+/// Longest time past the poll wait before an answer counts as lost and the next
+/// control instance is tried.
+const ANSWER_MARGIN_MAX: Duration = Duration::from_secs(2);
 
-/// Longest wait after failures, in multiples of the wait for news.
-const BACKOFF_WAITS: f64 = 2.5;
+/// Margin past the poll wait, in addition to the wait itself, where that is
+/// shorter than [`ANSWER_MARGIN_MAX`].
+const ANSWER_MARGIN_MIN: Duration = Duration::from_millis(200);
 
-/// Part of the wait for news that a node without any configuration waits after
-/// a failure at most. A source that is up holds its question that whole wait,
-/// so that only refused connections follow each other this quickly.
-const START_PART: u32 = 2;
+/// Longest backoff after failures, in multiples of the poll wait.
+const BACKOFF_FACTOR: f64 = 2.5;
 
-/// How a node paces its questions.
+/// Divisor of the poll wait that gives the longest backoff of a node without
+/// any configuration. A control instance that is up holds a poll for the whole
+/// wait, so that only refused connections are retried this quickly.
+const STARTUP_DIVISOR: u32 = 2;
+
+/// Timing of a node's polls.
 #[derive(Clone, Copy, Debug)]
-struct FollowPace {
+struct PollTiming {
     wait: Duration,
-    patience: Duration,
-    backoff: Duration,
-    starting: Duration,
+    answer_timeout: Duration,
+    backoff_max: Duration,
+    startup_backoff_max: Duration,
 }
 
-impl FollowPace {
-    fn of(wait: Duration) -> Self {
+impl PollTiming {
+    fn new(wait: Duration) -> Self {
         Self {
             wait,
-            patience: wait + (wait + SHORT_MARGIN).min(ANSWER_MARGIN),
-            backoff: wait.mul_f64(BACKOFF_WAITS),
-            starting: wait / START_PART,
+            answer_timeout: wait + (wait + ANSWER_MARGIN_MIN).min(ANSWER_MARGIN_MAX),
+            backoff_max: wait.mul_f64(BACKOFF_FACTOR),
+            startup_backoff_max: wait / STARTUP_DIVISOR,
         }
     }
 }
 
-/// A report or a chunk is answered at once; so it is given up on earlier.
-const SHORT_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of reports and chunk requests. They are answered at once, so it is
+/// shorter than that of a poll.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What following needs.
-pub struct FollowPlan {
+/// Options of the follow task.
+pub struct FollowOptions {
     /// Name of the node's instance.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Control instances; they may change.
+    /// Addresses of the control instances; they may change.
     pub controls: watch::Receiver<Vec<SocketAddr>>,
-    /// Spreads the nodes over them, and their waits.
+    /// Seed that spreads the nodes over the control instances, and jitters the
+    /// backoff.
     pub seed: u64,
-    /// Wait that is asked of them where they have no news.
+    /// How long a control instance holds a poll while it has no updates.
     pub wait: Duration,
-    /// Sends messages to them.
+    /// Client for the control instances.
     pub client: PeerClient,
-    /// Where news go.
+    /// Receives updates.
     pub entry: mpsc::Sender<EntryMessage>,
-    /// Where records of the node's own endpoint go.
+    /// Receives the directory's records of the node's own endpoint.
     pub gate: mpsc::UnboundedSender<GateMessage>,
-    /// Counters of what is passed over.
+    /// Counters of skipped updates and failed polls.
     pub metrics: FollowMetrics,
 }
 
-/// Follows news for ever; which control instance is followed can be watched.
-pub fn spawn(plan: FollowPlan) -> watch::Receiver<SocketAddr> {
-    let first = plan.seed as usize;
-    let domain = Arc::clone(&plan.failure_domain);
-    let ring = SourceRing::new(domain, &plan.controls.borrow(), first);
+/// Starts following. The returned channel holds the address of the control
+/// instance in use.
+pub fn spawn(options: FollowOptions) -> watch::Receiver<SocketAddr> {
+    let first = options.seed as usize;
+    let domain = Arc::clone(&options.failure_domain);
+    let ring = SourceRing::new(domain, &options.controls.borrow(), first);
     let (current, watched) = watch::channel(ring.current());
-    let pace = FollowPace::of(plan.wait);
+    let timing = PollTiming::new(options.wait);
     let follower = ControlFollower {
-        pace,
-        backoff: ReconnectBackoff::new(plan.seed).bounded(pace.backoff),
-        plan,
+        timing,
+        backoff: ReconnectBackoff::new(options.seed).bounded(timing.backoff_max),
+        options,
         ring,
         current,
         versions: VersionFollower::new(Duration::ZERO),
@@ -116,8 +123,8 @@
 }
 
 struct ControlFollower {
-    plan: FollowPlan,
-    pace: FollowPace,
+    options: FollowOptions,
+    timing: PollTiming,
     ring: SourceRing,
     current: watch::Sender<SocketAddr>,
     versions: VersionFollower,
@@ -127,32 +134,32 @@
     started: Instant,
 }
 
-/// What follows a question.
-enum TurnEnd {
-    /// The source answered and stays in use.
+/// Result of a poll that was answered.
+enum PollOutcome {
+    /// Keep polling the same control instance.
     Stay,
-    /// The source answered and cannot help, or another is nearer.
-    Turn,
-    /// The source answered and cannot tell whether it is behind.
-    Unsure,
-    /// The source said when to come back.
-    Later(Duration),
+    /// The control instance cannot help, or another is nearer.
+    Switch,
+    /// The control instance cannot tell whether its state is current.
+    Unconfirmed,
+    /// The control instance asked for the next poll after this time.
+    RetryAfter(Duration),
 }
 
 impl ControlFollower {
     async fn run(mut self) {
-        while !self.plan.entry.is_closed() {
-            self.take_controls();
-            let end = self.turn().await;
-            self.plan.metrics.update(self.versions.counts());
-            let wait = match end {
-                Ok(TurnEnd::Stay) => {
+        while !self.options.entry.is_closed() {
+            self.update_controls();
+            let outcome = self.poll().await;
+            self.options.metrics.update(self.versions.counts());
+            let wait = match outcome {
+                Ok(PollOutcome::Stay) => {
                     self.backoff.reset();
                     continue;
                 }
-                Ok(TurnEnd::Later(after)) => {
+                Ok(PollOutcome::RetryAfter(after)) => {
                     self.waited = true;
-                    self.plan.metrics.wait();
+                    self.options.metrics.count_later();
                     info!(
                         "event=follow-later process=node control={} held={} after_ms={}",
                         self.ring.current(),
@@ -161,74 +168,80 @@
                     );
                     self.backoff.retry_after(after)
                 }
-                Ok(TurnEnd::Turn) => self.turn_away(),
-                Ok(TurnEnd::Unsure) => {
-                    self.plan.metrics.wait();
-                    self.turn_away();
+                Ok(PollOutcome::Switch) => self.switch_source(),
+                Ok(PollOutcome::Unconfirmed) => {
+                    self.options.metrics.count_later();
+                    self.switch_source();
                     self.backoff.reset();
-                    self.pace.wait / 2
+                    self.timing.wait / 2
                 }
                 Err(failure) => {
-                    self.plan.metrics.fail();
+                    self.options.metrics.count_failure();
                     warn!(
                         "event=follow-failed process=node control={} error={}",
                         self.ring.current(),
                         LogValue(failure)
                     );
-                    self.turn_away()
+                    self.switch_source()
                 }
             };
             actix_rt::time::sleep(wait).await;
         }
     }
 
+    /// Applies changed addresses.
+    ///
     /// Guards against a node whose control instances were all replaced while
-    /// it slept: it would ask addresses that nobody serves any more for ever.
-    fn take_controls(&mut self) {
-        // An error means that nobody can change them any more.
-        if !self.plan.controls.has_changed().unwrap_or(false) {
+    /// it waited: it would poll addresses that nobody serves any more forever.
+    fn update_controls(&mut self) {
+        // An error means that the sender is gone and the addresses are final.
+        if !self.options.controls.has_changed().unwrap_or(false) {
             return;
         }
-        let controls = self.plan.controls.borrow_and_update().clone();
+        let controls = self.options.controls.borrow_and_update().clone();
         self.ring.replace(self.started.elapsed(), &controls);
         self.current.send_replace(self.ring.current());
     }
 
-    fn turn_away(&mut self) -> Duration {
+    fn switch_source(&mut self) -> Duration {
         self.waited = false;
         self.ring.failed(self.started.elapsed());
         self.current.send_replace(self.ring.current());
         if self.versions.held() == ConfigVersion::ZERO {
-            self.backoff.next_starting_wait(self.pace.starting)
+            self.backoff
+                .next_starting_wait(self.timing.startup_backoff_max)
         } else {
             self.backoff.next_wait()
         }
     }
 
-    /// One question and what it brings.
-    async fn turn(&mut self) -> Result<TurnEnd, PeerError> {
+    /// Polls the control instance in use and applies its answer.
+    async fn poll(&mut self) -> Result<PollOutcome, PeerError> {
         let call = FollowCall {
-            follower: Arc::clone(&self.plan.instance),
+            follower: Arc::clone(&self.options.instance),
             held: self.versions.held(),
             refused: self.versions.refused(),
             whole: self.versions.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.request(),
-            wait_ms: self.pace.wait.as_millis() as u64,
-            node_domain: Some(Arc::clone(&self.plan.failure_domain)),
+            wait_ms: self.timing.wait.as_millis() as u64,
+            node_domain: Some(Arc::clone(&self.options.failure_domain)),
         };
         let address = self.ring.current();
-        let client = &self.plan.client;
-        let answer = match client.send(address, &call, self.pace.patience).await? {
+        let client = &self.options.client;
+        let answer = match client
+            .send(address, &call, self.timing.answer_timeout)
+            .await?
+        {
             FollowReply::News(answer) => *answer,
             FollowReply::Later(after_ms) => {
-                return Ok(TurnEnd::Later(Duration::from_millis(after_ms)))
+                return Ok(PollOutcome::RetryAfter(Duration::from_millis(after_ms)))
             }
         };
         self.waited = false;
-        self.take_directory(answer.directory).await;
+        self.update_directory(answer.directory).await;
         let domain = Arc::clone(&answer.source.failure_domain);
-        let unsure = answer.source.fresh_ms == 0;
+        let unconfirmed = answer.source.fresh_ms == 0;
         let now = self.started.elapsed();
         let step = self.versions.handle_update(
             now,
@@ -238,86 +251,86 @@
         );
         match self.fetch(address, step, answer.chunk).await? {
             FollowStep::Offer(snapshot) => self.offer(snapshot).await,
-            FollowStep::AskElsewhere => return Ok(TurnEnd::Turn),
+            FollowStep::AskElsewhere => return Ok(PollOutcome::Switch),
             FollowStep::Ask | FollowStep::Fetch { .. } => {}
         }
         // The entry task ends only with the node.
-        let _ = self.plan.entry.send(EntryMessage::SourceConfirmed).await;
+        let _ = self.options.entry.send(EntryMessage::SourceConfirmed).await;
         if self.ring.answered(self.started.elapsed(), &domain) {
             self.current.send_replace(self.ring.current());
         }
-        // Guards against a node that stays with an instance cut off from the
-        // leader: it answers well, and never has news.
-        if unsure {
-            return Ok(TurnEnd::Unsure);
+        // Guards against staying with a control instance that is cut off from
+        // the leader: it answers, but never has updates.
+        if unconfirmed {
+            return Ok(PollOutcome::Unconfirmed);
         }
-        Ok(TurnEnd::Stay)
+        Ok(PollOutcome::Stay)
     }
 
-    async fn take_directory(&mut self, news: DirectoryUpdate) {
+    async fn update_directory(&mut self, update: DirectoryUpdate) {
         let run = self.directory.place().run;
-        let changed = self.directory.take(news);
+        let changed = self.directory.take(update);
         if self.directory.place().run != run {
-            // The gate's task ends only with the node.
-            let _ = self.plan.gate.send(GateMessage::Repeat);
+            // The gate task ends only with the node.
+            let _ = self.options.gate.send(GateMessage::Republish);
         }
         for record in &changed {
-            if record.instance == self.plan.instance {
+            if record.instance == self.options.instance {
                 let seen = Box::new(record.clone());
-                let _ = self.plan.gate.send(GateMessage::Learn(seen));
+                let _ = self.options.gate.send(GateMessage::Reconcile(seen));
             }
         }
         if changed.is_empty() {
             return;
         }
-        let news = EntryMessage::Install(None, changed);
+        let update = EntryMessage::Install(None, changed);
         // The entry task ends only with the node.
-        let _ = self.plan.entry.send(news).await;
+        let _ = self.options.entry.send(update).await;
     }
 
-    /// Fetches chunks as long as the follower wants them, after the one that
-    /// came along.
+    /// Fetches chunks until the follower needs no more. `first_chunk` is the one
+    /// that came with the answer.
     async fn fetch(
         &mut self,
         address: SocketAddr,
         mut step: FollowStep,
-        along: Option<Bytes>,
+        first_chunk: Option<Bytes>,
     ) -> Result<FollowStep, PeerError> {
-        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, along) {
+        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, first_chunk) {
             let now = self.started.elapsed();
             step = self.versions.chunk(now, Some(&chunk));
         }
         while let FollowStep::Fetch { version, at } = step {
             let call = ChunkCall { version, at };
-            let client = &self.plan.client;
-            let answer = client.send(address, &call, SHORT_PATIENCE).await?;
+            let client = &self.options.client;
+            let answer = client.send(address, &call, REQUEST_TIMEOUT).await?;
             let now = self.started.elapsed();
             step = self.versions.chunk(now, answer.chunk.as_deref());
         }
         Ok(step)
     }
 
-    /// Hands a snapshot to the routing, which validates it and swaps, and
-    /// hears what became of it.
+    /// Sends a snapshot to the entry task, which validates and installs it, and
+    /// records the outcome.
     async fn offer(&mut self, snapshot: ConfigSnapshot) {
-        let news = EntryMessage::Install(Some(snapshot), Vec::new());
-        if self.plan.entry.send(news).await.is_err() {
+        let update = EntryMessage::Install(Some(snapshot), Vec::new());
+        if self.options.entry.send(update).await.is_err() {
             return;
         }
-        if let Some(report) = own_report(&self.plan.entry).await {
+        if let Some(report) = request_report(&self.options.entry).await {
             self.versions.record_outcome(report.applied, report.refused);
         }
     }
 }
 
-async fn own_report(entry: &mpsc::Sender<EntryMessage>) -> Option<NodeReport> {
+async fn request_report(entry: &mpsc::Sender<EntryMessage>) -> Option<NodeReport> {
     let (reply, report) = oneshot::channel();
     entry.send(EntryMessage::Report(reply)).await.ok()?;
     report.await.ok()
 }
 
-/// Tells the control instance in use of each new record of the node's own
-/// endpoint; of several that wait, the last.
+/// Reports each new record of the node's own endpoint to the control instance in
+/// use. Of several waiting records only the last is sent.
 pub async fn publish(
     control: watch::Receiver<SocketAddr>,
     seed: u64,
@@ -336,7 +349,7 @@
             };
             let address = *control.borrow();
             let call = ReportCall { batch };
-            let Err(failure) = client.send(address, &call, SHORT_PATIENCE).await else {
+            let Err(failure) = client.send(address, &call, REQUEST_TIMEOUT).await else {
                 break;
             };
             warn!(
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -1,5 +1,5 @@
-//! The task that owns the backend server's gate: its slots, its drain, and
-//! what the directory is told of it.
+//! Task that owns the gate of the backend server: it grants slots, drains the
+//! server and publishes the server's endpoint record to the directory.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -39,120 +39,121 @@
 use crate::server_probe;
 use crate::server_probe::ProbeResult;
 
-/// Where the node's own endpoint stands in the fleet.
+/// Identity and addresses of the node's own endpoint.
 #[derive(Clone, Debug)]
-pub struct GatePlace {
+pub struct GateEndpoint {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Arc<str>,
-    /// Where its node listens for other nodes.
+    /// Address on which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Where the backend server listens, where the node is told.
+    /// Address of the backend server, if the settings name one.
     pub server: Option<SocketAddr>,
 }
 
-/// A slot for one call.
+/// A slot granted to one call.
 #[derive(Clone, Debug)]
 pub struct SlotGrant {
-    /// Where the backend server listens.
+    /// Address of the backend server.
     pub server: SocketAddr,
-    /// True where the backend server is past its cold start.
+    /// True if the backend server is past its cold start.
     pub warm: bool,
-    /// Run of the backend server, where it names its runs.
+    /// Run of the backend server, if it names its runs.
     pub run: Option<Arc<str>>,
 }
 
-/// What a backend server that reports itself over and over says.
+/// A periodic report from a backend server.
 #[derive(Clone, Debug)]
 pub struct ServerReport {
-    /// Its run.
+    /// The run that sent the report.
     pub run: RunReport,
-    /// What it runs.
+    /// Service, version and slots.
     pub server: AnnouncedServer,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
 }
 
-/// What became of an announcement.
+/// Result of an announcement.
 pub type AnnounceAnswer = Result<(), PresenceRefusal>;
 
-/// What became of a call that wants a slot.
+/// Result of a request for a slot.
 pub type SlotAnswer = Result<SlotGrant, RefusalReason>;
 
-/// What others ask of the task.
+/// Messages to the gate task.
 #[derive(Debug)]
 pub enum GateMessage {
-    /// The backend server announced itself; it listens at the address.
+    /// The backend server at this address announced itself.
     Announce(AnnouncedServer, SocketAddr, oneshot::Sender<AnnounceAnswer>),
-    /// The backend server reports itself; answered once it is in force here.
+    /// A periodic report; answered once the gate has applied it.
     Report(ServerReport, oneshot::Sender<()>),
-    /// A run that has not reported yet was found healthy at the address.
-    Found(Arc<str>, AnnouncedServer, SocketAddr),
-    /// The run of this name, started at this time where known, has left.
-    Left(Arc<str>, Option<u64>, oneshot::Sender<()>),
-    /// The backend server is leaving.
+    /// A health check found a run that has not reported yet.
+    RunFound(Arc<str>, AnnouncedServer, SocketAddr),
+    /// The run takes no more work. The time is its start in milliseconds, if
+    /// known; answered once the gate has applied it.
+    RunLeft(Arc<str>, Option<u64>, oneshot::Sender<()>),
+    /// The backend server shuts down: drain it.
     Drain,
-    /// The whole node is leaving.
+    /// The node shuts down.
     Stop,
-    /// No connection to the backend server could be made.
+    /// A connection to the backend server failed.
     Unreachable,
-    /// Whether anything listens at the backend server's address.
+    /// Result of a probe of the backend server's address.
     Probed(SocketAddr, ProbeResult),
-    /// A call wants a slot.
-    Begin(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
-    /// A call is over, or whoever waited for its slot has left.
-    End(CallTicket, SlotOutcome),
-    /// The backend server sends a call of its own.
+    /// A call requests a slot.
+    AcquireSlot(CallTicket, OfferedCall, oneshot::Sender<SlotAnswer>),
+    /// A call ended, or its caller stopped waiting for a slot.
+    ReleaseSlot(CallTicket, SlotOutcome),
+    /// The backend server started an outbound call.
     OutboundBegin,
-    /// One of those calls has been answered or given up.
+    /// An outbound call of the backend server was answered or cancelled.
     OutboundEnd,
-    /// The directory has this record of the node's own endpoint.
-    Learn(Box<EndpointRecord>),
-    /// The source has changed; it may not know the endpoint's last record.
-    Repeat,
-    /// Bounds of the queue, by service, changed.
+    /// The directory's current record of the node's own endpoint.
+    Reconcile(Box<EndpointRecord>),
+    /// The control instance changed and may lack the endpoint's last record.
+    Republish,
+    /// New queue bounds, by service.
     Configure(GateBounds),
 }
 
-/// The queue's bounds by service, from the configuration in force.
+/// Queue bounds by service, from the configuration in force.
 pub type GateBounds = HashMap<Arc<str>, QueueBounds>;
 
-/// What can be seen of the gate at any time.
+/// Current figures of the gate, shared with the handlers.
 #[derive(Clone, Debug, Default)]
-pub struct GateView {
-    wait: Rc<Cell<Duration>>,
-    repeats: Rc<Cell<RepeatProbability>>,
-    works: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
+pub struct GateStatus {
+    expected_wait: Rc<Cell<Duration>>,
+    repeat_probability: Rc<Cell<RepeatProbability>>,
+    service_times: Rc<RefCell<HashMap<Arc<str>, Duration>>>,
 }
 
-impl GateView {
-    /// How long a call that came now would wait for a slot.
-    pub fn wait(&self) -> Duration {
-        self.wait.get()
+impl GateStatus {
+    /// Expected wait for a slot of a call that arrives now.
+    pub fn expected_wait(&self) -> Duration {
+        self.expected_wait.get()
     }
 
-    /// How likely a request that the server runs now repeats earlier work.
-    pub fn repeats(&self) -> RepeatProbability {
-        self.repeats.get()
+    /// Probability that a request the server runs now repeats earlier work.
+    pub fn repeat_probability(&self) -> RepeatProbability {
+        self.repeat_probability.get()
     }
 
-    /// What a job on `route` takes lately, where that is known.
-    pub fn work(&self, route: &str) -> Option<Duration> {
-        self.works.borrow().get(route).copied()
+    /// Recent service time of calls on `route`, if known.
+    pub fn service_time(&self, route: &str) -> Option<Duration> {
+        self.service_times.borrow().get(route).copied()
     }
 }
 
 struct GateTask {
-    view: GateView,
-    place: GatePlace,
+    status: GateStatus,
+    endpoint: GateEndpoint,
     gate: ServerGate,
     presence: ServerPresence,
     runs: ServerRuns,
     probing: bool,
-    own: mpsc::WeakUnboundedSender<GateMessage>,
+    self_sender: mpsc::WeakUnboundedSender<GateMessage>,
     bounds: GateBounds,
-    askers: HashMap<CallTicket, oneshot::Sender<SlotAnswer>>,
+    waiters: HashMap<CallTicket, oneshot::Sender<SlotAnswer>>,
     started: BootInstant,
     server: Option<SocketAddr>,
     cold_start: ColdStart,
@@ -160,33 +161,34 @@
     records: mpsc::UnboundedSender<EndpointRecord>,
 }
 
-/// Starts the task; each change of the endpoint's record goes to `records`.
+/// Starts the task. It sends each change of the endpoint's record to
+/// `records`.
 pub fn spawn(
-    place: GatePlace,
+    endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
 ) -> mpsc::UnboundedSender<GateMessage> {
-    spawn_viewed(place, records, GateView::default())
+    spawn_with_status(endpoint, records, GateStatus::default())
 }
 
-/// The same, with a view that it keeps up to date.
-pub fn spawn_viewed(
-    place: GatePlace,
+/// Starts the task and keeps `status` up to date.
+pub fn spawn_with_status(
+    endpoint: GateEndpoint,
     records: mpsc::UnboundedSender<EndpointRecord>,
-    view: GateView,
+    status: GateStatus,
 ) -> mpsc::UnboundedSender<GateMessage> {
-    // Unbounded: every sender waits for its answer or sends one end for
-    // each slot, so there are at most as many messages as connections.
+    // Unbounded: every sender waits for its answer or sends one release for
+    // each slot, so the connection limit also limits the queued messages.
     let (sender, receiver) = mpsc::unbounded_channel();
     let task = GateTask {
-        view,
-        place,
+        status,
+        endpoint,
         gate: ServerGate::default(),
         presence: ServerPresence::default(),
         runs: ServerRuns::default(),
         probing: false,
-        own: sender.downgrade(),
+        self_sender: sender.downgrade(),
         bounds: GateBounds::new(),
-        askers: HashMap::new(),
+        waiters: HashMap::new(),
         started: BootInstant::now(),
         server: None,
         cold_start: ColdStart::default(),
@@ -202,20 +204,20 @@
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => break,
                 },
-                () = wake_at(self.started, self.gate.next_wake()) => {
+                () = wait_until(self.started, self.gate.next_wake()) => {
                     let actions = self.gate.wake(self.started.elapsed());
-                    self.carry_out(actions);
+                    self.apply(actions);
                 }
             }
-            self.view.wait.set(self.gate.expected_wait());
-            self.view.repeats.set(self.gate.repeats());
+            self.status.expected_wait.set(self.gate.expected_wait());
+            self.status.repeat_probability.set(self.gate.repeats());
         }
     }
 
-    fn take(&mut self, message: GateMessage) {
+    fn handle(&mut self, message: GateMessage) {
         let now = self.started.elapsed();
         match message {
             GateMessage::Announce(server, address, reply) => {
@@ -225,12 +227,12 @@
                 self.report(now, report);
                 let _ = reply.send(());
             }
-            GateMessage::Found(run, server, address) => {
+            GateMessage::RunFound(run, server, address) => {
                 if self.runs.discover(&run) {
                     self.begin_run(&run, server, address);
                 }
             }
-            GateMessage::Left(run, born_ms, reply) => {
+            GateMessage::RunLeft(run, born_ms, reply) => {
                 if self.runs.deregister(&run, born_ms) {
                     self.presence.drain(now);
                     self.withdraw("left");
@@ -242,29 +244,29 @@
                 self.withdraw("stopping");
             }
             GateMessage::Unreachable => self.probe(),
-            GateMessage::Probed(address, result) => self.probed(address, result),
+            GateMessage::Probed(address, result) => self.handle_probe(address, result),
             GateMessage::Drain => {
                 self.presence.drain(now);
                 self.withdraw("draining");
             }
-            GateMessage::Begin(ticket, call, reply) => {
-                self.askers.insert(ticket, reply);
+            GateMessage::AcquireSlot(ticket, call, reply) => {
+                self.waiters.insert(ticket, reply);
                 let actions = self.gate.offer(now, ticket, call);
-                self.carry_out(actions);
+                self.apply(actions);
             }
-            GateMessage::End(ticket, outcome) => {
-                self.askers.remove(&ticket);
+            GateMessage::ReleaseSlot(ticket, outcome) => {
+                self.waiters.remove(&ticket);
                 if let Some((route, work)) = self.gate.service_time(ticket) {
-                    self.view.works.borrow_mut().insert(route, work);
+                    self.status.service_times.borrow_mut().insert(route, work);
                 }
                 let actions = self.gate.end(now, ticket, outcome);
-                self.carry_out(actions);
+                self.apply(actions);
             }
-            GateMessage::Learn(seen) => {
+            GateMessage::Reconcile(seen) => {
                 let record = self.announcer.reconcile(&seen);
                 self.send(record);
             }
-            GateMessage::Repeat => {
+            GateMessage::Republish => {
                 let record = self.announcer.last().cloned();
                 self.send(record);
             }
@@ -287,12 +289,12 @@
         self.presence.announce(now, address, in_flight)?;
         info!(
             "event=announced process=node instance={} service={} version={} slots={}",
-            self.place.instance, server.service, server.version, server.slots
+            self.endpoint.instance, server.service, server.version, server.slots
         );
-        let same = self.gate.announced() == Some(&server);
-        if !same || self.server != Some(address) {
+        let unchanged = self.gate.announced() == Some(&server);
+        if !unchanged || self.server != Some(address) {
             self.cold_start.restart();
-            self.view.works.borrow_mut().clear();
+            self.status.service_times.borrow_mut().clear();
         }
         self.gate.announce(server);
         self.configure();
@@ -307,11 +309,11 @@
             ReportEffect::Stale => {
                 info!(
                     "event=report-stale process=node instance={} run={run}",
-                    self.place.instance
+                    self.endpoint.instance
                 );
             }
             ReportEffect::Begins => self.begin_run(&run, report.server, report.address),
-            ReportEffect::Continues => self.go_on(report.server),
+            ReportEffect::Continues => self.continue_run(report.server),
             ReportEffect::Leaves => {
                 if !self.gate.is_draining() {
                     self.presence.drain(now);
@@ -330,25 +332,26 @@
         if let Err(refusal) = self.presence.begin_run(address) {
             info!(
                 "event=run-refused process=node instance={} run={run} reason={}",
-                self.place.instance,
+                self.endpoint.instance,
                 LogValue(refusal)
             );
             return;
         }
         info!(
             "event=run-begins process=node instance={} run={run} service={} version={} slots={}",
-            self.place.instance, server.service, server.version, server.slots
+            self.endpoint.instance, server.service, server.version, server.slots
         );
         self.cold_start.restart();
-        self.view.works.borrow_mut().clear();
+        self.status.service_times.borrow_mut().clear();
         self.gate.announce(server);
         self.configure();
         self.server = Some(address);
         self.publish();
     }
 
-    /// A run that was lost reports again, or says something new of itself.
-    fn go_on(&mut self, server: AnnouncedServer) {
+    /// Applies a report of the current run: the server is reachable again, or
+    /// its service, version or slots changed.
+    fn continue_run(&mut self, server: AnnouncedServer) {
         let back = self.presence.mark_reachable();
         if !back && self.gate.announced() == Some(&server) {
             return;
@@ -361,27 +364,27 @@
         self.publish();
     }
 
-    /// No new work from now on; what waits is sent elsewhere.
+    /// Stops granting slots; waiting calls are refused and go to other servers.
     fn withdraw(&mut self, event: &str) {
         info!(
             "event={event} process=node instance={}",
-            self.place.instance
+            self.endpoint.instance
         );
         let actions = self.gate.drain();
-        self.carry_out(actions);
+        self.apply(actions);
         self.publish();
     }
 
-    /// Looks whether anything listens at the backend server's address.
+    /// Starts probing the backend server's address, unless a probe is running.
     fn probe(&mut self) {
         let (Some(address), false) = (self.server, self.probing) else {
             return;
         };
         self.probing = true;
-        actix_rt::spawn(server_probe::watch(address, self.own.clone()));
+        actix_rt::spawn(server_probe::watch(address, self.self_sender.clone()));
     }
 
-    fn probed(&mut self, address: SocketAddr, result: ProbeResult) {
+    fn handle_probe(&mut self, address: SocketAddr, result: ProbeResult) {
         self.probing = result == ProbeResult::Refused;
         if self.server != Some(address) {
             return;
@@ -398,24 +401,24 @@
         if let Some(server) = self.gate.announced().cloned() {
             info!(
                 "event=server-back process=node instance={}",
-                self.place.instance
+                self.endpoint.instance
             );
             self.gate.announce(server);
             self.publish();
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<GateAction>) {
+    fn apply(&mut self, actions: Vec<GateAction>) {
         for action in actions {
             let (ticket, answer) = match action {
                 GateAction::Start(ticket) => (ticket, self.grant()),
                 GateAction::Refuse(ticket, reason) => (ticket, Err(reason)),
             };
-            let Some(asker) = self.askers.remove(&ticket) else {
+            let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
-            // An asker that has left meanwhile reports its end itself.
-            let _ = asker.send(answer);
+            // A caller that stopped waiting sends `ReleaseSlot` itself.
+            let _ = waiter.send(answer);
         }
     }
 
@@ -455,11 +458,11 @@
             EndpointStanding::Serving
         };
         let record = EndpointRecord {
-            instance: Arc::clone(&self.place.instance),
+            instance: Arc::clone(&self.endpoint.instance),
             service: Arc::clone(&server.service),
             version: Arc::clone(&server.version),
-            failure_domain: Arc::clone(&self.place.failure_domain),
-            address: self.place.address,
+            failure_domain: Arc::clone(&self.endpoint.failure_domain),
+            address: self.endpoint.address,
             slots: server.slots,
             standing,
             incarnation: 0,
@@ -470,8 +473,9 @@
     }
 }
 
-/// Ends when the gate has something to do, or never.
-async fn wake_at(started: BootInstant, at: Option<Duration>) {
+/// Completes at `at`, an offset from `started`; never completes if it is
+/// `None`.
+async fn wait_until(started: BootInstant, at: Option<Duration>) {
     match at {
         Some(at) => sleep(at.saturating_sub(started.elapsed())).await,
         None => std::future::pending().await,
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the next hop and gives back answers.
+//! Sends requests to the next hop and returns the responses.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,78 +16,78 @@
 use cowslip_wire::process_log::LogValue;
 
 use crate::call_forward::CallBody;
-use crate::hop::answer_body::AnswerBody;
 use crate::hop::hop_connection::ExchangeError;
 use crate::hop::hop_connection::HopConnection;
 use crate::hop::hop_request::HopRequest;
-use crate::hop::idle_shelf::IdleShelf;
+use crate::hop::idle_pool::IdlePool;
+use crate::hop::response_body::ResponseBody;
 
-/// What differs between hops.
+/// Options of a hop client.
 #[derive(Clone, Copy, Debug)]
-pub struct HopPlan {
-    /// Time to connect.
-    pub connect: Duration,
+pub struct HopOptions {
+    /// Timeout for opening a connection.
+    pub connect_timeout: Duration,
 }
 
-/// An answer whose head has arrived.
-pub struct HopAnswer {
+/// A response whose head has arrived.
+pub struct HopResponse {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The rest.
-    pub body: AnswerBody,
+    /// Body, which may still be arriving.
+    pub body: ResponseBody,
 }
 
-/// Connections to next hops.
+/// HTTP client with a pool of idle connections.
 pub struct HopClient {
-    plan: HopPlan,
+    options: HopOptions,
     config: ServiceConfig,
-    shelf: Rc<IdleShelf>,
+    idle_pool: Rc<IdlePool>,
 }
 
 impl HopClient {
-    /// No connections yet.
-    pub fn new(plan: HopPlan) -> Self {
+    /// Creates a client without connections.
+    pub fn new(options: HopOptions) -> Self {
         Self {
-            plan,
+            options,
             config: ServiceConfig::default(),
-            shelf: Rc::default(),
+            idle_pool: Rc::default(),
         }
     }
 
-    /// Sends a request and waits for the head of its answer up to `left`.
+    /// Sends a request and waits up to `limit` for the head of the response.
     pub async fn send(
         &self,
         address: SocketAddr,
         generation: PoolGeneration,
         request: &HopRequest,
         body: &mut CallBody,
-        left: Duration,
-    ) -> Result<HopAnswer, TryFailure> {
+        limit: Duration,
+    ) -> Result<HopResponse, TryFailure> {
         let mut stage = SendStage::Connecting;
-        let sending = self.send_at_once(address, generation, request, body, &mut stage);
-        match actix_rt::time::timeout(left, sending).await {
+        let sending = self.send_untimed(address, generation, request, body, &mut stage);
+        match actix_rt::time::timeout(limit, sending).await {
             Ok(answer) => answer,
-            Err(_) => Err(stage.out_of_time()),
+            Err(_) => Err(stage.timeout_failure()),
         }
     }
 
-    async fn send_at_once(
+    async fn send_untimed(
         &self,
         address: SocketAddr,
         generation: PoolGeneration,
         request: &HopRequest,
         body: &mut CallBody,
         stage: &mut SendStage,
-    ) -> Result<HopAnswer, TryFailure> {
-        let mut connection = match self.shelf.take(address, generation) {
+    ) -> Result<HopResponse, TryFailure> {
+        let mut connection = match self.idle_pool.take(address, generation) {
             Some(connection) => connection,
             None => self.connect(address, generation).await?,
         };
         *stage = SendStage::Sending;
         match connection.exchange(request, body).await {
-            Ok(head) => Ok(HopAnswer {
+            Ok(head) => Ok(HopResponse {
                 head,
-                body: AnswerBody::new(connection, Rc::clone(&self.shelf)),
+                body: ResponseBody::new(connection, Rc::clone(&self.idle_pool)),
             }),
             Err(ExchangeError::BodyBroken) => {
                 Err(may_have_run(RefusalReason::BodyTruncated))
@@ -97,16 +97,17 @@
                     "event=exchange-broken process=node to={address} error={}",
                     LogValue(error)
                 );
-                // What ended one connection has often ended the others too.
-                self.shelf.clear(address);
+                // A failure of one connection to an address often affects the
+                // others too.
+                self.idle_pool.clear(address);
                 Err(may_have_run(RefusalReason::ConnectionBroken))
             }
         }
     }
 
-    /// Drops idle connections to an address that is not used any more.
-    pub fn forget(&self, address: SocketAddr) {
-        self.shelf.clear(address);
+    /// Closes the idle connections to an address that is no longer used.
+    pub fn drop_idle(&self, address: SocketAddr) {
+        self.idle_pool.clear(address);
     }
 
     async fn connect(
@@ -116,7 +117,7 @@
     ) -> Result<HopConnection, TryFailure> {
         let codec = ClientCodec::new(self.config.clone());
         let opening = HopConnection::open(address, generation, codec);
-        let opened = actix_rt::time::timeout(self.plan.connect, opening).await;
+        let opened = actix_rt::time::timeout(self.options.connect_timeout, opening).await;
         match opened {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) | Err(_) => Err(TryFailure {
@@ -134,7 +135,7 @@
     }
 }
 
-/// How far a send has come when its time runs out.
+/// How far a send got before its timeout.
 #[derive(Clone, Copy)]
 enum SendStage {
     Connecting,
@@ -142,7 +143,7 @@
 }
 
 impl SendStage {
-    fn out_of_time(self) -> TryFailure {
+    fn timeout_failure(self) -> TryFailure {
         let verdict = match self {
             Self::Connecting => CallVerdict::NotRun,
             Self::Sending => CallVerdict::MayHaveRun,
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -1,4 +1,4 @@
-//! What of a node, beside routing, goes by the configuration in force.
+//! Parts of a node besides routing that depend on the configuration in force.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,33 +9,33 @@
 use cowslip_core::document::FleetDocument;
 use cowslip_wire::http_listener::ListenerTimes;
 
-use crate::server_check::ServerExpectation;
+use crate::server_check::ConfiguredServer;
 
-/// Told of each configuration that comes into force.
+/// Hooks that run when a configuration is installed.
 pub struct InstallHooks {
-    /// Set once a configuration is in force.
+    /// Set once the first configuration is in force.
     pub configured: Rc<Cell<bool>>,
-    /// The backend server that the node is told of.
-    pub expectation: ServerExpectation,
-    /// Times that the callers' listener keeps.
-    pub times: watch::Sender<ListenerTimes>,
+    /// The backend server that the settings name.
+    pub server: ConfiguredServer,
+    /// Timeouts of the callers' listener.
+    pub listener_times: watch::Sender<ListenerTimes>,
 }
 
 impl InstallHooks {
-    /// A configuration has come into force.
+    /// Applies a configuration that has come into force.
     pub(crate) fn installed(&self, document: &FleetDocument) {
         if !self.configured.replace(true) {
-            self.expectation.ask(document);
+            self.server.request_check(document);
         }
-        let own = ListenerTimes::default();
+        let defaults = ListenerTimes::default();
         let millis = |set: Option<u64>| set.map(Duration::from_millis);
         let times = ListenerTimes {
-            head: millis(document.limits.head_ms).unwrap_or(own.head),
-            idle: millis(document.limits.idle_ms).unwrap_or(own.idle),
+            head: millis(document.limits.head_ms).unwrap_or(defaults.head),
+            idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
-        self.times.send_if_modified(|held| {
-            let changed = *held != times;
-            *held = times;
+        self.listener_times.send_if_modified(|current| {
+            let changed = *current != times;
+            *current = times;
             changed
         });
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The shell of `cowslip-node`: sockets, files and timers round the core.
+//! I/O layer of `cowslip-node`: sockets, files and timers around the core.
 
 pub mod call_dialect;
 pub mod call_forward;
@@ -25,4 +25,4 @@
 pub mod refusal_reply;
 pub mod server_check;
 pub mod server_probe;
-pub mod start_calls;
+pub mod startup_queue;
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -1,5 +1,5 @@
-//! The backend server's side of a node: it announces itself here, says that
-//! it leaves, and sends its own calls.
+//! Handler of the listener for the backend server, which announces itself,
+//! requests a drain and sends its outbound calls there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,48 +25,50 @@
 use crate::gate_task::GateMessage;
 use crate::node_stage::NodeStage;
 
-/// Largest announcement taken, in bytes; they are a few lines of JSON.
+/// Largest accepted announcement, in bytes. Announcements are a few lines of
+/// JSON.
 const ANNOUNCE_BYTES_MAX: usize = 16 * 1024;
 
-/// What a backend server posts to `/announce`, as JSON.
+/// JSON body that a backend server posts to `/announce`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceBody {
-    /// Service it belongs to.
+    /// Service of the server.
     pub service: Arc<str>,
-    /// Backend server version it runs.
+    /// Backend server version.
     pub version: Arc<str>,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Number of requests that the server runs at once.
     pub slots: u32,
 }
 
-/// Serves the backend server's local listener.
+/// HTTP handler for the backend server's requests.
 pub struct LocalHandler {
     gate: mpsc::UnboundedSender<GateMessage>,
-    calls: Rc<EntryProxy>,
+    entry: Rc<EntryProxy>,
 }
 
 impl LocalHandler {
-    /// Announcements go to `gate`, outbound calls to `calls`.
-    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, calls: Rc<EntryProxy>) -> Self {
-        Self { gate, calls }
+    /// Creates a handler that sends announcements to `gate` and outbound calls to
+    /// `entry`.
+    pub fn new(gate: mpsc::UnboundedSender<GateMessage>, entry: Rc<EntryProxy>) -> Self {
+        Self { gate, entry }
     }
 }
 
 impl HttpHandler for LocalHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
         let gate = self.gate.clone();
-        let calls = Rc::clone(&self.calls);
+        let entry = Rc::clone(&self.entry);
         Box::pin(async move {
             match (request.method(), request.path()) {
                 (&Method::POST, "/announce") => announce(gate, request).await,
-                (&Method::POST, "/drain") => drain(&gate, &calls, &request).await,
+                (&Method::POST, "/drain") => drain(&gate, &entry, &request).await,
                 _ => {
-                    let _under_way = OutboundGuard::begin(gate);
-                    calls
-                        .serve(request, CallOrigin::Backend, NodeStage::Open)
+                    let _guard = OutboundGuard::begin(gate);
+                    entry
+                        .serve(request, CallOrigin::Backend, NodeStage::Serving)
                         .await
                 }
             }
@@ -74,13 +76,13 @@
     }
 }
 
-/// Tells the gate that one of the server's own calls is over, also where
-/// the server has given it up.
+/// Counts an outbound call at the gate until it ends, even if the server
+/// cancels it.
 struct OutboundGuard(mpsc::UnboundedSender<GateMessage>);
 
 impl OutboundGuard {
     fn begin(gate: mpsc::UnboundedSender<GateMessage>) -> Self {
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = gate.send(GateMessage::OutboundBegin);
         Self(gate)
     }
@@ -102,39 +104,42 @@
             return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
         }
     };
-    let said: AnnounceBody = match serde_json::from_slice(&body) {
-        Ok(said) => said,
+    let announcement: AnnounceBody = match serde_json::from_slice(&body) {
+        Ok(announcement) => announcement,
         Err(fault) => {
             return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
         }
     };
-    if said.slots == 0 || said.service.is_empty() || said.version.is_empty() {
+    if announcement.slots == 0
+        || announcement.service.is_empty()
+        || announcement.version.is_empty()
+    {
         let problem = "service, version and at least one slot are needed";
         return http_reply::text(StatusCode::BAD_REQUEST, problem);
     }
     let server = AnnouncedServer {
-        service: said.service,
-        version: said.version,
-        slots: said.slots,
+        service: announcement.service,
+        version: announcement.version,
+        slots: announcement.slots,
     };
     let (reply, answer) = oneshot::channel();
-    // The gate's task ends only with the node.
-    let _ = gate.send(GateMessage::Announce(server, said.address, reply));
+    // The gate task ends only with the node.
+    let _ = gate.send(GateMessage::Announce(server, announcement.address, reply));
     match answer.await.unwrap_or(Err(PresenceRefusal::NodeStopping)) {
         Ok(()) => http_reply::text(StatusCode::OK, "announced"),
         Err(refusal) => http_reply::text(StatusCode::CONFLICT, refusal.to_string()),
     }
 }
 
-/// Drains, unless a move still needs this backend server; `?anyway` drains
-/// it all the same.
+/// Drains the backend server, unless a move still needs it. `?anyway` skips that
+/// check.
 async fn drain(
     gate: &mpsc::UnboundedSender<GateMessage>,
-    calls: &EntryProxy,
+    entry: &EntryProxy,
     request: &Request,
 ) -> HttpReply {
     let anyway = request.uri().query() == Some("anyway");
-    if !anyway && calls.is_last_old_server().await {
+    if !anyway && entry.is_last_old_server().await {
         let problem = "refused: the last server of the version in service, and a move \
                        to another is in progress; wait for it, or POST /drain?anyway";
         return http_reply::text(StatusCode::CONFLICT, problem);
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a node together and stops it.
+//! Starts and stops the tasks and listeners of a node.
 
 use std::cell::Cell;
 use std::io;
@@ -34,11 +34,11 @@
 use crate::evidence_task;
 use crate::follow_metrics::FollowMetrics;
 use crate::follow_task;
-use crate::follow_task::FollowPlan;
+use crate::follow_task::FollowOptions;
 use crate::gate_task;
+use crate::gate_task::GateEndpoint;
 use crate::gate_task::GateMessage;
-use crate::gate_task::GatePlace;
-use crate::gate_task::GateView;
+use crate::gate_task::GateStatus;
 use crate::gate_task::ServerReport;
 use crate::holder_task;
 use crate::install_hooks::InstallHooks;
@@ -48,26 +48,28 @@
 use crate::peer_handler::PeerHandler;
 use crate::peer_handler::PeerProxy;
 use crate::server_check;
-use crate::server_check::ServerExpectation;
+use crate::server_check::ConfiguredServer;
 
-/// Connections on the nodes' and the local listener. A backend server has
-/// about 100; nodes get ten times that.
+/// Connection limit of the peer listener and of the local listener. A backend
+/// server has about 100 connections; nodes may have ten times as many.
 const CONNECTIONS_MAX: usize = 1_024;
 
-/// Connections on the callers' listener. Callers that are refused come back
-/// on new connections and leave the old ones open until they are idle: 40 a
-/// second kept for 75 s filled 1,024, and everybody else waited to be taken
-/// for six seconds. 4,096 descriptors bear this many and all others.
-const CALLERS_MAX: usize = 2_400;
+/// Connection limit of the callers' listener. Refused callers come back on new
+/// connections and leave the old ones open until they time out: 40 a second
+/// held for 75 s filled a limit of 1,024, and all other callers waited six
+/// seconds to be accepted. This limit and all others fit in 4,096 file
+/// descriptors.
+const CALLER_CONNECTIONS_MAX: usize = 2_400;
 
-/// Longest wait for the requests in flight: the longest deadline.
-const STOP_PATIENCE: Duration = Duration::from_secs(600);
+/// Timeout for draining each listener; equal to the longest deadline of a
+/// request.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Part of a bounded stop that is kept, once the backend server's work has
-/// ended, for its last answers to reach their callers.
-const ANSWERS_TIME: Duration = Duration::from_millis(200);
+/// Part of a bounded stop that is reserved for the last answers to reach their
+/// callers after the backend server has finished its work.
+const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// The sockets of a node, bound before it runs.
+/// Listening sockets of a node, bound before it starts.
 pub struct NodeSockets {
     callers: TcpListener,
     local: TcpListener,
@@ -100,20 +102,21 @@
     stop_within: Option<Duration>,
 }
 
-/// Puts a handler in front of a listener's own.
-pub type HandlerFront<D> = Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
+/// Wraps a listener's handler in another one.
+pub type HandlerWrapper<D> =
+    Box<dyn FnOnce(D, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>>;
 
-/// What the surroundings of a fleet need in front of a node.
-pub struct NodeFronts {
-    /// How callers and the backend server name headers.
+/// Deployment-specific handlers in front of a node's own.
+pub struct NodeMiddleware {
+    /// Header names used by callers and the backend server.
     pub dialect: CallDialect,
-    /// In front of the backend server's listener.
-    pub local: HandlerFront<ServerDesk>,
-    /// In front of the admin listener.
-    pub admin: HandlerFront<NodeView>,
+    /// Wrapper of the backend server's listener.
+    pub local: HandlerWrapper<ServerReporter>,
+    /// Wrapper of the admin listener.
+    pub admin: HandlerWrapper<NodeStatus>,
 }
 
-impl Default for NodeFronts {
+impl Default for NodeMiddleware {
     fn default() -> Self {
         Self {
             dialect: CallDialect::default(),
@@ -123,61 +126,62 @@
     }
 }
 
-/// Takes what the backend server reports of itself.
+/// Passes the backend server's reports to the gate.
 #[derive(Clone)]
-pub struct ServerDesk {
+pub struct ServerReporter {
     gate: mpsc::UnboundedSender<GateMessage>,
 }
 
-impl ServerDesk {
-    /// A report; it is in force here once this returns.
+impl ServerReporter {
+    /// Sends a report and waits until the gate has applied it.
     pub async fn report(&self, report: ServerReport) {
         let (reply, done) = oneshot::channel();
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::Report(report, reply));
         let _ = done.await;
     }
 
-    /// The run of this name, started at `born_ms` where that is known, takes
-    /// no more work; true here once this returns.
-    pub async fn left(&self, run: Arc<str>, born_ms: Option<u64>) {
+    /// Reports that the run takes no more work, and waits until the gate has
+    /// applied it. `born_ms` is the start of the run, if known.
+    pub async fn run_left(&self, run: Arc<str>, born_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
-        // The gate's task ends only with the node.
-        let _ = self.gate.send(GateMessage::Left(run, born_ms, reply));
+        // The gate task ends only with the node.
+        let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
         let _ = done.await;
     }
 }
 
-/// What can be seen of a node from outside.
+/// Status of a node, as its readiness page shows it.
 #[derive(Clone)]
-pub struct NodeView {
+pub struct NodeStatus {
     configured: Rc<Cell<bool>>,
     stage: Rc<Cell<NodeStage>>,
 }
 
-impl NodeView {
-    /// True where callers may send it work: it has a configuration and is
-    /// not leaving.
+impl NodeStatus {
+    /// True if callers may send calls: the node has a configuration and is not
+    /// leaving.
     pub fn is_ready(&self) -> bool {
-        self.configured.get() && self.stage.get() == NodeStage::Open
+        self.configured.get() && self.stage.get() == NodeStage::Serving
     }
 }
 
 impl NodeDaemon {
-    /// Starts a node on its sockets. `seed` spreads the nodes' choices.
+    /// Starts a node on its sockets. `seed` makes the random choices of nodes
+    /// differ.
     pub fn spawn(
         settings: &NodeSettings,
         sockets: NodeSockets,
         seed: u64,
     ) -> io::Result<Self> {
-        Self::spawn_behind(settings, sockets, NodeFronts::default(), seed)
+        Self::spawn_with_middleware(settings, sockets, NodeMiddleware::default(), seed)
     }
 
-    /// The same, behind `fronts`.
-    pub fn spawn_behind(
+    /// Starts a node whose handlers are wrapped by `middleware`.
+    pub fn spawn_with_middleware(
         settings: &NodeSettings,
         sockets: NodeSockets,
-        fronts: NodeFronts,
+        middleware: NodeMiddleware,
         seed: u64,
     ) -> io::Result<Self> {
         let mut registry = Registry::default();
@@ -186,41 +190,41 @@
         let instance = Arc::clone(&settings.instance);
         let failure_domain = Arc::clone(&settings.failure_domain);
         let (records, published) = mpsc::unbounded_channel();
-        let place = GatePlace {
+        let endpoint = GateEndpoint {
             instance: Arc::clone(&settings.instance),
             failure_domain: Arc::clone(&settings.failure_domain),
             address: sockets.peer.local_addr()?,
             server: settings.server,
         };
         let pools = CallPools::new();
-        let dialect = Rc::new(fronts.dialect);
-        let gate_view = GateView::default();
-        let (check, checks) = mpsc::unbounded_channel();
-        let gate = gate_task::spawn_viewed(place, records, gate_view.clone());
-        let expectation = ServerExpectation {
+        let dialect = Rc::new(middleware.dialect);
+        let gate_status = GateStatus::default();
+        let (checks, requested_checks) = mpsc::unbounded_channel();
+        let gate = gate_task::spawn_with_status(endpoint, records, gate_status.clone());
+        let server = ConfiguredServer {
             service: settings.service.clone(),
             address: settings.server,
-            check,
+            checks,
         };
-        let view = NodeView {
+        let status = NodeStatus {
             configured: Rc::new(Cell::new(false)),
-            stage: Rc::new(Cell::new(NodeStage::Open)),
+            stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (times, watched_times) = watch::channel(ListenerTimes::default());
+        let (listener_times, watched_times) = watch::channel(ListenerTimes::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
             gate.clone(),
             InstallHooks {
-                configured: Rc::clone(&view.configured),
-                expectation,
-                times,
+                configured: Rc::clone(&status.configured),
+                server,
+                listener_times,
             },
             seed,
         );
         let peers = PeerClient::new(settings.system_key.clone());
         let (controls, watched_controls) = watch::channel(settings.controls.clone());
-        let control = follow_task::spawn(FollowPlan {
+        let control = follow_task::spawn(FollowOptions {
             instance: Arc::clone(&settings.instance),
             failure_domain: Arc::clone(&settings.failure_domain),
             controls: watched_controls,
@@ -246,7 +250,7 @@
         actix_rt::spawn(server_check::run(
             Rc::clone(&pools),
             Rc::clone(&dialect),
-            checks,
+            requested_checks,
             gate.clone(),
         ));
         let desk = Rc::new(EntryProxy {
@@ -254,7 +258,7 @@
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
             system_key: settings.system_key.clone(),
-            view: gate_view.clone(),
+            view: gate_status.clone(),
             entry,
             claims,
             metrics: entry_metrics,
@@ -263,7 +267,7 @@
         let peer_desk = PeerProxy {
             pools,
             dialect,
-            view: gate_view,
+            view: gate_status,
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
@@ -271,18 +275,18 @@
             metrics: server_metrics,
             log: CallLog::new("server"),
         };
-        let stage = Rc::clone(&view.stage);
+        let stage = Rc::clone(&status.stage);
         let callers =
             EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
         let local = Rc::new(LocalHandler::new(gate.clone(), desk));
-        let local = (fronts.local)(ServerDesk { gate: gate.clone() }, local);
+        let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
-        let page = (fronts.admin)(view, Rc::new(page));
+        let page = (middleware.admin)(status, Rc::new(page));
         let listen = HttpListener::spawn;
         let daemon = Self {
             callers: HttpListener::spawn_ahead(
                 sockets.callers,
-                CALLERS_MAX,
+                CALLER_CONNECTIONS_MAX,
                 Rc::new(callers),
                 watched_times,
             )?,
@@ -311,62 +315,63 @@
         Ok(daemon)
     }
 
-    /// Takes what of `settings` can change while the node runs: its control
-    /// instances.
+    /// Applies the settings that can change while the node runs: the addresses
+    /// of the control instances.
     pub fn reload(&self, settings: &NodeSettings) {
-        self.controls.send_if_modified(|held| {
-            let changed = *held != settings.controls;
-            held.clone_from(&settings.controls);
+        self.controls.send_if_modified(|current| {
+            let changed = *current != settings.controls;
+            current.clone_from(&settings.controls);
             changed
         });
     }
 
-    /// Where callers reach the node.
+    /// Address of the callers' listener.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where the backend server reaches the node.
+    /// Address of the backend server's listener.
     pub fn local(&self) -> SocketAddr {
         self.local.address()
     }
 
-    /// Where metrics and health are served.
+    /// Address of the admin listener, which serves metrics and health.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// A planned stop: others are told, new work is refused, what is in
-    /// flight ends. True where nothing was cut.
+    /// Planned stop: announces the stop, refuses new calls and waits for those in
+    /// flight. Returns true if no call was cut off.
     pub async fn stop(self) -> bool {
         match self.stop_within {
             Some(within) => self.stop_within(within).await,
-            None => self.stop_patiently().await,
+            None => self.drain_and_stop().await,
         }
     }
 
-    async fn stop_patiently(self) -> bool {
+    async fn drain_and_stop(self) -> bool {
         self.stage.set(NodeStage::Stopping);
         let _ = self.gate.send(GateMessage::Stop);
         actix_rt::time::sleep(self.drain_notice).await;
-        let mut whole = self.callers.stop(STOP_PATIENCE).await;
-        whole &= self.peer.stop(STOP_PATIENCE).await;
-        // Last of the three: what the backend server still runs for others
-        // may need calls of its own.
-        whole &= self.local.stop(STOP_PATIENCE).await;
-        whole & self.admin.stop(STOP_PATIENCE).await
+        let mut drained = self.callers.stop(DRAIN_TIMEOUT).await;
+        drained &= self.peer.stop(DRAIN_TIMEOUT).await;
+        // The local listener closes last: work that the backend server still
+        // does for other nodes may need outbound calls.
+        drained &= self.local.stop(DRAIN_TIMEOUT).await;
+        drained & self.admin.stop(DRAIN_TIMEOUT).await
     }
 
-    /// A stop whose time is bounded; true where nothing was cut.
+    /// Planned stop that takes at most `within`. Returns true if no call was cut
+    /// off.
     ///
-    /// Load pattern: a fleet restarted node by node. Callers learn of a stop
-    /// from the readiness page within some two seconds, and the backend
-    /// server stays up: refused from the first moment on, callers would need
-    /// a second try each, and its slots would stand idle for the whole stop,
-    /// with four nodes of nine on their way for nearly half of all capacity.
-    /// So everything is served through the notice; then only what can end
-    /// before the process does, and what the backend server works on has
-    /// nearly all of the time that is left.
+    /// Load pattern: a fleet is restarted node by node. Callers learn of a stop
+    /// from the readiness page within about two seconds, and the backend server
+    /// stays up. If the node refused calls from the start, each caller would
+    /// need a second try, and the server's slots would be idle for the whole
+    /// stop; with four of nine nodes stopping, that is nearly half of the
+    /// capacity. The node therefore serves all calls during the drain notice,
+    /// and afterwards only those that can end before the process does. Work in
+    /// progress on the backend server gets nearly all of the remaining time.
     pub async fn stop_within(self, within: Duration) -> bool {
         let end = BootInstant::now() + within;
         let left = || end.saturating_duration_since(BootInstant::now());
@@ -374,12 +379,16 @@
         actix_rt::time::sleep(self.drain_notice).await;
         let _ = self.gate.send(GateMessage::Stop);
         self.stage.set(NodeStage::Ending(end));
-        // Before the callers' listener closes: its work for others may need
-        // calls of its own, which come in there.
-        let mut whole = self.peer.stop(left().saturating_sub(ANSWERS_TIME)).await;
+        // The peer listener closes before the callers' listener: the backend
+        // server's work for other nodes may need outbound calls, which arrive
+        // on the callers' listener.
+        let mut drained = self
+            .peer
+            .stop(left().saturating_sub(ANSWER_FLUSH_TIME))
+            .await;
         self.stage.set(NodeStage::Stopping);
-        whole &= self.callers.stop(left()).await;
-        whole &= self.local.stop(left()).await;
-        whole & self.admin.stop(left()).await
+        drained &= self.callers.stop(left()).await;
+        drained &= self.local.stop(left()).await;
+        drained & self.admin.stop(left()).await
     }
 }
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -44,10 +44,10 @@
 use crate::call_pools::CallPools;
 use crate::entry_task::CallRefusal;
 use crate::gate_task::GateMessage;
-use crate::gate_task::GateView;
+use crate::gate_task::GateStatus;
 use crate::gate_task::SlotGrant;
 use crate::holder_task::HolderMessage;
-use crate::hop::HopAnswer;
+use crate::hop::HopResponse;
 use crate::refusal_reply::refusal_reply;
 
 /// Bytes read of a backend server's refusal, so that its connection can be
@@ -63,7 +63,7 @@
     /// Access key that nodes send to each other.
     pub system_key: AccessKey,
     /// Current state of the gate.
-    pub view: GateView,
+    pub view: GateStatus,
     /// Channel to the gate's task.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// Channel to the task that holds claims for other nodes.
@@ -131,9 +131,9 @@
                 refusal_reply(refusal, &self.dialect, None)
             }
         };
-        let wait_ms = self.view.wait().as_millis().to_string();
+        let wait_ms = self.view.expected_wait().as_millis().to_string();
         http_reply::set_header(&mut reply, call_headers::WAIT_MS, &wait_ms);
-        if let Some(work) = route.and_then(|route| self.view.work(&route)) {
+        if let Some(work) = route.and_then(|route| self.view.service_time(&route)) {
             let work_ms = work.as_millis().to_string();
             http_reply::set_header(&mut reply, call_headers::WORK_MS, &work_ms);
         }
@@ -186,7 +186,7 @@
         if self.is_not_run(&answer) {
             slot.outcome = SlotOutcome::Shed;
             // Read to its end, so that the connection can be reused.
-            let whole = answer.body.hold(REFUSAL_BYTES_MAX).await;
+            let whole = answer.body.buffer(REFUSAL_BYTES_MAX).await;
             debug!("event=server-refused process=node whole={whole:?}");
             return Err(not_run(RefusalReason::ServerRefused));
         }
@@ -220,7 +220,7 @@
     }
 
     /// Returns whether the server answered that it has not run the request.
-    fn is_not_run(&self, answer: &HopAnswer) -> bool {
+    fn is_not_run(&self, answer: &HopResponse) -> bool {
         let head = &answer.head;
         let flagged = head.headers().contains_key(&self.dialect.not_run);
         flagged || head.status == StatusCode::MISDIRECTED_REQUEST
@@ -251,7 +251,9 @@
         self.next_ticket.set(ticket + 1);
         let (reply, answer) = oneshot::channel();
         // The gate's task ends only with the node.
-        let _ = self.gate.send(GateMessage::Begin(ticket, call, reply));
+        let _ = self
+            .gate
+            .send(GateMessage::AcquireSlot(ticket, call, reply));
         // Created before the wait, so that a caller that disconnects leaves the
         // queue.
         let slot = SlotGuard {
@@ -321,6 +323,8 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let _ = self.gate.send(GateMessage::End(self.ticket, self.outcome));
+        let _ = self
+            .gate
+            .send(GateMessage::ReleaseSlot(self.ticket, self.outcome));
     }
 }
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -1,10 +1,10 @@
-//! Asks a backend server that has not reported yet whether it is there.
+//! Checks the health page of a backend server that has not reported yet.
 //!
-//! Load pattern: all nodes of a fleet are killed at once, their servers live
-//! on. Each server reports again within its own pause of a second or two, and
-//! until then its node would refuse all calls although every slot stands
-//! free. What such a server runs is known where only one version of its
-//! service can be in service; its health page names its run.
+//! Load pattern: all nodes of a fleet are killed at once while their backend
+//! servers keep running. Each server reports again within its report interval
+//! of one or two seconds; until then its node would refuse all calls although
+//! every slot is free. The version of such a server is known if only one
+//! version of its service can be in service. Its health page names its run.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,72 +30,73 @@
 use crate::gate_task::GateMessage;
 use crate::hop::HopRequest;
 
-/// Time for the health page; a server that is full answers later, and
-/// reports by itself soon.
-const CHECK_TIME: Duration = Duration::from_millis(500);
+/// Timeout of a health check. A fully loaded server takes longer to answer, and
+/// its own report follows soon.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Slots that a server is taken to have until it reports: fewer than any of
-/// the users' has.
-const SLOTS_UNTIL_REPORT: u32 = 4;
+/// Slots assumed for a server until it reports. No user's server has so few.
+const PROVISIONAL_SLOTS: u32 = 4;
 
-/// Bytes of the page that are read so that its connection can be used again.
+/// Bytes of the health page that are read so that the connection can be reused.
 const PAGE_BYTES_MAX: usize = 4 * 1024;
 
-/// The server that a node is told of by its settings.
+/// The backend server that the node's settings name.
 #[derive(Clone, Debug)]
-pub struct ServerExpectation {
-    /// Its service.
+pub struct ConfiguredServer {
+    /// Service of the server.
     pub service: Option<Arc<str>>,
-    /// Where it listens.
+    /// Address of the server.
     pub address: Option<SocketAddr>,
-    /// Where checks are asked for.
-    pub check: mpsc::UnboundedSender<ServerCheck>,
+    /// Receives the checks to run.
+    pub checks: mpsc::UnboundedSender<ServerCheck>,
 }
 
-/// A check to be made.
+/// A health check to run.
 #[derive(Clone, Debug)]
 pub struct ServerCheck {
-    /// What the server must be, if it is there.
+    /// Service, version and slots to assume if the server is healthy.
     pub server: AnnouncedServer,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its health page.
-    pub page: Uri,
+    /// Path of its health page.
+    pub health_page: Uri,
 }
 
-impl ServerExpectation {
-    /// Asks for a check where `document` leaves no doubt of the version.
+impl ConfiguredServer {
+    /// Requests a check if `document` allows only one version of the service.
     ///
-    /// Guards against a server of a version that was just taken back: it is
-    /// still there for a while, and must get no calls as one of the version
+    /// Guards against a server of a version that was just taken back: it keeps
+    /// running for a while and must not get calls as a server of the version
     /// in service.
-    pub fn ask(&self, document: &FleetDocument) {
+    pub fn request_check(&self, document: &FleetDocument) {
         let (Some(service), Some(address)) = (&self.service, self.address) else {
             return;
         };
         let Some(spec) = document.services.get(service) else {
             return;
         };
-        let sure = spec.candidate.is_none() && spec.withdrawn.is_empty();
-        let page = spec.health_path.as_ref().and_then(|path| path.parse().ok());
-        let (Some(page), true, false) = (page, sure, spec.takes_any_version()) else {
+        let unambiguous = spec.candidate.is_none() && spec.withdrawn.is_empty();
+        let health_page = spec.health_path.as_ref().and_then(|path| path.parse().ok());
+        let (Some(health_page), true, false) =
+            (health_page, unambiguous, spec.takes_any_version())
+        else {
             return;
         };
         let server = AnnouncedServer {
             service: Arc::clone(service),
             version: Arc::clone(&spec.version),
-            slots: SLOTS_UNTIL_REPORT,
+            slots: PROVISIONAL_SLOTS,
         };
-        // The task ends only with the node.
-        let _ = self.check.send(ServerCheck {
+        // The check task ends only with the node.
+        let _ = self.checks.send(ServerCheck {
             server,
             address,
-            page,
+            health_page,
         });
     }
 }
 
-/// Makes the checks that are asked for.
+/// Runs the requested checks and reports healthy servers to the gate.
 pub async fn run(
     pools: Rc<CallPools>,
     dialect: Rc<CallDialect>,
@@ -103,20 +104,21 @@
     gate: mpsc::UnboundedSender<GateMessage>,
 ) {
     while let Some(check) = checks.recv().await {
-        let Some(run) = healthy_run(&pools, &dialect, &check).await else {
+        let Some(run) = request_run(&pools, &dialect, &check).await else {
             continue;
         };
         info!(
             "event=server-found process=node run={run} address={}",
             check.address
         );
-        // The gate's task ends only with the node.
-        let _ = gate.send(GateMessage::Found(run, check.server, check.address));
+        // The gate task ends only with the node.
+        let _ = gate.send(GateMessage::RunFound(run, check.server, check.address));
     }
 }
 
-/// The run that says of itself that it is healthy.
-async fn healthy_run(
+/// Requests the health page and returns the run that it names, or `None` if
+/// the server is not healthy.
+async fn request_run(
     pools: &CallPools,
     dialect: &CallDialect,
     check: &ServerCheck,
@@ -126,18 +128,18 @@
     headers.insert(HOST, host);
     let request = HopRequest {
         method: Method::GET,
-        target: check.page.clone(),
+        target: check.health_page.clone(),
         headers,
-        echoed: dialect.request_id.clone(),
+        request_id_header: dialect.request_id.clone(),
     };
     let mut body = CallBody::Buffered(Bytes::new());
-    let sending = pools.send(check.address, &request, &mut body, CHECK_TIME);
+    let sending = pools.send(check.address, &request, &mut body, CHECK_TIMEOUT);
     let mut answer = sending.await.ok()?;
     if answer.head.status != StatusCode::OK {
         return None;
     }
     let run = answer.head.headers().get(&dialect.health_page_run)?;
     let run = Arc::from(run.to_str().ok()?);
-    answer.body.hold(PAGE_BYTES_MAX).await.ok()?;
+    answer.body.buffer(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
 }
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -21,9 +21,9 @@
 use cowslip_node::call_pools::CallPools;
 use cowslip_node::gate_task;
 use cowslip_node::gate_task::GateBounds;
+use cowslip_node::gate_task::GateEndpoint;
 use cowslip_node::gate_task::GateMessage;
-use cowslip_node::gate_task::GatePlace;
-use cowslip_node::gate_task::GateView;
+use cowslip_node::gate_task::GateStatus;
 use cowslip_node::holder_task;
 use cowslip_node::peer_handler::PeerHandler;
 use cowslip_node::peer_handler::PeerProxy;
@@ -61,7 +61,7 @@
 /// and with a queue for `queue_calls` calls.
 fn spawn_node(server: SocketAddr, queue_calls: usize) -> HttpListener {
     let (records, _) = mpsc::unbounded_channel();
-    let place = GatePlace {
+    let place = GateEndpoint {
         instance: "records-1".into(),
         failure_domain: "voss".into(),
         address: loopback(),
@@ -86,7 +86,7 @@
     let proxy = PeerProxy {
         pools: CallPools::new(),
         dialect: Rc::default(),
-        view: GateView::default(),
+        view: GateStatus::default(),
         system_key: AccessKey::new(KEY),
         gate,
         holder: holder_task::spawn(),
