--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -29,7 +29,7 @@
 use crate::control_settings::ControlSettings;
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
-use crate::operator_desk::OperatorDesk;
+use crate::operator_api::OperatorApi;
 use crate::pin_task;
 use crate::rollout_desk::RolloutDesk;
 use crate::rollout_task;
@@ -101,7 +101,7 @@
     pub fn spawn_behind(
         settings: &ControlSettings,
         sockets: ControlSockets,
-        front: impl FnOnce(OperatorDesk, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
+        front: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
     ) -> Result<Self, ControlError> {
         let mut registry = Registry::default();
         let fanout = fanout_task::spawn(
@@ -140,7 +140,7 @@
         );
         actix_rt::spawn(roster_task::run(agreed.clone(), fanout.clone()));
         actix_rt::spawn(pin_task::run(agreed.clone(), fanout.clone()));
-        let desk = OperatorDesk::new(RolloutDesk {
+        let desk = OperatorApi::new(RolloutDesk {
             agreed: agreed.clone(),
             fanout: fanout.clone(),
             rollouts: rollouts.clone(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod leader_view;
 pub mod member_store;
 pub mod membership_log;
-pub mod operator_desk;
+pub mod operator_api;
 pub mod peer_sender;
 pub mod pin_task;
 pub mod rollout_desk;
--- a/crates/control/src/operator_desk.rs
+++ b/crates/control/src/operator_api.rs
@@ -85,11 +85,11 @@
 }
 
 /// Takes operators' orders at one control instance.
-pub struct OperatorDesk {
+pub struct OperatorApi {
     moves: RolloutDesk,
 }
 
-impl OperatorDesk {
+impl OperatorApi {
     /// A desk over the same tasks as `moves`.
     pub fn new(moves: RolloutDesk) -> Self {
         Self { moves }
