--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -42,7 +42,7 @@
 
 /// An operator's whole document under a number.
 #[derive(Clone, Debug)]
-pub struct RevisionOrder {
+pub struct RevisionRequest {
     /// Names the order by its content, so that a resend is known again.
     pub request_id: Arc<str>,
     /// Its number.
@@ -125,7 +125,7 @@
     }
 
     /// Puts a revision in force, or says why not.
-    pub async fn revise(&self, order: RevisionOrder) -> LeaderAnswer<OrderOutcome> {
+    pub async fn revise(&self, order: RevisionRequest) -> LeaderAnswer<OrderOutcome> {
         let id = Arc::clone(&order.request_id);
         let current = match self.current_and(id).await {
             LeaderAnswer::Here(current) => current,
@@ -264,7 +264,7 @@
 
 /// The difference that the order makes to what is in force.
 fn revision(
-    order: &RevisionOrder,
+    order: &RevisionRequest,
     current: &CurrentRevision,
 ) -> Result<NumberedRevision, Vec<DocumentFault>> {
     let held = &current.snapshot;
