--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -66,7 +66,7 @@
 
 /// An order of a move.
 #[derive(Clone, Debug)]
-pub struct MoveOrder {
+pub struct MoveRequest {
     /// Service.
     pub service: Arc<str>,
     /// The new version.
@@ -165,7 +165,7 @@
     }
 
     /// Begins a move. Its servers may announce themselves later.
-    pub async fn start_move(&self, order: MoveOrder) -> LeaderAnswer<OrderOutcome> {
+    pub async fn start_move(&self, order: MoveRequest) -> LeaderAnswer<OrderOutcome> {
         let current = match self.current().await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
