--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -55,7 +55,7 @@
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderOutcome {
+pub enum RequestOutcome {
     /// Agreed, now or before.
     Accepted,
     /// Another revision is in force than the order builds on.
@@ -115,7 +115,7 @@
         &self,
         request_id: &Arc<str>,
         builds_on: u64,
-    ) -> LeaderAnswer<Option<OrderOutcome>> {
+    ) -> LeaderAnswer<Option<RequestOutcome>> {
         let current = match self.current_and(Arc::clone(request_id)).await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
@@ -125,7 +125,7 @@
     }
 
     /// Puts a revision in force, or says why not.
-    pub async fn revise(&self, order: RevisionRequest) -> LeaderAnswer<OrderOutcome> {
+    pub async fn revise(&self, order: RevisionRequest) -> LeaderAnswer<RequestOutcome> {
         let id = Arc::clone(&order.request_id);
         let current = match self.current_and(id).await {
             LeaderAnswer::Here(current) => current,
@@ -137,7 +137,7 @@
         }
         let revision = match revision(&order, &current) {
             Ok(revision) => revision,
-            Err(faults) => return LeaderAnswer::Here(OrderOutcome::Invalid(faults)),
+            Err(faults) => return LeaderAnswer::Here(RequestOutcome::Invalid(faults)),
         };
         let change = ConfigChange::Revise(Box::new(revision));
         self.decide(order.request_id, change).await
@@ -147,7 +147,7 @@
         &self,
         request_id: Arc<str>,
         change: ConfigChange,
-    ) -> LeaderAnswer<OrderOutcome> {
+    ) -> LeaderAnswer<RequestOutcome> {
         let entry = ChangeEntry {
             request_id,
             expected: None,
@@ -165,7 +165,7 @@
     }
 
     /// Begins a move. Its servers may announce themselves later.
-    pub async fn start_move(&self, order: MoveRequest) -> LeaderAnswer<OrderOutcome> {
+    pub async fn start_move(&self, order: MoveRequest) -> LeaderAnswer<RequestOutcome> {
         let current = match self.current().await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
@@ -186,7 +186,7 @@
         };
         let earlier: Vec<&RolloutRecord> = records.iter().filter(same).collect();
         if earlier.last().is_some_and(|record| is_resend(record)) {
-            return LeaderAnswer::Here(OrderOutcome::Accepted);
+            return LeaderAnswer::Here(RequestOutcome::Accepted);
         }
         let change = MoveChange::Start {
             service: Arc::clone(&order.service),
@@ -237,11 +237,11 @@
 }
 
 /// What is known of an order without its document.
-fn settled(current: &CurrentRevision, builds_on: u64) -> Option<OrderOutcome> {
+fn settled(current: &CurrentRevision, builds_on: u64) -> Option<RequestOutcome> {
     if let Some(ChangeOutcome::Accepted { .. }) = current.answer {
-        return Some(OrderOutcome::Accepted);
+        return Some(RequestOutcome::Accepted);
     }
-    (builds_on != current.number).then_some(OrderOutcome::Outrun)
+    (builds_on != current.number).then_some(RequestOutcome::Outrun)
 }
 
 fn newest(lines: Vec<RolloutLine>) -> Option<RolloutLine> {
@@ -254,11 +254,11 @@
     record.end.is_none() || recent
 }
 
-fn order_outcome(outcome: ChangeOutcome) -> OrderOutcome {
+fn order_outcome(outcome: ChangeOutcome) -> RequestOutcome {
     match outcome {
-        ChangeOutcome::Accepted { .. } => OrderOutcome::Accepted,
-        ChangeOutcome::Conflict { .. } => OrderOutcome::Outrun,
-        ChangeOutcome::Invalid { faults } => OrderOutcome::Invalid(faults),
+        ChangeOutcome::Accepted { .. } => RequestOutcome::Accepted,
+        ChangeOutcome::Conflict { .. } => RequestOutcome::Outrun,
+        ChangeOutcome::Invalid { faults } => RequestOutcome::Invalid(faults),
     }
 }
 
