--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -59,7 +59,7 @@
     /// Agreed, now or before.
     Accepted,
     /// Another revision is in force than the order builds on.
-    Outrun,
+    Conflict,
     /// It cannot be carried out; why.
     Invalid(Vec<DocumentFault>),
 }
@@ -241,7 +241,7 @@
     if let Some(ChangeOutcome::Accepted { .. }) = current.answer {
         return Some(RequestOutcome::Accepted);
     }
-    (builds_on != current.number).then_some(RequestOutcome::Outrun)
+    (builds_on != current.number).then_some(RequestOutcome::Conflict)
 }
 
 fn newest(lines: Vec<RolloutLine>) -> Option<RolloutLine> {
@@ -257,7 +257,7 @@
 fn order_outcome(outcome: ChangeOutcome) -> RequestOutcome {
     match outcome {
         ChangeOutcome::Accepted { .. } => RequestOutcome::Accepted,
-        ChangeOutcome::Conflict { .. } => RequestOutcome::Outrun,
+        ChangeOutcome::Conflict { .. } => RequestOutcome::Conflict,
         ChangeOutcome::Invalid { faults } => RequestOutcome::Invalid(faults),
     }
 }
