--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -111,7 +111,7 @@
     /// hundreds of kilobytes, sent again and again to any instance. Read and
     /// validated wherever they arrive, they took all of a small instance's
     /// processor for seconds, and its lease with it.
-    pub async fn glance(
+    pub async fn precheck(
         &self,
         request_id: &Arc<str>,
         builds_on: u64,
