--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -93,12 +93,12 @@
         settings: &ControlSettings,
         sockets: ControlSockets,
     ) -> Result<Self, ControlError> {
-        Self::spawn_behind(settings, sockets, |_, handler| handler)
+        Self::spawn_with_handler(settings, sockets, |_, handler| handler)
     }
 
     /// The same, with a further interface for operators in front of the
     /// listener's own handler.
-    pub fn spawn_behind(
+    pub fn spawn_with_handler(
         settings: &ControlSettings,
         sockets: ControlSockets,
         front: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
