--- a/crates/control/src/agreed_metrics.rs
+++ b/crates/control/src/agreement_metrics.rs
@@ -30,7 +30,7 @@
 
 /// Counters of one instance's part in the agreement.
 #[derive(Clone, Debug, Default)]
-pub struct AgreedMetrics {
+pub struct AgreementMetrics {
     changes: Family<AnswerLabel, Counter>,
     member_refusals: Family<ReasonLabel, Counter>,
     term: Gauge,
@@ -39,7 +39,7 @@
     barred: Gauge,
 }
 
-impl AgreedMetrics {
+impl AgreementMetrics {
     /// Counters registered under `cowslip_agreement`; every answer and
     /// reason is there from the start, at zero.
     pub fn new(registry: &mut Registry) -> Self {
@@ -80,7 +80,7 @@
     }
 
     /// An operator's change was answered.
-    pub fn change(&self, answer: &ChangeAnswer<ChangeOutcome>) {
+    pub fn record_change(&self, answer: &ChangeAnswer<ChangeOutcome>) {
         let answer = match answer {
             ChangeAnswer::Decided(ChangeOutcome::Accepted { .. }) => ACCEPTED,
             ChangeAnswer::Decided(ChangeOutcome::Conflict { .. }) => CONFLICT,
@@ -92,7 +92,7 @@
     }
 
     /// A change of members was answered.
-    pub fn members(&self, answer: &ChangeAnswer<MemberAnswer>) {
+    pub fn record_member_answer(&self, answer: &ChangeAnswer<MemberAnswer>) {
         let ChangeAnswer::Decided(MemberAnswer::Refused(refusal)) = answer else {
             return;
         };
@@ -103,14 +103,14 @@
     }
 
     /// Where the log stands and who leads.
-    pub fn stand(&self, term: u64, commit: u64, leading: bool) {
+    pub fn set_position(&self, term: u64, commit: u64, leading: bool) {
         self.term.set(term as i64);
         self.commit.set(commit as i64);
         self.leading.set(i64::from(leading));
     }
 
     /// The data folder was found rolled back.
-    pub fn barred(&self) {
+    pub fn set_barred(&self) {
         self.barred.set(1);
     }
 }
--- a/crates/control/src/agreed_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -39,7 +39,7 @@
 use cowslip_wire::peer_client::PeerClient;
 use cowslip_wire::process_log::LogValue;
 
-use crate::agreed_metrics::AgreedMetrics;
+use crate::agreement_metrics::AgreementMetrics;
 use crate::control_settings::ControlSettings;
 use crate::fanout_task::FanoutMessage;
 use crate::folder_opener;
@@ -56,17 +56,17 @@
 use crate::store_thread::StoreHandle;
 
 /// Changes waiting for the task; more are pushed back to their sockets.
-const MESSAGES_MAX: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 
 /// How often time is passed on; a sixth of a heartbeat.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Messages taken in one go, so that they share a sync.
-const GATHERED_MAX: usize = 256;
+const BATCH_MAX: usize = 256;
 
 /// What others ask of the task.
 #[derive(Debug)]
-pub enum AgreedMessage {
+pub enum AgreementMessage {
     /// An operator's change.
     Change(
         Box<ChangeEntry>,
@@ -77,15 +77,15 @@
     /// Moves of backend server versions, those that are over first.
     Rollouts(oneshot::Sender<LeaderAnswer<Vec<RolloutRecord>>>),
     /// An operator's change of members.
-    Member(MemberChange, oneshot::Sender<LeaderAnswer<MemberAnswer>>),
+    ChangeMembers(MemberChange, oneshot::Sender<LeaderAnswer<MemberAnswer>>),
     /// The configuration in force and the answer to an earlier order.
     Current(Arc<str>, oneshot::Sender<LeaderAnswer<CurrentRevision>>),
     /// The members.
     Members(oneshot::Sender<LeaderAnswer<Vec<MemberLine>>>),
     /// Instances to greet, besides the members.
-    Greet(Vec<(Arc<str>, SocketAddr)>),
+    SetSeeds(Vec<(Arc<str>, SocketAddr)>),
     /// Messages from other instances.
-    Peer(Vec<MemberMessage>),
+    PeerMessages(Vec<MemberMessage>),
     /// This instance is about to stop; answered once another one leads.
     HandOver(oneshot::Sender<()>),
 }
@@ -103,16 +103,16 @@
 
 /// The running task.
 #[derive(Clone)]
-pub struct AgreedHandle {
+pub struct AgreementHandle {
     /// Where its messages go.
-    pub task: mpsc::Sender<AgreedMessage>,
+    pub task: mpsc::Sender<AgreementMessage>,
     /// Who leads.
     pub leader: LeaderWatch,
 }
 
 /// An instance whose part of the agreement cannot start.
 #[derive(Debug, Error)]
-pub enum AgreedError {
+pub enum AgreementError {
     /// The data folder cannot be used.
     #[error(transparent)]
     Store(#[from] StoreError),
@@ -121,7 +121,7 @@
     Thread(#[from] io::Error),
 }
 
-struct AgreedTask {
+struct AgreementTask {
     instance: Arc<str>,
     member: StateReplica,
     started: BootInstant,
@@ -131,11 +131,11 @@
     peers: PeerSenders,
     view: watch::Sender<LeaderView>,
     fanout: mpsc::Sender<FanoutMessage>,
-    metrics: AgreedMetrics,
+    metrics: AgreementMetrics,
     next_ticket: u64,
-    changes: BTreeMap<u64, oneshot::Sender<LeaderAnswer<ChangeOutcome>>>,
-    member_changes: BTreeMap<u64, oneshot::Sender<LeaderAnswer<MemberAnswer>>>,
-    hand_overs: Vec<oneshot::Sender<()>>,
+    pending_changes: BTreeMap<u64, oneshot::Sender<LeaderAnswer<ChangeOutcome>>>,
+    pending_member_changes: BTreeMap<u64, oneshot::Sender<LeaderAnswer<MemberAnswer>>>,
+    pending_hand_overs: Vec<oneshot::Sender<()>>,
 }
 
 /// Opens the data folder and starts the task; versions in force go to
@@ -143,16 +143,16 @@
 pub fn spawn(
     settings: &ControlSettings,
     fanout: mpsc::Sender<FanoutMessage>,
-    metrics: AgreedMetrics,
-) -> Result<AgreedHandle, AgreedError> {
+    metrics: AgreementMetrics,
+) -> Result<AgreementHandle, AgreementError> {
     let source = FolderOpener {
         path: settings.data_folder.clone(),
         instance: Arc::clone(&settings.instance),
-        renews: settings.joining.is_some(),
+        replaces_unusable: settings.joining.is_some(),
     };
     let FolderOpening {
         folder,
-        renewed,
+        replaced,
         store,
     } = source.open()?;
     info!(
@@ -175,7 +175,7 @@
         AgreementMember::open(identity, founders, folder.saved, zero, folder.seed);
     if let Some(joining) = settings.joining {
         member.set_voter_target(joining.voters);
-        if !joining.first_start || renewed {
+        if !joining.first_start || replaced {
             member.forbid_bootstrap();
         }
     }
@@ -191,11 +191,11 @@
     store: Box<dyn MemberStore>,
     source: Arc<dyn FolderSource>,
     fanout: mpsc::Sender<FanoutMessage>,
-    metrics: AgreedMetrics,
-) -> Result<AgreedHandle, AgreedError> {
-    let (reports, disk) = mpsc::unbounded_channel();
+    metrics: AgreementMetrics,
+) -> Result<AgreementHandle, AgreementError> {
+    let (reports, store_reports) = mpsc::unbounded_channel();
     let (view, leader) = watch::channel(LeaderView::default());
-    let task = AgreedTask {
+    let task = AgreementTask {
         instance: Arc::clone(&settings.instance),
         member,
         started: BootInstant::now(),
@@ -206,48 +206,48 @@
         fanout,
         metrics,
         next_ticket: 0,
-        changes: BTreeMap::new(),
-        member_changes: BTreeMap::new(),
-        hand_overs: Vec::new(),
+        pending_changes: BTreeMap::new(),
+        pending_member_changes: BTreeMap::new(),
+        pending_hand_overs: Vec::new(),
     };
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
-    actix_rt::spawn(task.run(receiver, disk));
-    Ok(AgreedHandle {
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+    actix_rt::spawn(task.run(receiver, store_reports));
+    Ok(AgreementHandle {
         task: sender,
         leader,
     })
 }
 
-impl AgreedTask {
+impl AgreementTask {
     async fn run(
         mut self,
-        mut receiver: mpsc::Receiver<AgreedMessage>,
-        mut disk: mpsc::UnboundedReceiver<ReplicaEvent>,
+        mut receiver: mpsc::Receiver<AgreementMessage>,
+        mut store_reports: mpsc::UnboundedReceiver<ReplicaEvent>,
     ) {
-        let mut tick = actix_rt::time::interval(TICK);
+        let mut tick = actix_rt::time::interval(TICK_INTERVAL);
         let (opened, mut openings) = mpsc::unbounded_channel();
         loop {
             let mut messages = Vec::new();
             let mut events = Vec::new();
             tokio::select! {
-                taken = receiver.recv_many(&mut messages, GATHERED_MAX) => {
+                taken = receiver.recv_many(&mut messages, BATCH_MAX) => {
                     if taken == 0 {
                         return;
                     }
                 }
-                Some(report) = disk.recv() => events.push(report),
+                Some(report) = store_reports.recv() => events.push(report),
                 Some(opening) = openings.recv() => {
-                    if let Some(reports) = self.reopen(opening, &mut events) {
-                        disk = reports;
+                    if let Some(reports) = self.use_reopened_folder(opening, &mut events) {
+                        store_reports = reports;
                     }
                 }
                 _ = tick.tick() => events.push(ReplicaEvent::Tick),
             }
-            while let Ok(report) = disk.try_recv() {
+            while let Ok(report) = store_reports.try_recv() {
                 events.push(report);
             }
             for message in messages {
-                self.take(message, &mut events);
+                self.handle_message(message, &mut events);
             }
             let failed = events
                 .iter()
@@ -255,55 +255,55 @@
             let actions = self.member.handle(self.started.elapsed(), events);
             let barred = actions
                 .iter()
-                .any(|act| matches!(act, ReplicaAction::Barred));
+                .any(|action| matches!(action, ReplicaAction::Barred));
             for action in actions {
-                self.act(action).await;
+                self.execute(action).await;
             }
-            if failed || (barred && self.source.renews()) {
-                self.leave_folder(&mut disk, &opened);
+            if failed || (barred && self.source.replaces_unusable()) {
+                self.close_folder(&mut store_reports, &opened);
             }
-            self.show_metrics();
-            self.finish_hand_overs();
+            self.update_metrics();
+            self.answer_hand_overs();
         }
     }
 
     /// Lets go of a folder that failed, and has it opened again; nothing where
     /// that is under way.
-    fn leave_folder(
+    fn close_folder(
         &mut self,
-        disk: &mut mpsc::UnboundedReceiver<ReplicaEvent>,
+        store_reports: &mut mpsc::UnboundedReceiver<ReplicaEvent>,
         opened: &mpsc::UnboundedSender<FolderOpening>,
     ) {
         if self.store.take().is_none() {
             return;
         }
         let (_, closed) = mpsc::unbounded_channel();
-        let before = std::mem::replace(disk, closed);
+        let previous_reports = std::mem::replace(store_reports, closed);
         let source = Arc::clone(&self.source);
-        let opener = folder_opener::spawn(source, before, opened.clone());
-        if let Err(problem) = opener {
+        let opener = folder_opener::spawn(source, previous_reports, opened.clone());
+        if let Err(error) = opener {
             error!(
                 "event=folder-opener-failed process=control instance={} error={}",
                 self.instance,
-                LogValue(problem)
+                LogValue(error)
             );
         }
     }
 
     /// Goes on with a folder that is open again; gives the new store's reports.
-    fn reopen(
+    fn use_reopened_folder(
         &mut self,
         opening: FolderOpening,
         events: &mut Vec<ReplicaEvent>,
     ) -> Option<mpsc::UnboundedReceiver<ReplicaEvent>> {
-        let (reports, disk) = mpsc::unbounded_channel();
+        let (reports, store_reports) = mpsc::unbounded_channel();
         let store = match store_thread::spawn(opening.store, reports) {
             Ok(store) => store,
-            Err(problem) => {
+            Err(error) => {
                 error!(
                     "event=store-thread-failed process=control instance={} error={}",
                     self.instance,
-                    LogValue(problem)
+                    LogValue(error)
                 );
                 return None;
             }
@@ -312,7 +312,7 @@
         info!(
             "event=folder-reopened process=control instance={} renewed={} start={} term={} snapshot={} entries={}",
             self.instance,
-            opening.renewed,
+            opening.replaced,
             folder.start.count,
             folder.saved.hard.term,
             folder.saved.snapshot.version,
@@ -320,70 +320,76 @@
         );
         self.store = Some(store);
         events.push(ReplicaEvent::Reopened(folder));
-        Some(disk)
+        Some(store_reports)
     }
 
     /// Turns a message into events, or answers it at once. A reply that
     /// nobody waits for any more is dropped: its caller has given up and
     /// will ask again.
-    fn take(&mut self, message: AgreedMessage, events: &mut Vec<ReplicaEvent>) {
+    fn handle_message(
+        &mut self,
+        message: AgreementMessage,
+        events: &mut Vec<ReplicaEvent>,
+    ) {
         match message {
-            AgreedMessage::Change(entry, reply) => {
-                let ticket = self.ticket();
-                self.changes.insert(ticket, reply);
+            AgreementMessage::Change(entry, reply) => {
+                let ticket = self.new_ticket();
+                self.pending_changes.insert(ticket, reply);
                 events.push(ReplicaEvent::Change(ticket, *entry));
             }
-            AgreedMessage::Member(change, reply) => {
-                let ticket = self.ticket();
-                self.member_changes.insert(ticket, reply);
+            AgreementMessage::ChangeMembers(change, reply) => {
+                let ticket = self.new_ticket();
+                self.pending_member_changes.insert(ticket, reply);
                 events.push(ReplicaEvent::Members(ticket, change));
             }
-            AgreedMessage::History(reply) => {
+            AgreementMessage::History(reply) => {
                 let history = self.member.state().history();
-                let _ = reply.send(self.leading(|| history.cloned().collect()));
+                let _ = reply.send(self.if_leading(|| history.cloned().collect()));
             }
-            AgreedMessage::Rollouts(reply) => {
+            AgreementMessage::Rollouts(reply) => {
                 let rollouts = self.member.state().rollouts().all();
-                let _ = reply.send(self.leading(|| rollouts.cloned().collect()));
+                let _ = reply.send(self.if_leading(|| rollouts.cloned().collect()));
             }
-            AgreedMessage::Current(request_id, reply) => {
+            AgreementMessage::Current(request_id, reply) => {
                 let state = self.member.state();
                 let current = || CurrentRevision {
                     number: state.revision(),
                     snapshot: state.snapshot().clone(),
                     answer: state.answer(&request_id).cloned(),
                 };
-                let _ = reply.send(self.leading(current));
+                let _ = reply.send(self.if_leading(current));
             }
-            AgreedMessage::Members(reply) => {
+            AgreementMessage::Members(reply) => {
                 let now = self.started.elapsed();
-                let _ = reply.send(self.leading(|| self.member.member_lines(now)));
+                let _ = reply.send(self.if_leading(|| self.member.member_lines(now)));
             }
-            AgreedMessage::Peer(messages) => {
+            AgreementMessage::PeerMessages(messages) => {
                 events.extend(messages.into_iter().map(ReplicaEvent::Message));
             }
-            AgreedMessage::Greet(others) => events.push(ReplicaEvent::SetSeeds(others)),
-            AgreedMessage::HandOver(reply) => {
-                self.hand_overs.push(reply);
+            AgreementMessage::SetSeeds(others) => {
+                events.push(ReplicaEvent::SetSeeds(others))
+            }
+            AgreementMessage::HandOver(reply) => {
+                self.pending_hand_overs.push(reply);
                 events.push(ReplicaEvent::HandOver);
             }
         }
     }
 
-    fn ticket(&mut self) -> u64 {
+    fn new_ticket(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket
     }
 
-    fn leading<T>(&self, answer: impl FnOnce() -> T) -> LeaderAnswer<T> {
+    fn if_leading<T>(&self, answer: impl FnOnce() -> T) -> LeaderAnswer<T> {
         let view = *self.view.borrow();
-        if view.leading() {
+        if view.is_leading() {
             return LeaderAnswer::Here(answer());
         }
         LeaderAnswer::Elsewhere(view.address)
     }
 
-    async fn act(&mut self, action: ReplicaAction) {
+    async fn execute(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Write(batch) => {
                 // Without a folder the member has nothing to write.
@@ -397,16 +403,16 @@
                 let _ = self.fanout.send(FanoutMessage::Publish(snapshot)).await;
             }
             ReplicaAction::AnswerChange(ticket, answer) => {
-                self.metrics.change(&answer);
-                let reply = self.changes.remove(&ticket);
+                self.metrics.record_change(&answer);
+                let reply = self.pending_changes.remove(&ticket);
                 self.answer(reply, answer);
             }
             ReplicaAction::AnswerMembers(ticket, answer) => {
-                self.metrics.members(&answer);
-                let reply = self.member_changes.remove(&ticket);
+                self.metrics.record_member_answer(&answer);
+                let reply = self.pending_member_changes.remove(&ticket);
                 self.answer(reply, answer);
             }
-            ReplicaAction::LeaderStatus(standing) => self.show(&standing),
+            ReplicaAction::LeaderStatus(status) => self.publish_leader(&status),
             ReplicaAction::Members(members) => {
                 membership_log::members(
                     &self.instance,
@@ -416,7 +422,7 @@
             }
             ReplicaAction::Planned(note) => membership_log::plan(&self.instance, &note),
             ReplicaAction::Barred => {
-                self.metrics.barred();
+                self.metrics.set_barred();
                 warn!(
                     "event=folder-rolled-back process=control instance={}",
                     self.instance
@@ -443,14 +449,14 @@
         let _ = reply.send(answer);
     }
 
-    fn show(&self, standing: &LeaderStatus) {
-        let leader = standing.leader.as_ref();
+    fn publish_leader(&self, status: &LeaderStatus) {
+        let leader = status.leader.as_ref();
         let view = LeaderView {
             address: leader.map(|leader| leader.address),
-            lease_until: standing.lease_until.map(|until| self.started + until),
+            lease_until: status.lease_until.map(|until| self.started + until),
         };
-        let before = self.view.send_replace(view);
-        if before.address != view.address {
+        let previous = self.view.send_replace(view);
+        if previous.address != view.address {
             info!(
                 "event=leader-changed process=control instance={} term={} leader={}",
                 self.instance,
@@ -460,24 +466,24 @@
         }
     }
 
-    fn show_metrics(&self) {
+    fn update_metrics(&self) {
         let agreement = self.member.agreement();
-        let leading = self.view.borrow().leading();
+        let leading = self.view.borrow().is_leading();
         self.metrics
-            .stand(agreement.term(), agreement.commit_index(), leading);
+            .set_position(agreement.term(), agreement.commit_index(), leading);
     }
 
-    fn finish_hand_overs(&mut self) {
-        if self.hand_overs.is_empty() {
+    fn answer_hand_overs(&mut self) {
+        if self.pending_hand_overs.is_empty() {
             return;
         }
         let agreement = self.member.agreement();
-        let alone = agreement.members().voters().count() < 2;
-        let led = self.view.borrow().address.is_some();
-        if !alone && (agreement.is_leader() || !led) {
+        let sole_voter = agreement.members().voters().count() < 2;
+        let has_leader = self.view.borrow().address.is_some();
+        if !sole_voter && (agreement.is_leader() || !has_leader) {
             return;
         }
-        for reply in self.hand_overs.drain(..) {
+        for reply in self.pending_hand_overs.drain(..) {
             let _ = reply.send(());
         }
     }
--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -21,17 +21,17 @@
 use cowslip_wire::http_listener::HttpListener;
 use cowslip_wire::peer_client::PeerClient;
 
-use crate::agreed_metrics::AgreedMetrics;
-use crate::agreed_task;
-use crate::agreed_task::AgreedError;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_metrics::AgreementMetrics;
+use crate::agreement_task;
+use crate::agreement_task::AgreementError;
+use crate::agreement_task::AgreementMessage;
 use crate::control_handler::ControlHandler;
 use crate::control_settings::ControlSettings;
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
 use crate::operator_api::OperatorApi;
 use crate::pin_task;
-use crate::rollout_desk::RolloutDesk;
+use crate::rollout_api::RolloutApi;
 use crate::rollout_task;
 use crate::roster_task;
 use crate::source_metrics::SourceMetrics;
@@ -43,17 +43,17 @@
 
 /// Longest that a stop waits for requests in flight; a waiting follower
 /// asks for at most two seconds.
-const STOP_PATIENCE: Duration = Duration::from_secs(5);
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest that a stop waits for another instance to lead.
-const HAND_OVER_PATIENCE: Duration = Duration::from_millis(1_500);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A control instance that cannot start.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// The part in the agreement cannot start.
     #[error(transparent)]
-    Agreed(#[from] AgreedError),
+    Agreement(#[from] AgreementError),
     /// A listener cannot be opened.
     #[error("listener: {0}")]
     Listen(#[from] io::Error),
@@ -84,7 +84,7 @@
 pub struct ControlDaemon {
     main: HttpListener,
     admin: HttpListener,
-    agreed: mpsc::Sender<AgreedMessage>,
+    agreement: mpsc::Sender<AgreementMessage>,
 }
 
 impl ControlDaemon {
@@ -101,7 +101,7 @@
     pub fn spawn_with_handler(
         settings: &ControlSettings,
         sockets: ControlSockets,
-        front: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
+        wrap_handler: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
     ) -> Result<Self, ControlError> {
         let mut registry = Registry::default();
         let fanout = fanout_task::spawn(
@@ -110,18 +110,18 @@
             SourceMetrics::new(&mut registry),
         );
         let mut registry = Registry::default();
-        let metrics = AgreedMetrics::new(&mut registry);
-        let agreed = agreed_task::spawn(settings, fanout.clone(), metrics)?;
-        let task = agreed.task.clone();
+        let metrics = AgreementMetrics::new(&mut registry);
+        let agreement = agreement_task::spawn(settings, fanout.clone(), metrics)?;
+        let task = agreement.task.clone();
         let client = PeerClient::new(settings.system_key.clone());
-        let leader = agreed.leader.clone();
+        let leader = agreement.leader.clone();
         // The queue holds far more than the messages sent until here.
-        let _ = fanout.try_send(FanoutMessage::Watch(leader.clone()));
+        let _ = fanout.try_send(FanoutMessage::WatchLeader(leader.clone()));
         if let Some(live_for) = settings.node_live {
             let presence = NodePresence { live_for };
-            let _ = fanout.try_send(FanoutMessage::Keep(presence));
+            let _ = fanout.try_send(FanoutMessage::SetPresence(presence));
         }
-        actix_rt::spawn(uplink_task::carry(
+        actix_rt::spawn(uplink_task::send_reports(
             leader.clone(),
             client.clone(),
             fanout.clone(),
@@ -134,25 +134,25 @@
         ));
         let rollouts = rollout_task::spawn(
             Arc::clone(&settings.instance),
-            agreed.clone(),
+            agreement.clone(),
             fanout.clone(),
             PeerClient::new(settings.system_key.clone()),
         );
-        actix_rt::spawn(roster_task::run(agreed.clone(), fanout.clone()));
-        actix_rt::spawn(pin_task::run(agreed.clone(), fanout.clone()));
-        let desk = OperatorApi::new(RolloutDesk {
-            agreed: agreed.clone(),
+        actix_rt::spawn(roster_task::run(agreement.clone(), fanout.clone()));
+        actix_rt::spawn(pin_task::run(agreement.clone(), fanout.clone()));
+        let api = OperatorApi::new(RolloutApi {
+            agreement: agreement.clone(),
             fanout: fanout.clone(),
             rollouts: rollouts.clone(),
         });
         let handler = ControlHandler::new(
             settings.operator_key.clone(),
             settings.system_key.clone(),
-            agreed,
+            agreement,
             fanout,
             rollouts,
         );
-        let handler = front(desk, Rc::new(handler));
+        let handler = wrap_handler(api, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let admin =
@@ -167,16 +167,16 @@
         Ok(Self {
             main,
             admin,
-            agreed: task,
+            agreement: task,
         })
     }
 
     /// Takes what of `settings` can change while the instance runs: whom it
     /// greets where it hears from no leader.
     pub async fn reload(&self, settings: &ControlSettings) {
-        let greeted = AgreedMessage::Greet(settings.founders());
+        let message = AgreementMessage::SetSeeds(settings.founders());
         // The task ends only with the process.
-        let _ = self.agreed.send(greeted).await;
+        let _ = self.agreement.send(message).await;
     }
 
     /// Address for operators and other processes.
@@ -188,21 +188,21 @@
     /// once what is in flight has ended.
     pub async fn stop(self) -> bool {
         self.hand_over().await;
-        let whole = self.main.stop(STOP_PATIENCE).await;
-        self.admin.stop(STOP_PATIENCE).await && whole
+        let main_drained = self.main.stop(STOP_TIMEOUT).await;
+        self.admin.stop(STOP_TIMEOUT).await && main_drained
     }
 
     /// Without a successor in time the others elect one by themselves.
     async fn hand_over(&self) {
         let (reply, done) = oneshot::channel();
         if self
-            .agreed
-            .send(AgreedMessage::HandOver(reply))
+            .agreement
+            .send(AgreementMessage::HandOver(reply))
             .await
             .is_err()
         {
             return;
         }
-        let _ = actix_rt::time::timeout(HAND_OVER_PATIENCE, done).await;
+        let _ = actix_rt::time::timeout(HAND_OVER_TIMEOUT, done).await;
     }
 }
--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -35,24 +35,24 @@
 use cowslip_wire::messages::StatusCall;
 use cowslip_wire::messages::WireCall;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task::FanoutMessage;
-use crate::rollout_desk::RolloutDesk;
+use crate::rollout_api::RolloutApi;
 use crate::rollout_task::RolloutHandle;
 use crate::rollout_task::RolloutMessage;
 
 /// Serves operators, nodes and other control instances.
 pub struct ControlHandler {
-    desk: Rc<ControlDesk>,
+    dispatcher: Rc<RequestDispatcher>,
 }
 
-struct ControlDesk {
+struct RequestDispatcher {
     operator_key: AccessKey,
     system_key: AccessKey,
-    agreed: AgreedHandle,
+    agreement: AgreementHandle,
     fanout: mpsc::Sender<FanoutMessage>,
-    rollouts: RolloutDesk,
+    rollout_api: RolloutApi,
 }
 
 impl ControlHandler {
@@ -60,39 +60,42 @@
     pub fn new(
         operator_key: AccessKey,
         system_key: AccessKey,
-        agreed: AgreedHandle,
+        agreement: AgreementHandle,
         fanout: mpsc::Sender<FanoutMessage>,
         rollouts: RolloutHandle,
     ) -> Self {
-        let rollouts = RolloutDesk {
-            agreed: agreed.clone(),
+        let rollout_api = RolloutApi {
+            agreement: agreement.clone(),
             fanout: fanout.clone(),
             rollouts,
         };
-        let desk = ControlDesk {
+        let dispatcher = RequestDispatcher {
             operator_key,
             system_key,
-            agreed,
+            agreement,
             fanout,
-            rollouts,
+            rollout_api,
         };
         Self {
-            desk: Rc::new(desk),
+            dispatcher: Rc::new(dispatcher),
         }
     }
 }
 
 impl HttpHandler for ControlHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
-        let desk = Rc::clone(&self.desk);
-        Box::pin(
-            async move { desk.reply(request).await.unwrap_or_else(|refused| refused) },
-        )
+        let dispatcher = Rc::clone(&self.dispatcher);
+        Box::pin(async move {
+            dispatcher
+                .dispatch(request)
+                .await
+                .unwrap_or_else(|refused| refused)
+        })
     }
 }
 
-impl ControlDesk {
-    async fn reply(&self, mut request: Request) -> Result<HttpReply, HttpReply> {
+impl RequestDispatcher {
+    async fn dispatch(&self, mut request: Request) -> Result<HttpReply, HttpReply> {
         if request.method() != Method::POST {
             let status = StatusCode::METHOD_NOT_ALLOWED;
             return Err(http_reply::text(status, "messages are posts"));
@@ -105,23 +108,31 @@
             }
             AgreeCall::PATH => {
                 let call: AgreeCall = self.read(&mut request).await?;
-                let sent = self.agreed.task.send(AgreedMessage::Peer(call.messages));
-                sent.await.map_err(|_| stopping())?;
+                let sent = self
+                    .agreement
+                    .task
+                    .send(AgreementMessage::PeerMessages(call.messages));
+                sent.await.map_err(|_| stopping_reply())?;
                 Ok(encoded(&()))
             }
             MemberCall::PATH => {
                 let call: MemberCall = self.read(&mut request).await?;
-                let answer =
-                    self.agreed(|reply| AgreedMessage::Member(call.change, reply));
+                let answer = self.ask_agreement(|reply| {
+                    AgreementMessage::ChangeMembers(call.change, reply)
+                });
                 Ok(encoded(&answer.await?))
             }
             MembersCall::PATH => {
                 let _: MembersCall = self.read(&mut request).await?;
-                Ok(encoded(&self.agreed(AgreedMessage::Members).await?))
+                Ok(encoded(
+                    &self.ask_agreement(AgreementMessage::Members).await?,
+                ))
             }
             ShowCall::PATH => {
                 let _: ShowCall = self.read(&mut request).await?;
-                Ok(encoded(&self.leading(FanoutMessage::Show).await?))
+                Ok(encoded(
+                    &self.ask_fanout_as_leader(FanoutMessage::Snapshot).await?,
+                ))
             }
             MovesCall::PATH => {
                 let call: MovesCall = self.read(&mut request).await?;
@@ -129,39 +140,43 @@
             }
             StatusCall::PATH => {
                 let _: StatusCall = self.read(&mut request).await?;
-                Ok(encoded(&self.leading(FanoutMessage::Status).await?))
+                Ok(encoded(
+                    &self.ask_fanout_as_leader(FanoutMessage::Status).await?,
+                ))
             }
             EndpointsCall::PATH => {
                 let _: EndpointsCall = self.read(&mut request).await?;
-                Ok(encoded(&self.leading(FanoutMessage::Endpoints).await?))
+                Ok(encoded(
+                    &self.ask_fanout_as_leader(FanoutMessage::Endpoints).await?,
+                ))
             }
             FollowCall::PATH => {
                 let call: FollowCall = self.read(&mut request).await?;
-                let answer = self.fanout(|reply| FanoutMessage::Follow(call, reply));
+                let answer = self.ask_fanout(|reply| FanoutMessage::Follow(call, reply));
                 Ok(message_reply::message(answer.await?))
             }
             ChunkCall::PATH => {
                 let call: ChunkCall = self.read(&mut request).await?;
-                let answer = self.fanout(|reply| FanoutMessage::Chunk(call, reply));
+                let answer = self.ask_fanout(|reply| FanoutMessage::Chunk(call, reply));
                 Ok(encoded(&answer.await?))
             }
             ReportCall::PATH => {
                 let call: ReportCall = self.read(&mut request).await?;
                 let sent = self.fanout.send(FanoutMessage::Report(call.batch)).await;
-                sent.map_err(|_| stopping())?;
+                sent.map_err(|_| stopping_reply())?;
                 Ok(encoded(&()))
             }
             EvidenceCall::PATH => {
                 let call: EvidenceCall = self.read(&mut request).await?;
                 let message = RolloutMessage::Evidence(call);
-                let sent = self.rollouts.rollouts.send(message).await;
-                sent.map_err(|_| stopping())?;
+                let sent = self.rollout_api.rollouts.send(message).await;
+                sent.map_err(|_| stopping_reply())?;
                 Ok(encoded(&()))
             }
             RolloutsCall::PATH => {
                 let call: RolloutsCall = self.read(&mut request).await?;
-                let lines = self.rollouts.lines(call).await;
-                Ok(encoded(&lines.ok_or_else(stopping)?))
+                let lines = self.rollout_api.lines(call).await;
+                Ok(encoded(&lines.ok_or_else(stopping_reply)?))
             }
             _ => Err(http_reply::text(StatusCode::NOT_FOUND, "no such message")),
         }
@@ -171,10 +186,10 @@
         &self,
         mut entry: ChangeEntry,
     ) -> Result<LeaderAnswer<ChangeOutcome>, HttpReply> {
-        if let Err(refused) = self.rollouts.admit(&mut entry).await {
+        if let Err(refused) = self.rollout_api.prepare_change(&mut entry).await {
             return Ok(LeaderAnswer::Here(refused));
         }
-        self.agreed(|reply| AgreedMessage::Change(Box::new(entry), reply))
+        self.ask_agreement(|reply| AgreementMessage::Change(Box::new(entry), reply))
             .await
     }
 
@@ -187,43 +202,43 @@
         message_reply::read(request, key).await
     }
 
-    async fn agreed<T>(
+    async fn ask_agreement<T>(
         &self,
-        message: impl FnOnce(oneshot::Sender<T>) -> AgreedMessage,
+        message: impl FnOnce(oneshot::Sender<T>) -> AgreementMessage,
     ) -> Result<T, HttpReply> {
         let (reply, answer) = oneshot::channel();
-        let sent = self.agreed.task.send(message(reply)).await;
-        sent.map_err(|_| stopping())?;
-        answer.await.map_err(|_| stopping())
+        let sent = self.agreement.task.send(message(reply)).await;
+        sent.map_err(|_| stopping_reply())?;
+        answer.await.map_err(|_| stopping_reply())
     }
 
-    async fn fanout<T>(
+    async fn ask_fanout<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> FanoutMessage,
     ) -> Result<T, HttpReply> {
         let (reply, answer) = oneshot::channel();
         let sent = self.fanout.send(message(reply)).await;
-        sent.map_err(|_| stopping())?;
-        answer.await.map_err(|_| stopping())
+        sent.map_err(|_| stopping_reply())?;
+        answer.await.map_err(|_| stopping_reply())
     }
 
     /// Asks the fan-out task, where this instance leads.
-    async fn leading<T>(
+    async fn ask_fanout_as_leader<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> FanoutMessage,
     ) -> Result<LeaderAnswer<T>, HttpReply> {
-        let view = *self.agreed.leader.borrow();
-        if !view.leading() {
+        let view = *self.agreement.leader.borrow();
+        if !view.is_leading() {
             return Ok(LeaderAnswer::Elsewhere(view.address));
         }
-        Ok(LeaderAnswer::Here(self.fanout(message).await?))
+        Ok(LeaderAnswer::Here(self.ask_fanout(message).await?))
     }
 
     async fn moves(
         &self,
         call: MovesCall,
     ) -> Result<LeaderAnswer<Vec<MoveLine>>, HttpReply> {
-        let mut changes = match self.agreed(AgreedMessage::History).await? {
+        let mut changes = match self.ask_agreement(AgreementMessage::History).await? {
             LeaderAnswer::Here(changes) => changes,
             LeaderAnswer::Elsewhere(leader) => {
                 return Ok(LeaderAnswer::Elsewhere(leader))
@@ -233,11 +248,11 @@
         if let Some(version) = call.version {
             changes.retain(|change| change.version == version);
         }
-        self.leading(|reply| FanoutMessage::Moves(changes, reply))
+        self.ask_fanout_as_leader(|reply| FanoutMessage::Moves(changes, reply))
             .await
     }
 }
 
-fn stopping() -> HttpReply {
+fn stopping_reply() -> HttpReply {
     http_reply::text(StatusCode::SERVICE_UNAVAILABLE, "this instance is stopping")
 }
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -41,10 +41,10 @@
 
 /// Followers' questions waiting for the task; more are pushed back to
 /// their sockets.
-const MESSAGES_MAX: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 
 /// How often time is let pass where no message comes.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What others ask of the task.
 #[derive(Debug)]
@@ -52,9 +52,9 @@
     /// The configuration in force, from the agreed task.
     Publish(ConfigSnapshot),
     /// The configuration in force is asked for.
-    Show(oneshot::Sender<ConfigSnapshot>),
+    Snapshot(oneshot::Sender<ConfigSnapshot>),
     /// What the next question to the leader needs is asked for.
-    Uplink(oneshot::Sender<UplinkState>),
+    UplinkState(oneshot::Sender<UplinkState>),
     /// How these changes stand among the nodes.
     Moves(Vec<AcceptedChange>, oneshot::Sender<Vec<MoveLine>>),
     /// How far one version has come among the nodes.
@@ -72,13 +72,13 @@
     /// What the leader is to be told is asked for.
     TakeReports(oneshot::Sender<ReportBatch>),
     /// Reports that did not reach the leader.
-    PutBack(ReportBatch),
+    ReturnReports(ReportBatch),
     /// News that this instance, a follower itself, received.
     Install(Box<InstalledNews>),
     /// Who leads; sent once, before anything else.
-    Watch(LeaderWatch),
+    WatchLeader(LeaderWatch),
     /// How long nodes count as live; sent once, where settings say so.
-    Keep(NodePresence),
+    SetPresence(NodePresence),
 }
 
 /// How far a version has come among the nodes.
@@ -120,7 +120,7 @@
     replies: HashMap<FollowerId, oneshot::Sender<Bytes>>,
     leader: Option<LeaderWatch>,
     metrics: SourceMetrics,
-    frozen: u64,
+    logged_frozen: u64,
     started: BootInstant,
 }
 
@@ -141,10 +141,10 @@
         replies: HashMap::new(),
         leader: None,
         metrics,
-        frozen: 0,
+        logged_frozen: 0,
         started: BootInstant::now(),
     };
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     actix_rt::spawn(task.run(receiver));
     sender
 }
@@ -161,7 +161,7 @@
 
 impl FanoutTask {
     async fn run(mut self, mut receiver: mpsc::Receiver<FanoutMessage>) {
-        let mut tick = actix_rt::time::interval(TICK);
+        let mut tick = actix_rt::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut ticked = BootInstant::now();
         loop {
@@ -171,31 +171,31 @@
                     None => return,
                 },
                 _ = tick.tick() => {
-                    self.source.note_delay(ticked.elapsed().saturating_sub(TICK));
+                    self.source.note_delay(ticked.elapsed().saturating_sub(TICK_INTERVAL));
                     ticked = BootInstant::now();
                     None
                 }
             };
             let now = self.started.elapsed();
             if let Some(leader) = &self.leader {
-                self.source.set_leading(now, leader.borrow().leading());
+                self.source.set_leading(now, leader.borrow().is_leading());
             }
             if let Some(message) = message {
-                self.take(now, message);
+                self.handle_message(now, message);
             }
             self.send_answers(now);
         }
     }
 
-    fn take(&mut self, now: Duration, message: FanoutMessage) {
+    fn handle_message(&mut self, now: Duration, message: FanoutMessage) {
         // A reply that nobody waits for any more is dropped: its caller
         // has given up and will ask again.
         match message {
             FanoutMessage::Publish(snapshot) => self.source.publish(now, snapshot),
-            FanoutMessage::Show(reply) => {
+            FanoutMessage::Snapshot(reply) => {
                 let _ = reply.send(self.source.current().clone());
             }
-            FanoutMessage::Uplink(reply) => {
+            FanoutMessage::UplinkState(reply) => {
                 let _ = reply.send(UplinkState {
                     snapshot: self.source.current().clone(),
                     wants_confirmation: self.source.wants_confirmation(),
@@ -228,10 +228,10 @@
                     self.source.put_back(batch);
                 }
             }
-            FanoutMessage::PutBack(batch) => self.source.put_back(batch),
+            FanoutMessage::ReturnReports(batch) => self.source.put_back(batch),
             FanoutMessage::Install(news) => self.install(now, *news),
-            FanoutMessage::Keep(presence) => self.source.set_presence(presence),
-            FanoutMessage::Watch(leader) => self.leader = Some(leader),
+            FanoutMessage::SetPresence(presence) => self.source.set_presence(presence),
+            FanoutMessage::WatchLeader(leader) => self.leader = Some(leader),
         }
     }
 
@@ -306,10 +306,10 @@
 
     fn log_frozen(&mut self) {
         let frozen = self.source.counts().leases_frozen;
-        if frozen == self.frozen {
+        if frozen == self.logged_frozen {
             return;
         }
-        self.frozen = frozen;
+        self.logged_frozen = frozen;
         info!(
             "event=leases-frozen process=control instance={} leases={frozen}",
             self.instance
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -31,7 +31,7 @@
     /// What it holds.
     pub folder: ReopenedFolder,
     /// True where it is empty, in the place of one that was set aside.
-    pub renewed: bool,
+    pub replaced: bool,
     /// Where to write.
     pub store: Box<dyn MemberStore>,
 }
@@ -42,7 +42,7 @@
     fn open(&self) -> Result<FolderOpening, StoreError>;
 
     /// True where a folder that is spoilt is replaced by an empty one.
-    fn renews(&self) -> bool;
+    fn replaces_unusable(&self) -> bool;
 }
 
 /// The folder at a path.
@@ -54,11 +54,11 @@
     pub instance: Arc<str>,
     /// True where a folder that is damaged or was rolled back is set aside, and
     /// an empty one takes its place; the fleet then takes the instance in anew.
-    pub renews: bool,
+    pub replaces_unusable: bool,
 }
 
 impl FolderOpener {
-    fn open_as_it_is(&self) -> Result<FolderOpening, StoreError> {
+    fn open_in_place(&self) -> Result<FolderOpening, StoreError> {
         let opened = FolderStore::open(&self.path, &self.instance)?;
         Ok(FolderOpening {
             folder: ReopenedFolder {
@@ -67,7 +67,7 @@
                 saved: opened.saved,
                 seed: rand::rng().random(),
             },
-            renewed: false,
+            replaced: false,
             store: Box::new(opened.store),
         })
     }
@@ -75,24 +75,24 @@
 
 impl FolderSource for FolderOpener {
     fn open(&self) -> Result<FolderOpening, StoreError> {
-        let problem = match self.open_as_it_is() {
-            Err(problem) if self.renews && problem.is_spoilt() => problem,
+        let error = match self.open_in_place() {
+            Err(error) if self.replaces_unusable && error.is_unusable() => error,
             opened => return opened,
         };
         warn!(
             "event=folder-set-aside process=control instance={} error={}",
             self.instance,
-            LogValue(problem)
+            LogValue(error)
         );
         FolderStore::set_aside(&self.path)?;
         Ok(FolderOpening {
-            renewed: true,
-            ..self.open_as_it_is()?
+            replaced: true,
+            ..self.open_in_place()?
         })
     }
 
-    fn renews(&self) -> bool {
-        self.renews
+    fn replaces_unusable(&self) -> bool {
+        self.replaces_unusable
     }
 }
 
@@ -103,18 +103,18 @@
 /// each other's records, and a lock does not keep them apart on every disk.
 pub fn spawn(
     source: Arc<dyn FolderSource>,
-    mut before: UnboundedReceiver<ReplicaEvent>,
+    mut previous_reports: UnboundedReceiver<ReplicaEvent>,
     opened: UnboundedSender<FolderOpening>,
 ) -> io::Result<()> {
     let thread = thread::Builder::new().name("folder-opener".to_owned());
     thread.spawn(move || {
-        while before.blocking_recv().is_some() {}
-        open_at_last(&*source, &opened);
+        while previous_reports.blocking_recv().is_some() {}
+        open_with_retries(&*source, &opened);
     })?;
     Ok(())
 }
 
-fn open_at_last(source: &dyn FolderSource, opened: &UnboundedSender<FolderOpening>) {
+fn open_with_retries(source: &dyn FolderSource, opened: &UnboundedSender<FolderOpening>) {
     while !opened.is_closed() {
         thread::sleep(REOPEN_PAUSE);
         match source.open() {
@@ -123,9 +123,9 @@
                 let _ = opened.send(opening);
                 return;
             }
-            Err(problem) => warn!(
+            Err(error) => warn!(
                 "event=folder-not-opened process=control error={}",
-                LogValue(problem)
+                LogValue(error)
             ),
         }
     }
--- a/crates/control/src/leader_view.rs
+++ b/crates/control/src/leader_view.rs
@@ -22,7 +22,7 @@
     /// agreed task is late: the view it published says that it leads, but
     /// another leader may have been elected. The end of the lease is
     /// looked at with every use.
-    pub fn leading(&self) -> bool {
+    pub fn is_leading(&self) -> bool {
         self.lease_until
             .is_some_and(|until| BootInstant::now() < until)
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The shell of `cowslip-control`: sockets, files and timers round the core.
 
-pub mod agreed_metrics;
-pub mod agreed_task;
+pub mod agreement_metrics;
+pub mod agreement_task;
 pub mod control_daemon;
 pub mod control_handler;
 pub mod control_settings;
@@ -13,7 +13,7 @@
 pub mod operator_api;
 pub mod peer_sender;
 pub mod pin_task;
-pub mod rollout_desk;
+pub mod rollout_api;
 pub mod rollout_task;
 pub mod roster_task;
 pub mod source_metrics;
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -32,30 +32,30 @@
 fn main() {
     let args = command_args::parse_or_exit(&control_args());
     process_log::start();
-    let held = SettingsText::hold(args.settings);
+    let text = SettingsText::hold(args.settings);
     let settings: ControlSettings =
-        settings_file::read_or_exit("cowslip-control", held.path());
+        settings_file::read_or_exit("cowslip-control", text.path());
     if args.check {
-        println!("{}: usable", held.path().display());
+        println!("{}: usable", text.path().display());
         return;
     }
-    let ended = actix_rt::System::new().block_on(run(&settings, held));
+    let result = actix_rt::System::new().block_on(run(&settings, text));
     process_log::finish();
-    if let Err(problem) = ended {
-        eprintln!("cowslip-control: {problem}");
+    if let Err(error) = result {
+        eprintln!("cowslip-control: {error}");
         exit(1);
     }
 }
 
 async fn run(
     settings: &ControlSettings,
-    held: SettingsText,
+    text: SettingsText,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let signals = StopSignals::listen()?;
     let sockets = ControlSockets::bind(settings.listen, settings.admin_listen)?;
     let daemon = ControlDaemon::spawn(settings, sockets)?;
     let reload = async |changed: ControlSettings| daemon.reload(&changed).await;
-    settings_watch::until_stopped(signals, held, reload).await;
+    settings_watch::until_stopped(signals, text, reload).await;
     stop_signal::stop("control", &settings.instance, daemon.stop()).await;
     Ok(())
 }
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -22,10 +22,10 @@
 use self::identity_file::IdentityRecord;
 use self::log_file::LogFile;
 
+mod atomic_file;
 mod identity_file;
 mod log_file;
 mod record_frame;
-mod whole_file;
 
 const LOCK_FILE: &str = "lock";
 const IDENTITY_FILE: &str = "identity";
@@ -64,7 +64,7 @@
     #[error(
         "data folder: {problem}; remove the folder and add this instance as a new member"
     )]
-    NotWhole {
+    Inconsistent {
         /// What does not fit.
         problem: &'static str,
     },
@@ -76,9 +76,9 @@
 
 impl StoreError {
     /// True where the folder's content cannot be used, now or later.
-    pub fn is_spoilt(&self) -> bool {
+    pub fn is_unusable(&self) -> bool {
         match self {
-            Self::Damaged { .. } | Self::NotWhole { .. } | Self::RolledBack => true,
+            Self::Damaged { .. } | Self::Inconsistent { .. } | Self::RolledBack => true,
             Self::Disk(_)
             | Self::Codec(_)
             | Self::InUse(_)
@@ -134,7 +134,7 @@
                 expected: instance.to_owned(),
             });
         }
-        let snapshot = whole_file::read(path, SNAPSHOT_FILE)?.unwrap_or_default();
+        let snapshot = atomic_file::read(path, SNAPSHOT_FILE)?.unwrap_or_default();
         let (log, mut saved) = LogFile::open(path, identity.folder, &snapshot)?;
         saved.snapshot = snapshot;
         if saved.hard.barred {
@@ -179,7 +179,7 @@
         };
         // The snapshot first: with the old log beside it everything is
         // still there. The other way round a crash would leave a gap.
-        whole_file::write(&self.path, SNAPSHOT_FILE, &write.snapshot)?;
+        atomic_file::write(&self.path, SNAPSHOT_FILE, &write.snapshot)?;
         let base = write.snapshot.version.index;
         self.log =
             LogFile::create(&self.path, self.folder, base, write.hard, write.rest)?;
@@ -218,7 +218,7 @@
 /// are somebody's, so they are neither used nor overwritten.
 fn create(path: &Path, instance: &str) -> Result<IdentityRecord, StoreError> {
     if path.join(SNAPSHOT_FILE).exists() || LogFile::holds_entries(path)? {
-        return Err(StoreError::NotWhole {
+        return Err(StoreError::Inconsistent {
             problem: "there are a log or a snapshot without the identity file",
         });
     }
--- a/crates/control/src/member_store/identity_file.rs
+++ b/crates/control/src/member_store/identity_file.rs
@@ -8,12 +8,12 @@
 
 use cowslip_core::agreement::ProcessStart;
 
-use crate::member_store::whole_file;
+use crate::member_store::atomic_file;
 use crate::member_store::StoreError;
 use crate::member_store::IDENTITY_FILE;
 
 /// Largest random number, so that every codec carries it.
-const NUMBER_MAX: u64 = 1 << 62;
+const RANDOM_MAX: u64 = 1 << 62;
 
 /// What the identity file says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     pub fn new(instance: &str) -> Self {
         Self {
             instance: instance.to_owned(),
-            folder: rand::rng().random_range(1..NUMBER_MAX),
+            folder: rand::rng().random_range(1..RANDOM_MAX),
             start: ProcessStart::default(),
         }
     }
@@ -40,7 +40,7 @@
     pub fn next_start(mut self) -> Self {
         self.start = ProcessStart {
             count: self.start.count + 1,
-            nonce: rand::rng().random_range(1..NUMBER_MAX),
+            nonce: rand::rng().random_range(1..RANDOM_MAX),
         };
         self
     }
@@ -48,10 +48,10 @@
 
 /// Reads the identity; `None` where the folder has none.
 pub fn read(folder: &Path) -> Result<Option<IdentityRecord>, StoreError> {
-    whole_file::read(folder, IDENTITY_FILE)
+    atomic_file::read(folder, IDENTITY_FILE)
 }
 
 /// Writes the identity and syncs it.
 pub fn write(folder: &Path, identity: &IdentityRecord) -> Result<(), StoreError> {
-    whole_file::write(folder, IDENTITY_FILE, identity)
+    atomic_file::write(folder, IDENTITY_FILE, identity)
 }
--- a/crates/control/src/member_store/log_file.rs
+++ b/crates/control/src/member_store/log_file.rs
@@ -19,14 +19,14 @@
 use cowslip_core::agreement::WriteBatch;
 use cowslip_wire::codec;
 
+use crate::member_store::atomic_file;
 use crate::member_store::record_frame;
-use crate::member_store::whole_file;
 use crate::member_store::StoreError;
 use crate::member_store::LOG_FILE;
 
 /// First record of the file.
 #[derive(Debug, Serialize, Deserialize)]
-struct LogHead {
+struct LogHeader {
     /// Folder that the file belongs to.
     folder: u64,
     /// A snapshot at least this far must be beside it.
@@ -58,14 +58,14 @@
         hard: HardState,
         entries: Vec<LogEntry>,
     ) -> Result<Self, StoreError> {
-        let head = LogHead {
+        let header = LogHeader {
             folder,
             snapshot_index,
             hard,
             entries,
         };
-        let bytes = record_frame::frame(&codec::encode(&head)?);
-        let file = whole_file::replace(path, LOG_FILE, &bytes)?;
+        let bytes = record_frame::frame(&codec::encode(&header)?);
+        let file = atomic_file::replace(path, LOG_FILE, &bytes)?;
         Ok(Self { file })
     }
 
@@ -79,7 +79,7 @@
             Ok(bytes) => bytes,
             Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
                 let problem = "the log file is missing";
-                return Err(StoreError::NotWhole { problem });
+                return Err(StoreError::Inconsistent { problem });
             }
             Err(failure) => return Err(failure.into()),
         };
@@ -106,11 +106,11 @@
         let Ok((bodies, _)) = record_frame::scan(&bytes) else {
             return Ok(true);
         };
-        let [head] = bodies.as_slice() else {
+        let [header] = bodies.as_slice() else {
             return Ok(true);
         };
-        let head: LogHead = codec::decode(head)?;
-        Ok(!head.entries.is_empty() || head.snapshot_index > 0)
+        let header: LogHeader = codec::decode(header)?;
+        Ok(!header.entries.is_empty() || header.snapshot_index > 0)
     }
 
     /// Appends the batches as one record and syncs it.
@@ -142,18 +142,18 @@
     let (bodies, end) = record_frame::scan(bytes).map_err(|record| damaged(record.at))?;
     let mut bodies = bodies.into_iter();
     // The head was synced before the file got its name.
-    let head: LogHead = codec::decode(bodies.next().ok_or(damaged(0))?)?;
-    if head.folder != folder {
+    let header: LogHeader = codec::decode(bodies.next().ok_or(damaged(0))?)?;
+    if header.folder != folder {
         let problem = "the log file is another folder's";
-        return Err(StoreError::NotWhole { problem });
+        return Err(StoreError::Inconsistent { problem });
     }
-    if head.snapshot_index > snapshot.version.index {
+    if header.snapshot_index > snapshot.version.index {
         let problem = "the snapshot is missing or older than the log";
-        return Err(StoreError::NotWhole { problem });
+        return Err(StoreError::Inconsistent { problem });
     }
     let mut saved = SavedState {
-        hard: head.hard,
-        entries: head.entries,
+        hard: header.hard,
+        entries: header.entries,
         ..SavedState::default()
     };
     for body in bodies {
@@ -162,7 +162,7 @@
             apply_step(&mut saved, step);
         }
     }
-    check_order(&saved.entries)?;
+    check_contiguous(&saved.entries)?;
     Ok((saved, end))
 }
 
@@ -176,12 +176,12 @@
     saved.entries.extend(step.entries);
 }
 
-fn check_order(entries: &[LogEntry]) -> Result<(), StoreError> {
+fn check_contiguous(entries: &[LogEntry]) -> Result<(), StoreError> {
     for pair in entries.windows(2) {
         let (before, after) = (pair[0].version, pair[1].version);
         if after.index != before.index + 1 || after.term < before.term {
             let problem = "the log has a gap";
-            return Err(StoreError::NotWhole { problem });
+            return Err(StoreError::Inconsistent { problem });
         }
     }
     Ok(())
--- a/crates/control/src/member_store/record_frame.rs
+++ b/crates/control/src/member_store/record_frame.rs
@@ -5,10 +5,10 @@
 //! the disk; one that is spoilt with a whole one behind it was synced.
 
 /// Starts every record, so that a whole record behind a spoilt one is found.
-const MARK: [u8; 4] = *b"cwr1";
+const MAGIC: [u8; 4] = *b"cwr1";
 
 /// Mark, length and checksum, four bytes each.
-const HEAD_BYTES: usize = 12;
+const HEADER_BYTES: usize = 12;
 
 /// A record that was synced and is spoilt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,8 +19,8 @@
 
 /// A record of `body`, ready to be written.
 pub fn frame(body: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD_BYTES + body.len());
-    bytes.extend_from_slice(&MARK);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
     bytes.extend_from_slice(body);
@@ -33,7 +33,7 @@
     let mut at = 0;
     while let Some(body) = body_at(bytes, at) {
         bodies.push(body);
-        at += HEAD_BYTES + body.len();
+        at += HEADER_BYTES + body.len();
     }
     if has_record_after(bytes, at) {
         return Err(DamagedRecord { at });
@@ -42,20 +42,20 @@
 }
 
 fn body_at(bytes: &[u8], at: usize) -> Option<&[u8]> {
-    let head = bytes.get(at..at + HEAD_BYTES)?;
-    if head[..4] != MARK {
+    let header = bytes.get(at..at + HEADER_BYTES)?;
+    if header[..4] != MAGIC {
         return None;
     }
-    let length = u32::from_le_bytes(head[4..8].try_into().ok()?) as usize;
-    let checksum = u32::from_le_bytes(head[8..].try_into().ok()?);
-    let start = at + HEAD_BYTES;
+    let length = u32::from_le_bytes(header[4..8].try_into().ok()?) as usize;
+    let checksum = u32::from_le_bytes(header[8..].try_into().ok()?);
+    let start = at + HEADER_BYTES;
     let body = bytes.get(start..start + length)?;
     (crc32fast::hash(body) == checksum).then_some(body)
 }
 
 fn has_record_after(bytes: &[u8], at: usize) -> bool {
     for start in at + 1..bytes.len() {
-        if bytes[start..].starts_with(&MARK) && body_at(bytes, start).is_some() {
+        if bytes[start..].starts_with(&MAGIC) && body_at(bytes, start).is_some() {
             return true;
         }
     }
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -31,14 +31,14 @@
 use cowslip_wire::messages::LeaderAnswer;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedMessage;
-use crate::agreed_task::CurrentRevision;
-use crate::rollout_desk::RolloutDesk;
+use crate::agreement_task::AgreementMessage;
+use crate::agreement_task::CurrentRevision;
+use crate::rollout_api::RolloutApi;
 
 /// How long after its start a repeated order of a move that is over is taken
 /// for a resend. Operators' programs resend for some seconds; a new order of
 /// the same move comes after somebody has mended the version.
-const RESEND_TIME: Duration = Duration::from_secs(10);
+const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
 /// An operator's whole document under a number.
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
 
 /// How a move stands.
 #[derive(Clone, Debug)]
-pub struct MoveStanding {
+pub struct MoveStatus {
     /// The new version.
     pub target: Arc<str>,
     /// How far it has come.
@@ -86,22 +86,26 @@
 
 /// Takes operators' orders at one control instance.
 pub struct OperatorApi {
-    moves: RolloutDesk,
+    rollout_api: RolloutApi,
 }
 
 impl OperatorApi {
     /// A desk over the same tasks as `moves`.
-    pub fn new(moves: RolloutDesk) -> Self {
-        Self { moves }
+    pub fn new(rollout_api: RolloutApi) -> Self {
+        Self { rollout_api }
     }
 
     /// What is in force, where this instance can be sure of it.
     pub async fn current(&self) -> LeaderAnswer<CurrentRevision> {
-        self.current_and("".into()).await
+        self.current_with_answer("".into()).await
     }
 
-    async fn current_and(&self, order: Arc<str>) -> LeaderAnswer<CurrentRevision> {
-        self.ask(|reply| AgreedMessage::Current(order, reply)).await
+    async fn current_with_answer(
+        &self,
+        request_id: Arc<str>,
+    ) -> LeaderAnswer<CurrentRevision> {
+        self.ask(|reply| AgreementMessage::Current(request_id, reply))
+            .await
     }
 
     /// Whether an order that builds on `builds_on` is worth reading here: what
@@ -116,34 +120,34 @@
         request_id: &Arc<str>,
         builds_on: u64,
     ) -> LeaderAnswer<Option<RequestOutcome>> {
-        let current = match self.current_and(Arc::clone(request_id)).await {
+        let current = match self.current_with_answer(Arc::clone(request_id)).await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
-        LeaderAnswer::Here(settled(&current, builds_on))
+        LeaderAnswer::Here(early_outcome(&current, builds_on))
     }
 
     /// Puts a revision in force, or says why not.
-    pub async fn revise(&self, order: RevisionRequest) -> LeaderAnswer<RequestOutcome> {
-        let id = Arc::clone(&order.request_id);
-        let current = match self.current_and(id).await {
+    pub async fn revise(&self, request: RevisionRequest) -> LeaderAnswer<RequestOutcome> {
+        let id = Arc::clone(&request.request_id);
+        let current = match self.current_with_answer(id).await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
-        if let Some(outcome) = settled(&current, order.builds_on) {
+        if let Some(outcome) = early_outcome(&current, request.builds_on) {
             return LeaderAnswer::Here(outcome);
         }
-        let revision = match revision(&order, &current) {
+        let revision = match build_revision(&request, &current) {
             Ok(revision) => revision,
             Err(faults) => return LeaderAnswer::Here(RequestOutcome::Invalid(faults)),
         };
         let change = ConfigChange::Revise(Box::new(revision));
-        self.decide(order.request_id, change).await
+        self.propose(request.request_id, change).await
     }
 
-    async fn decide(
+    async fn propose(
         &self,
         request_id: Arc<str>,
         change: ConfigChange,
@@ -154,65 +158,62 @@
             at_ms: wall_clock::millis(),
             change,
         };
-        let decided = self
-            .ask(|reply| AgreedMessage::Change(Box::new(entry), reply))
+        let answer = self
+            .ask(|reply| AgreementMessage::Change(Box::new(entry), reply))
             .await;
-        match decided {
-            LeaderAnswer::Here(outcome) => LeaderAnswer::Here(order_outcome(outcome)),
+        match answer {
+            LeaderAnswer::Here(outcome) => LeaderAnswer::Here(request_outcome(outcome)),
             LeaderAnswer::Elsewhere(leader) => LeaderAnswer::Elsewhere(leader),
             LeaderAnswer::Unknown => LeaderAnswer::Unknown,
         }
     }
 
     /// Begins a move. Its servers may announce themselves later.
-    pub async fn start_move(&self, order: MoveRequest) -> LeaderAnswer<RequestOutcome> {
+    pub async fn start_move(&self, request: MoveRequest) -> LeaderAnswer<RequestOutcome> {
         let current = match self.current().await {
             LeaderAnswer::Here(current) => current,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
-        let spec = current.snapshot.document.services.get(&order.service);
+        let spec = current.snapshot.document.services.get(&request.service);
         if spec.is_some_and(|spec| spec.takes_any_version()) {
             // Which version is being replaced is not known yet.
             return LeaderAnswer::Unknown;
         }
-        let records = match self.ask(AgreedMessage::Rollouts).await {
+        let records = match self.ask(AgreementMessage::Rollouts).await {
             LeaderAnswer::Here(records) => records,
             LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         let same = |record: &&RolloutRecord| {
-            record.service == order.service && record.to == order.target
+            record.service == request.service && record.to == request.target
         };
         let earlier: Vec<&RolloutRecord> = records.iter().filter(same).collect();
         if earlier.last().is_some_and(|record| is_resend(record)) {
             return LeaderAnswer::Here(RequestOutcome::Accepted);
         }
         let change = MoveChange::Start {
-            service: Arc::clone(&order.service),
-            to: Arc::clone(&order.target),
-            due: MoveDue::Within(order.within.as_millis() as u64),
+            service: Arc::clone(&request.service),
+            to: Arc::clone(&request.target),
+            due: MoveDue::Within(request.within.as_millis() as u64),
             reason: String::new(),
             if_quiet: QuietChoice::Finish,
         };
-        let (service, target) = (&order.service, &order.target);
+        let (service, target) = (&request.service, &request.target);
         let id = format!("move-{service}-to-{target}-{}", earlier.len());
-        self.decide(id.into(), ConfigChange::Move(change)).await
+        self.propose(id.into(), ConfigChange::Move(change)).await
     }
 
     /// How the last move of a service stands; `None` where there was none.
-    pub async fn last_move(
-        &self,
-        service: Arc<str>,
-    ) -> LeaderAnswer<Option<MoveStanding>> {
+    pub async fn last_move(&self, service: Arc<str>) -> LeaderAnswer<Option<MoveStatus>> {
         let call = RolloutsCall {
             service: Some(service),
             rollout: None,
             course: false,
         };
-        match self.moves.lines(call).await {
+        match self.rollout_api.lines(call).await {
             Some(LeaderAnswer::Here(lines)) => {
-                LeaderAnswer::Here(newest(lines).map(|line| MoveStanding {
+                LeaderAnswer::Here(latest_line(lines).map(|line| MoveStatus {
                     target: line.record.to,
                     state: line.state,
                 }))
@@ -224,10 +225,10 @@
 
     async fn ask<T>(
         &self,
-        message: impl FnOnce(oneshot::Sender<LeaderAnswer<T>>) -> AgreedMessage,
+        message: impl FnOnce(oneshot::Sender<LeaderAnswer<T>>) -> AgreementMessage,
     ) -> LeaderAnswer<T> {
         let (reply, answer) = oneshot::channel();
-        let sent = self.moves.agreed.task.send(message(reply)).await;
+        let sent = self.rollout_api.agreement.task.send(message(reply)).await;
         if sent.is_err() {
             return LeaderAnswer::Unknown;
         }
@@ -237,24 +238,24 @@
 }
 
 /// What is known of an order without its document.
-fn settled(current: &CurrentRevision, builds_on: u64) -> Option<RequestOutcome> {
+fn early_outcome(current: &CurrentRevision, builds_on: u64) -> Option<RequestOutcome> {
     if let Some(ChangeOutcome::Accepted { .. }) = current.answer {
         return Some(RequestOutcome::Accepted);
     }
     (builds_on != current.number).then_some(RequestOutcome::Conflict)
 }
 
-fn newest(lines: Vec<RolloutLine>) -> Option<RolloutLine> {
+fn latest_line(lines: Vec<RolloutLine>) -> Option<RolloutLine> {
     lines.into_iter().max_by_key(|line| line.record.rollout)
 }
 
 fn is_resend(record: &RolloutRecord) -> bool {
     let started = Duration::from_millis(record.started_ms);
-    let recent = wall_clock::since_epoch() < started + RESEND_TIME;
+    let recent = wall_clock::since_epoch() < started + RESEND_WINDOW;
     record.end.is_none() || recent
 }
 
-fn order_outcome(outcome: ChangeOutcome) -> RequestOutcome {
+fn request_outcome(outcome: ChangeOutcome) -> RequestOutcome {
     match outcome {
         ChangeOutcome::Accepted { .. } => RequestOutcome::Accepted,
         ChangeOutcome::Conflict { .. } => RequestOutcome::Conflict,
@@ -263,12 +264,12 @@
 }
 
 /// The difference that the order makes to what is in force.
-fn revision(
-    order: &RevisionRequest,
+fn build_revision(
+    request: &RevisionRequest,
     current: &CurrentRevision,
 ) -> Result<NumberedRevision, Vec<DocumentFault>> {
     let held = &current.snapshot;
-    let target = revised(&held.document, &order.document);
+    let target = revised(&held.document, &request.document);
     let faults = validate_edit(&held.document, &target);
     if !faults.is_empty() {
         return Err(faults);
@@ -286,8 +287,8 @@
         }]
     })?;
     Ok(NumberedRevision {
-        number: order.number,
-        builds_on: order.builds_on,
+        number: request.number,
+        builds_on: request.builds_on,
         delta,
     })
 }
--- a/crates/control/src/peer_sender.rs
+++ b/crates/control/src/peer_sender.rs
@@ -21,7 +21,7 @@
 use cowslip_wire::process_log::LogValue;
 
 /// Messages waiting for one instance; a second of a busy leader's.
-const QUEUE_MAX: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// Messages of one post. Each holds at most a megabyte of entries, and
 /// large ones are rare.
@@ -31,15 +31,15 @@
 const PEERS_MAX: usize = 64;
 
 /// Wait for a post to be taken, about the lease: later is too late.
-const PATIENCE: Duration = Duration::from_secs(1);
+const POST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Wait for a snapshot to be taken: 16 MB on a link of 32 Mbit/s.
-const SNAPSHOT_PATIENCE: Duration = Duration::from_secs(5);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Queues to the other instances.
 pub struct PeerSenders {
     client: PeerClient,
-    lanes: BTreeMap<(SocketAddr, bool), mpsc::Sender<MemberMessage>>,
+    queues: BTreeMap<(SocketAddr, bool), mpsc::Sender<MemberMessage>>,
 }
 
 impl PeerSenders {
@@ -47,7 +47,7 @@
     pub fn new(client: PeerClient) -> Self {
         Self {
             client,
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
@@ -55,29 +55,29 @@
     pub fn send(&mut self, address: SocketAddr, message: MemberMessage) {
         let snapshot = matches!(message.body, MessageBody::Install { .. });
         let key = (address, snapshot);
-        if !self.lanes.contains_key(&key) {
-            if self.lanes.len() >= 2 * PEERS_MAX {
+        if !self.queues.contains_key(&key) {
+            if self.queues.len() >= 2 * PEERS_MAX {
                 return;
             }
-            let lane = spawn_lane(self.client.clone(), address, snapshot);
-            self.lanes.insert(key, lane);
+            let queue = spawn_queue(self.client.clone(), address, snapshot);
+            self.queues.insert(key, queue);
         }
-        if let Some(lane) = self.lanes.get(&key) {
-            let _ = lane.try_send(message);
+        if let Some(queue) = self.queues.get(&key) {
+            let _ = queue.try_send(message);
         }
     }
 }
 
-fn spawn_lane(
+fn spawn_queue(
     client: PeerClient,
     address: SocketAddr,
     snapshot: bool,
 ) -> mpsc::Sender<MemberMessage> {
-    let (lane, mut messages) = mpsc::channel(QUEUE_MAX);
-    let patience = if snapshot {
-        SNAPSHOT_PATIENCE
+    let (queue, mut messages) = mpsc::channel(QUEUE_CAPACITY);
+    let timeout = if snapshot {
+        SNAPSHOT_TIMEOUT
     } else {
-        PATIENCE
+        POST_TIMEOUT
     };
     actix_rt::spawn(async move {
         let mut gathered = Vec::new();
@@ -85,7 +85,7 @@
             let call = AgreeCall {
                 messages: std::mem::take(&mut gathered),
             };
-            if let Err(failure) = client.send(address, &call, patience).await {
+            if let Err(failure) = client.send(address, &call, timeout).await {
                 debug!(
                     "event=agree-failed process=control to={address} error={}",
                     LogValue(failure)
@@ -93,5 +93,5 @@
             }
         }
     });
-    lane
+    queue
 }
--- a/crates/control/src/pin_task.rs
+++ b/crates/control/src/pin_task.rs
@@ -22,23 +22,24 @@
 use cowslip_core::document::ServiceSpec;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
 
 /// How often the directory is looked at: well below the seconds in which a
 /// later version's servers could appear beside the first.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Watches for ever; proposes changes while this instance leads.
-pub async fn run(agreed: AgreedHandle, fanout: mpsc::Sender<FanoutMessage>) {
+pub async fn run(agreement: AgreementHandle, fanout: mpsc::Sender<FanoutMessage>) {
     loop {
-        actix_rt::time::sleep(LOOK_EVERY).await;
-        if !agreed.leader.borrow().leading() {
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
+        if !agreement.leader.borrow().is_leading() {
             continue;
         }
-        let Some(snapshot) = fanout_task::ask(&fanout, FanoutMessage::Show).await else {
+        let Some(snapshot) = fanout_task::ask(&fanout, FanoutMessage::Snapshot).await
+        else {
             return;
         };
         let mut specs = snapshot.document.services.values();
@@ -49,14 +50,14 @@
         else {
             return;
         };
-        for (service, version) in pins(&snapshot, &records) {
-            propose(&agreed, &snapshot, service, version).await;
+        for (service, version) in choose_versions(&snapshot, &records) {
+            propose(&agreement, &snapshot, service, version).await;
         }
     }
 }
 
 /// Services without a version, and the one that most of their servers run.
-fn pins(
+fn choose_versions(
     snapshot: &ConfigSnapshot,
     records: &[EndpointRecord],
 ) -> Vec<(Arc<str>, Arc<str>)> {
@@ -72,8 +73,8 @@
                 *counts.entry(&record.version).or_default() += 1;
             }
         }
-        let most = counts.iter().max_by_key(|(_, count)| **count);
-        if let Some((version, _)) = most {
+        let most_common = counts.iter().max_by_key(|(_, count)| **count);
+        if let Some((version, _)) = most_common {
             pins.push((Arc::clone(service), Arc::clone(version)));
         }
     }
@@ -81,7 +82,7 @@
 }
 
 async fn propose(
-    agreed: &AgreedHandle,
+    agreement: &AgreementHandle,
     snapshot: &ConfigSnapshot,
     service: Arc<str>,
     version: Arc<str>,
@@ -94,9 +95,9 @@
         change: ConfigChange::PinVersion { service, version },
     };
     let (reply, answer) = oneshot::channel();
-    let sent = agreed
+    let sent = agreement
         .task
-        .send(AgreedMessage::Change(Box::new(entry), reply))
+        .send(AgreementMessage::Change(Box::new(entry), reply))
         .await;
     if sent.is_err() || answer.await.is_err() {
         warn!("event=pin-unanswered process=control");
--- a/crates/control/src/rollout_desk.rs
+++ b/crates/control/src/rollout_api.rs
@@ -19,8 +19,8 @@
 use cowslip_wire::messages::LeaderAnswer;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task::FanoutMessage;
 use crate::fanout_task::VersionProgress;
 use crate::rollout_task::RolloutCourse;
@@ -28,21 +28,24 @@
 use crate::rollout_task::RolloutMessage;
 
 /// Where moves are asked for.
-pub struct RolloutDesk {
+pub struct RolloutApi {
     /// The agreed log.
-    pub agreed: AgreedHandle,
+    pub agreement: AgreementHandle,
     /// Nodes and the directory.
     pub fanout: mpsc::Sender<FanoutMessage>,
     /// The moves' own task.
     pub rollouts: RolloutHandle,
 }
 
-impl RolloutDesk {
+impl RolloutApi {
     /// Checks an operator's change of a move against the directory, and sets
     /// its time; `Err` holds the answer where it is refused. Other changes
     /// and those for another instance pass.
-    pub async fn admit(&self, entry: &mut ChangeEntry) -> Result<(), ChangeOutcome> {
-        let leading = self.agreed.leader.borrow().leading();
+    pub async fn prepare_change(
+        &self,
+        entry: &mut ChangeEntry,
+    ) -> Result<(), ChangeOutcome> {
+        let leading = self.agreement.leader.borrow().is_leading();
         let ConfigChange::Move(change) = &mut entry.change else {
             return Ok(());
         };
@@ -76,8 +79,8 @@
     /// to hold since: its first answer is in the log and must be repeated.
     async fn is_resend(&self, request_id: &str) -> bool {
         let (reply, answer) = oneshot::channel();
-        let message = AgreedMessage::History(reply);
-        if self.agreed.task.send(message).await.is_err() {
+        let message = AgreementMessage::History(reply);
+        if self.agreement.task.send(message).await.is_err() {
             return false;
         }
         let Ok(LeaderAnswer::Here(changes)) = answer.await else {
@@ -102,8 +105,8 @@
         call: RolloutsCall,
     ) -> Option<LeaderAnswer<Vec<RolloutLine>>> {
         let (reply, answer) = oneshot::channel();
-        let message = AgreedMessage::Rollouts(reply);
-        self.agreed.task.send(message).await.ok()?;
+        let message = AgreementMessage::Rollouts(reply);
+        self.agreement.task.send(message).await.ok()?;
         let records = match answer.await.ok()? {
             LeaderAnswer::Here(records) => records,
             LeaderAnswer::Elsewhere(leader) => {
@@ -113,10 +116,11 @@
         };
         let mut lines = Vec::new();
         for record in records {
-            let number = call.rollout.is_none_or(|wanted| wanted == record.rollout);
+            let rollout_matches =
+                call.rollout.is_none_or(|wanted| wanted == record.rollout);
             let service = call.service.as_ref();
-            let service = service.is_none_or(|wanted| *wanted == record.service);
-            if number && service {
+            let service_matches = service.is_none_or(|wanted| *wanted == record.service);
+            if rollout_matches && service_matches {
                 lines.push(self.line(record, call.course).await?);
             }
         }
@@ -124,42 +128,46 @@
     }
 
     async fn line(&self, record: RolloutRecord, course: bool) -> Option<RolloutLine> {
-        let known = self.course(record.rollout).await;
+        let course_state = self.course(record.rollout).await;
         let (reply, answer) = oneshot::channel();
         let message = FanoutMessage::Progress(record.last_version(), reply);
         self.fanout.send(message).await.ok()?;
-        let reached = answer.await.ok()?;
-        Some(line(record, known, reached, course))
+        let progress = answer.await.ok()?;
+        Some(line(record, course_state, progress, course))
     }
 }
 
 fn line(
     record: RolloutRecord,
-    known: RolloutCourse,
-    reached: VersionProgress,
+    course_state: RolloutCourse,
+    progress: VersionProgress,
     course: bool,
 ) -> RolloutLine {
     let counts = match record.end {
         Some(_) => record.counts,
-        None => known.counts,
+        None => course_state.counts,
     };
-    let state = state(&record, &reached.progress);
-    let ended = record
+    let state = state(&record, &progress.progress);
+    let ended_after_ms = record
         .ended
         .map(|(_, at_ms)| at_ms.saturating_sub(record.started_ms));
-    let spread = match state {
-        MoveState::Done => reached.done_after_ms,
+    let propagation_ms = match state {
+        MoveState::Done => progress.done_after_ms,
         MoveState::InProgress | MoveState::TakenBack => Some(0),
     };
-    let over = state != MoveState::InProgress;
-    let after = ended.filter(|_| over);
+    let is_over = state != MoveState::InProgress;
+    let after = ended_after_ms.filter(|_| is_over);
     RolloutLine {
-        ended_after_ms: after.map(|after| after + spread.unwrap_or(0)),
+        ended_after_ms: after.map(|after| after + propagation_ms.unwrap_or(0)),
         state,
-        nodes: reached.progress,
+        nodes: progress.progress,
         counts,
-        wait: known.wait.filter(|_| record.end.is_none()),
-        course: if course { known.points } else { Vec::new() },
+        wait: course_state.wait.filter(|_| record.end.is_none()),
+        course: if course {
+            course_state.points
+        } else {
+            Vec::new()
+        },
         record,
     }
 }
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -34,30 +34,30 @@
 use cowslip_wire::process_log::LogValue;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task::FanoutMessage;
 
 /// Messages waiting for the task. A report that finds no room is dropped:
 /// the next one of its node holds all that it held.
-const MESSAGES_MAX: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// How long counts are gathered before they go to the leader, so that a
 /// relay's 290 nodes reach it as ten messages a second.
-const GATHER_TIME: Duration = Duration::from_millis(100);
+const FORWARD_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Counts not taken by the leader within this time are sent anew.
-const PASS_PATIENCE: Duration = Duration::from_secs(2);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a proposal may be without answer before it is made again.
-const PROPOSAL_PATIENCE: Duration = Duration::from_secs(5);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Nodes that report nothing for this long are forgotten once their moves
 /// are over.
-const REPORTS_KEPT: Duration = Duration::from_secs(600);
+const REPORT_RETENTION: Duration = Duration::from_secs(600);
 
 /// Courses of moves that are over, kept for plots.
-const COURSES_KEPT: usize = 64;
+const ENDED_COURSES_MAX: usize = 64;
 
 /// What others ask of the task.
 #[derive(Debug)]
@@ -86,43 +86,43 @@
 // start can be their origin.
 struct RolloutTask {
     instance: Arc<str>,
-    agreed: AgreedHandle,
+    agreement: AgreementHandle,
     fanout: mpsc::Sender<FanoutMessage>,
     client: PeerClient,
     leading: bool,
-    ledger: EvidenceTotals,
-    watch: FleetMonitor,
+    totals: EvidenceTotals,
+    monitor: FleetMonitor,
     drivers: BTreeMap<ConfigVersion, RolloutDriver>,
     courses: BTreeMap<ConfigVersion, RolloutCourse>,
-    gathered: BTreeMap<Arc<str>, EvidenceReport>,
+    pending_reports: BTreeMap<Arc<str>, EvidenceReport>,
     proposing: BTreeSet<ConfigVersion>,
-    decided: mpsc::UnboundedSender<ConfigVersion>,
+    proposal_done: mpsc::UnboundedSender<ConfigVersion>,
 }
 
 /// Starts the task.
 pub fn spawn(
     instance: Arc<str>,
-    agreed: AgreedHandle,
+    agreement: AgreementHandle,
     fanout: mpsc::Sender<FanoutMessage>,
     client: PeerClient,
 ) -> RolloutHandle {
-    let (decided, decisions) = mpsc::unbounded_channel();
+    let (proposal_done, proposals_done) = mpsc::unbounded_channel();
     let task = RolloutTask {
         instance,
-        agreed,
+        agreement,
         fanout,
         client,
         leading: false,
-        ledger: EvidenceTotals::default(),
-        watch: FleetMonitor::default(),
+        totals: EvidenceTotals::default(),
+        monitor: FleetMonitor::default(),
         drivers: BTreeMap::new(),
         courses: BTreeMap::new(),
-        gathered: BTreeMap::new(),
+        pending_reports: BTreeMap::new(),
         proposing: BTreeSet::new(),
-        decided,
+        proposal_done,
     };
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
-    actix_rt::spawn(task.run(receiver, decisions));
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+    actix_rt::spawn(task.run(receiver, proposals_done));
     sender
 }
 
@@ -130,34 +130,34 @@
     async fn run(
         mut self,
         mut receiver: mpsc::Receiver<RolloutMessage>,
-        mut decisions: mpsc::UnboundedReceiver<ConfigVersion>,
+        mut proposals_done: mpsc::UnboundedReceiver<ConfigVersion>,
     ) {
-        let mut look = actix_rt::time::interval(DRIVER_INTERVAL);
-        let mut pass = actix_rt::time::interval(GATHER_TIME);
+        let mut evaluate_tick = actix_rt::time::interval(DRIVER_INTERVAL);
+        let mut forward_tick = actix_rt::time::interval(FORWARD_INTERVAL);
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(rollout) = decisions.recv() => {
+                Some(rollout) = proposals_done.recv() => {
                     self.proposing.remove(&rollout);
                 }
-                _ = look.tick() => self.look().await,
-                _ = pass.tick() => self.pass_on(),
+                _ = evaluate_tick.tick() => self.evaluate_moves().await,
+                _ = forward_tick.tick() => self.forward_reports(),
             }
         }
     }
 
-    fn take(&mut self, message: RolloutMessage) {
+    fn handle_message(&mut self, message: RolloutMessage) {
         match message {
             RolloutMessage::Evidence(call) => {
-                let leading = self.agreed.leader.borrow().leading();
+                let leading = self.agreement.leader.borrow().is_leading();
                 for report in call.reports {
                     if leading {
-                        self.ledger.record_report(wall_clock::since_epoch(), report);
+                        self.totals.record_report(wall_clock::since_epoch(), report);
                     } else {
-                        self.gather(report);
+                        self.queue_report(report);
                     }
                 }
             }
@@ -168,35 +168,38 @@
         }
     }
 
-    fn gather(&mut self, report: EvidenceReport) {
-        let held = self.gathered.get(&report.node);
+    fn queue_report(&mut self, report: EvidenceReport) {
+        let held = self.pending_reports.get(&report.node);
         let order = (report.incarnation, report.sequence);
         if held.is_none_or(|held| (held.incarnation, held.sequence) < order) {
-            self.gathered.insert(Arc::clone(&report.node), report);
+            self.pending_reports
+                .insert(Arc::clone(&report.node), report);
         }
     }
 
     /// Sends what was gathered to the leader; what is lost on the way is
     /// held by the nodes' next reports.
-    fn pass_on(&mut self) {
-        let view = *self.agreed.leader.borrow();
-        if view.leading() {
-            for (_, report) in std::mem::take(&mut self.gathered) {
-                self.ledger.record_report(wall_clock::since_epoch(), report);
+    fn forward_reports(&mut self) {
+        let view = *self.agreement.leader.borrow();
+        if view.is_leading() {
+            for (_, report) in std::mem::take(&mut self.pending_reports) {
+                self.totals.record_report(wall_clock::since_epoch(), report);
             }
             return;
         }
         let Some(address) = view.address else {
             return;
         };
-        if self.gathered.is_empty() {
+        if self.pending_reports.is_empty() {
             return;
         }
-        let reports = std::mem::take(&mut self.gathered).into_values().collect();
+        let reports = std::mem::take(&mut self.pending_reports)
+            .into_values()
+            .collect();
         let call = EvidenceCall { reports };
         let client = self.client.clone();
         actix_rt::spawn(async move {
-            if let Err(failure) = client.send(address, &call, PASS_PATIENCE).await {
+            if let Err(failure) = client.send(address, &call, FORWARD_TIMEOUT).await {
                 warn!(
                     "event=evidence-failed process=control leader={address} error={}",
                     LogValue(failure)
@@ -205,9 +208,9 @@
         });
     }
 
-    async fn look(&mut self) {
-        let view = *self.agreed.leader.borrow();
-        if !view.leading() {
+    async fn evaluate_moves(&mut self) {
+        let view = *self.agreement.leader.borrow();
+        if !view.is_leading() {
             // A lease that is over for a moment ends no leadership.
             if view.lease_until.is_none() {
                 self.step_down();
@@ -215,20 +218,20 @@
             return;
         }
         self.leading = true;
-        let Some(records) = self.running().await else {
+        let Some(records) = self.running_moves().await else {
             return;
         };
         self.forget_ended(&records);
         if records.is_empty() {
             return;
         }
-        let Some((servers, nodes)) = self.fleet().await else {
+        let Some((servers, nodes)) = self.fleet_state().await else {
             return;
         };
         let now = wall_clock::since_epoch();
-        self.watch.record_servers(now, servers.iter());
+        self.monitor.record_servers(now, servers.iter());
         for record in &records {
-            self.look_at(now, record, &servers, &nodes);
+            self.evaluate_move(now, record, &servers, &nodes);
         }
     }
 
@@ -240,16 +243,16 @@
             return;
         }
         self.leading = false;
-        self.ledger = EvidenceTotals::default();
-        self.watch = FleetMonitor::default();
+        self.totals = EvidenceTotals::default();
+        self.monitor = FleetMonitor::default();
         self.drivers.clear();
         self.courses.clear();
     }
 
-    async fn running(&self) -> Option<Vec<RolloutRecord>> {
+    async fn running_moves(&self) -> Option<Vec<RolloutRecord>> {
         let (reply, answer) = oneshot::channel();
-        let message = AgreedMessage::Rollouts(reply);
-        self.agreed.task.send(message).await.ok()?;
+        let message = AgreementMessage::Rollouts(reply);
+        self.agreement.task.send(message).await.ok()?;
         let LeaderAnswer::Here(mut records) = answer.await.ok()? else {
             return None;
         };
@@ -257,7 +260,7 @@
         Some(records)
     }
 
-    async fn fleet(&self) -> Option<(Vec<EndpointRecord>, Vec<NodeReport>)> {
+    async fn fleet_state(&self) -> Option<(Vec<EndpointRecord>, Vec<NodeReport>)> {
         let (reply, servers) = oneshot::channel();
         let message = FanoutMessage::Endpoints(reply);
         self.fanout.send(message).await.ok()?;
@@ -271,38 +274,40 @@
     fn forget_ended(&mut self, records: &[RolloutRecord]) {
         let running = |rollout| records.iter().any(|held| held.rollout == rollout);
         self.drivers.retain(|rollout, _| running(*rollout));
-        let before = wall_clock::since_epoch().saturating_sub(REPORTS_KEPT);
-        self.ledger.retain(before, running);
-        while self.courses.len() > COURSES_KEPT + records.len() {
+        let before = wall_clock::since_epoch().saturating_sub(REPORT_RETENTION);
+        self.totals.retain(before, running);
+        while self.courses.len() > ENDED_COURSES_MAX + records.len() {
             self.courses.pop_first();
         }
     }
 
-    fn look_at(
+    fn evaluate_move(
         &mut self,
         now: Duration,
         record: &RolloutRecord,
         servers: &[EndpointRecord],
         nodes: &[NodeReport],
     ) {
-        let sight = self
-            .watch
-            .snapshot(now, record, servers.iter(), nodes, &self.ledger);
+        let snapshot =
+            self.monitor
+                .snapshot(now, record, servers.iter(), nodes, &self.totals);
         let driver = self.drivers.entry(record.rollout);
         let driver = driver.or_insert_with(|| RolloutDriver::new(record));
-        let change = driver.evaluate(now, record, &sight, &self.ledger);
+        let change = driver.evaluate(now, record, &snapshot, &self.totals);
         let points = driver.course().to_vec();
-        let counts = points.last().map_or(MoveCounts::default(), |at| at.counts);
+        let counts = points
+            .last()
+            .map_or(MoveCounts::default(), |point| point.counts);
         let course = RolloutCourse {
             wait: driver.wait(),
             counts,
             points,
         };
         self.log_wait(record.rollout, &course);
-        let grounds = grounds_of(&course);
+        let evidence = evidence_fields(&course);
         self.courses.insert(record.rollout, course);
         if let Some(change) = change {
-            self.propose(record.rollout, change, &grounds);
+            self.propose(record.rollout, change, &evidence);
         }
     }
 
@@ -316,11 +321,11 @@
             "event=move-waits process=control instance={} move={rollout} for={} {}",
             self.instance,
             LogValue(wait.as_str()),
-            grounds_of(course)
+            evidence_fields(course)
         );
     }
 
-    fn propose(&mut self, rollout: ConfigVersion, change: MoveChange, grounds: &str) {
+    fn propose(&mut self, rollout: ConfigVersion, change: MoveChange, evidence: &str) {
         let Some(request_id) = change.request_id() else {
             return;
         };
@@ -328,7 +333,7 @@
             return;
         }
         info!(
-            "event=move-step process=control instance={} move={rollout} change={} {grounds}",
+            "event=move-step process=control instance={} move={rollout} change={} {evidence}",
             self.instance,
             LogValue(change.summary())
         );
@@ -338,43 +343,44 @@
             at_ms: wall_clock::millis(),
             change: ConfigChange::Move(change),
         };
-        let task = self.agreed.task.clone();
-        let decided = self.decided.clone();
+        let task = self.agreement.task.clone();
+        let proposal_done = self.proposal_done.clone();
         actix_rt::spawn(async move {
-            let outcome = actix_rt::time::timeout(PROPOSAL_PATIENCE, decide(task, entry));
+            let outcome =
+                actix_rt::time::timeout(PROPOSAL_TIMEOUT, submit_change(task, entry));
             if let Ok(Some(LeaderAnswer::Here(refused))) = outcome.await {
                 if !matches!(refused, ChangeOutcome::Accepted { .. }) {
                     warn!("event=move-step-refused process=control move={rollout}");
                 }
             }
             // The task ends only with the process.
-            let _ = decided.send(rollout);
+            let _ = proposal_done.send(rollout);
         });
     }
 }
 
 /// What the newest look at a move saw, for its log lines.
-fn grounds_of(course: &RolloutCourse) -> String {
-    let Some(at) = course.points.last() else {
+fn evidence_fields(course: &RolloutCourse) -> String {
+    let Some(point) = course.points.last() else {
         return "looks=0".to_owned();
     };
     format!(
         "share_per_mille={} new_calls={} new_failures={} calls={} suspicion={:.2} old_failing={:.2}",
-        at.share_per_mille,
-        at.counts.new_calls,
-        at.counts.new_failures,
-        at.counts.calls,
-        at.suspicion,
-        at.old_failing
+        point.share_per_mille,
+        point.counts.new_calls,
+        point.counts.new_failures,
+        point.counts.calls,
+        point.suspicion,
+        point.old_failing
     )
 }
 
-async fn decide(
-    task: mpsc::Sender<AgreedMessage>,
+async fn submit_change(
+    task: mpsc::Sender<AgreementMessage>,
     entry: ChangeEntry,
 ) -> Option<LeaderAnswer<ChangeOutcome>> {
     let (reply, answer) = oneshot::channel();
-    task.send(AgreedMessage::Change(Box::new(entry), reply))
+    task.send(AgreementMessage::Change(Box::new(entry), reply))
         .await
         .ok()?;
     answer.await.ok()
--- a/crates/control/src/roster_task.rs
+++ b/crates/control/src/roster_task.rs
@@ -14,25 +14,26 @@
 use cowslip_core::version::ConfigVersion;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
 
 /// How often the directory is looked at; the roster's own times are minutes.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Watches for ever; proposes changes while this instance leads.
-pub async fn run(agreed: AgreedHandle, fanout: mpsc::Sender<FanoutMessage>) {
+pub async fn run(agreement: AgreementHandle, fanout: mpsc::Sender<FanoutMessage>) {
     let started = Instant::now();
     let mut keeper = RosterKeeper::default();
     loop {
-        actix_rt::time::sleep(LOOK_EVERY).await;
-        if !agreed.leader.borrow().leading() {
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
+        if !agreement.leader.borrow().is_leading() {
             keeper = RosterKeeper::default();
             continue;
         }
-        let Some(snapshot) = fanout_task::ask(&fanout, FanoutMessage::Show).await else {
+        let Some(snapshot) = fanout_task::ask(&fanout, FanoutMessage::Snapshot).await
+        else {
             return;
         };
         let Some(records) = fanout_task::ask(&fanout, FanoutMessage::Endpoints).await
@@ -46,14 +47,18 @@
         let held = &snapshot.document.holders;
         let wanted = keeper.handle(started.elapsed(), held, &records);
         if let Some(roster) = wanted {
-            propose(&agreed, snapshot.version, roster).await;
+            propose(&agreement, snapshot.version, roster).await;
         }
     }
 }
 
 /// Proposes the roster on top of `version` alone; where another change came
 /// first, the next look proposes again.
-async fn propose(agreed: &AgreedHandle, version: ConfigVersion, roster: HolderRoster) {
+async fn propose(
+    agreement: &AgreementHandle,
+    version: ConfigVersion,
+    roster: HolderRoster,
+) {
     let at_ms = wall_clock::millis();
     info!(
         "event=roster-proposed process=control seats={} before={}",
@@ -67,8 +72,8 @@
         change: ConfigChange::SetHolders(roster),
     };
     let (reply, answer) = oneshot::channel();
-    let message = AgreedMessage::Change(Box::new(entry), reply);
-    if agreed.task.send(message).await.is_ok() {
+    let message = AgreementMessage::Change(Box::new(entry), reply);
+    if agreement.task.send(message).await.is_ok() {
         let _ = answer.await;
     }
 }
--- a/crates/control/src/source_metrics.rs
+++ b/crates/control/src/source_metrics.rs
@@ -10,7 +10,7 @@
 /// Counters of one source, fed from its own counts.
 #[derive(Clone)]
 pub struct SourceMetrics {
-    seen: SourceCounts,
+    previous: SourceCounts,
     admitted: Counter,
     told_later: Counter,
     leases_ended: Counter,
@@ -22,7 +22,7 @@
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_source");
         Self {
-            seen: SourceCounts::default(),
+            previous: SourceCounts::default(),
             admitted: metric_start::counter(
                 registry,
                 "admitted",
@@ -48,12 +48,13 @@
 
     /// Takes over the counts of the source.
     pub fn update(&mut self, counts: SourceCounts) {
-        self.admitted.inc_by(counts.admitted - self.seen.admitted);
+        self.admitted
+            .inc_by(counts.admitted - self.previous.admitted);
         self.told_later
-            .inc_by(counts.told_later - self.seen.told_later);
+            .inc_by(counts.told_later - self.previous.told_later);
         self.leases_ended
-            .inc_by(counts.leases_ended - self.seen.leases_ended);
+            .inc_by(counts.leases_ended - self.previous.leases_ended);
         self.leases_frozen.set(counts.leases_frozen as i64);
-        self.seen = counts;
+        self.previous = counts;
     }
 }
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -19,7 +19,7 @@
 use crate::member_store::MemberStore;
 
 /// Batches written with one sync at most, so that one record stays small.
-const GATHERED_MAX: usize = 256;
+const BATCH_MAX: usize = 256;
 
 /// Where batches go; the thread ends when it is dropped.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
 ) {
     while let Ok(first) = batches.recv() {
         let mut gathered = vec![first];
-        while gathered.len() < GATHERED_MAX {
+        while gathered.len() < BATCH_MAX {
             let Ok(batch) = batches.try_recv() else {
                 break;
             };
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -40,15 +40,15 @@
 const CONFIRM_WAIT: Duration = Duration::from_millis(50);
 
 /// Answers later than this are given up on: four times the wait.
-const FOLLOW_PATIENCE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause after a failed try, so that a dead writer costs little.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The leader's address where it is another instance.
-fn leader_elsewhere(leader: &LeaderWatch) -> Option<SocketAddr> {
+fn remote_leader(leader: &LeaderWatch) -> Option<SocketAddr> {
     let view = leader.borrow();
-    if view.leading() {
+    if view.is_leading() {
         return None;
     }
     view.address
@@ -61,7 +61,7 @@
     client: PeerClient,
     task: mpsc::Sender<FanoutMessage>,
 ) {
-    let mut uplink = LeaderFollower {
+    let mut follower = LeaderFollower {
         instance,
         client,
         task,
@@ -72,7 +72,7 @@
     };
     let mut changes = leader.clone();
     loop {
-        let Some(address) = leader_elsewhere(&leader) else {
+        let Some(address) = remote_leader(&leader) else {
             // A node that starts here waits for the first answer of a leader
             // just elected.
             let changed = changes.changed();
@@ -81,7 +81,7 @@
             }
             continue;
         };
-        match uplink.turn(address).await {
+        match follower.poll(address).await {
             Ok(true) => continue,
             Ok(false) => return,
             Err(failure) => warn!(
@@ -105,9 +105,14 @@
 
 impl LeaderFollower {
     /// One question and what it brings; false once the task is gone.
-    async fn turn(&mut self, address: SocketAddr) -> Result<bool, PeerError> {
+    async fn poll(&mut self, address: SocketAddr) -> Result<bool, PeerError> {
         let (reply, state) = oneshot::channel();
-        if self.task.send(FanoutMessage::Uplink(reply)).await.is_err() {
+        if self
+            .task
+            .send(FanoutMessage::UplinkState(reply))
+            .await
+            .is_err()
+        {
             return Ok(false);
         }
         let Ok(state) = state.await else {
@@ -130,7 +135,7 @@
             node_domain: None,
         };
         let sent_at = BootInstant::now();
-        let reply = self.client.send(address, &call, FOLLOW_PATIENCE).await?;
+        let reply = self.client.send(address, &call, CALL_TIMEOUT).await?;
         let answer = match reply {
             FollowReply::News(answer) => *answer,
             FollowReply::Later(after_ms) => {
@@ -147,7 +152,7 @@
             answer.acknowledged,
             answer.config,
         );
-        let snapshot = self.fetch(address, step, answer.chunk).await?;
+        let snapshot = self.fetch_snapshot(address, step, answer.chunk).await?;
         let endpoints = self.directory.take(answer.directory);
         let news = InstalledNews {
             sent_at,
@@ -163,19 +168,19 @@
     /// Fetches chunks as long as the follower wants them, after the one that
     /// came along; the snapshot that
     /// is valid and newer, if one came of it.
-    async fn fetch(
+    async fn fetch_snapshot(
         &mut self,
         address: SocketAddr,
         mut step: FollowStep,
-        along: Option<Bytes>,
+        first_chunk: Option<Bytes>,
     ) -> Result<Option<ConfigSnapshot>, PeerError> {
-        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, along) {
+        if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, first_chunk) {
             let now = self.started.elapsed();
             step = self.follower.chunk(now, Some(&chunk));
         }
         while let FollowStep::Fetch { version, at } = step {
             let call = ChunkCall { version, at };
-            let answer = self.client.send(address, &call, FOLLOW_PATIENCE).await?;
+            let answer = self.client.send(address, &call, CALL_TIMEOUT).await?;
             let now = self.started.elapsed();
             step = self.follower.chunk(now, answer.chunk.as_deref());
         }
@@ -198,29 +203,29 @@
 
 /// Carries reports up to the leader, gathered. Where this instance leads
 /// they have arrived already.
-pub async fn carry(
+pub async fn send_reports(
     leader: LeaderWatch,
     client: PeerClient,
     task: mpsc::Sender<FanoutMessage>,
 ) {
     loop {
         actix_rt::time::sleep(REPORT_INTERVAL).await;
-        let Some(address) = leader_elsewhere(&leader) else {
+        let Some(address) = remote_leader(&leader) else {
             continue;
         };
         let (reply, batch) = oneshot::channel();
-        let asked = task.send(FanoutMessage::TakeReports(reply)).await;
+        let sent = task.send(FanoutMessage::TakeReports(reply)).await;
         let Ok(batch) = batch.await else {
             return;
         };
-        if asked.is_err() {
+        if sent.is_err() {
             return;
         }
         if batch.is_empty() {
             continue;
         }
         let call = ReportCall { batch };
-        let Err(failure) = client.send(address, &call, FOLLOW_PATIENCE).await else {
+        let Err(failure) = client.send(address, &call, CALL_TIMEOUT).await else {
             continue;
         };
         warn!(
@@ -228,7 +233,7 @@
             LogValue(failure)
         );
         // The task ends only with this one.
-        let _ = task.send(FanoutMessage::PutBack(call.batch)).await;
+        let _ = task.send(FanoutMessage::ReturnReports(call.batch)).await;
         actix_rt::time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/control/tests/folder_opener.rs
+++ b/crates/control/tests/folder_opener.rs
@@ -15,11 +15,11 @@
 use cowslip_core::agreement::ReplicaEvent;
 use cowslip_core::agreement::WriteBatch;
 
-fn opener(path: &Path, renews: bool) -> FolderOpener {
+fn opener(path: &Path, replaces_unusable: bool) -> FolderOpener {
     FolderOpener {
         path: path.to_owned(),
         instance: "control-1".into(),
-        renews,
+        replaces_unusable,
     }
 }
 
@@ -50,7 +50,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let before = folder_with(folder.path(), barred());
     let opening = opener(folder.path(), true).open().expect("an empty one");
-    assert!(opening.renewed);
+    assert!(opening.replaced);
     assert_ne!(opening.folder.folder, before);
     assert_eq!(opening.folder.saved.hard, HardState::default());
     drop(opening);
@@ -58,7 +58,7 @@
         assert!(folder.path().join(name).exists(), "{name}");
     }
     let again = opener(folder.path(), true).open().expect("the same one");
-    assert!(!again.renewed);
+    assert!(!again.replaced);
     assert_eq!(again.folder.start.count, 2);
 }
 
--- a/crates/control/tests/killed_processes.rs
+++ b/crates/control/tests/killed_processes.rs
@@ -34,7 +34,7 @@
 const KILL_EVERY: u64 = 60;
 
 /// Longest wait for anything; only a broken fleet reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An address on a loopback IP number that only this test process uses, so
 /// that no outgoing connection can take the port before its owner binds it.
@@ -129,7 +129,7 @@
                 return answer;
             }
         }
-        assert!(began.elapsed() < PATIENCE, "no leader answered");
+        assert!(began.elapsed() < TIMEOUT, "no leader answered");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/control/tests/member_store.rs
+++ b/crates/control/tests/member_store.rs
@@ -216,7 +216,10 @@
         );
         fs::remove_file(folder.path().join(missing)).expect("it was there");
         let refused = open(folder.path()).expect_err(missing);
-        assert!(matches!(refused, StoreError::NotWhole { .. }), "{refused}");
+        assert!(
+            matches!(refused, StoreError::Inconsistent { .. }),
+            "{refused}"
+        );
     }
 }
 
@@ -229,7 +232,7 @@
     filled(other.path(), vec![entries(1..=2)]);
     fs::copy(other.path().join("log"), folder.path().join("log")).expect("a copy");
     let refused = open(folder.path()).expect_err("another's");
-    assert!(matches!(refused, StoreError::NotWhole { .. }));
+    assert!(matches!(refused, StoreError::Inconsistent { .. }));
 }
 
 // The process dies after the new snapshot got its name and before the new
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -9,10 +9,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
 
-use cowslip_control::agreed_metrics::AgreedMetrics;
-use cowslip_control::agreed_task;
-use cowslip_control::agreed_task::AgreedHandle;
-use cowslip_control::agreed_task::AgreedMessage;
+use cowslip_control::agreement_metrics::AgreementMetrics;
+use cowslip_control::agreement_task;
+use cowslip_control::agreement_task::AgreementHandle;
+use cowslip_control::agreement_task::AgreementMessage;
 use cowslip_control::control_settings::ControlSettings;
 use cowslip_control::control_settings::MemberAddress;
 use cowslip_control::folder_opener::FolderOpening;
@@ -70,7 +70,7 @@
                 saved: SavedState::default(),
                 seed: 2,
             },
-            renewed: false,
+            replaced: false,
             store: Box::new(FullDisk {
                 room: usize::MAX,
                 writes: Arc::default(),
@@ -78,7 +78,7 @@
         })
     }
 
-    fn renews(&self) -> bool {
+    fn replaces_unusable(&self) -> bool {
         false
     }
 }
@@ -167,7 +167,7 @@
     actix_rt::System::new().block_on(async {
         let handle = spawn_on_full_disk(usize::MAX);
         let mut leader = handle.leader.clone();
-        while !leader.borrow().leading() {
+        while !leader.borrow().is_leading() {
             leader.changed().await.expect("the task runs");
         }
         let first = ask(&handle.task, "first").await;
@@ -184,12 +184,12 @@
     actix_rt::System::new().block_on(async {
         let handle = spawn_on_full_disk(2);
         let mut leader = handle.leader.clone();
-        while !leader.borrow().leading() {
+        while !leader.borrow().is_leading() {
             leader.changed().await.expect("the task runs");
         }
         assert_eq!(ask(&handle.task, "first").await, LeaderAnswer::Unknown);
         let again = async {
-            while !leader.borrow().leading() {
+            while !leader.borrow().is_leading() {
                 leader.changed().await.expect("the task runs");
             }
         };
@@ -202,7 +202,7 @@
 
 /// The only voter, on a disk with room for the founding alone; the folder can
 /// be opened again after so many tries.
-fn spawn_on_full_disk(full_for: usize) -> AgreedHandle {
+fn spawn_on_full_disk(full_for: usize) -> AgreementHandle {
     let member = MemberAddress {
         instance: "control-1".into(),
         address: ([127, 0, 0, 1], 9).into(),
@@ -231,9 +231,9 @@
     let (fanout, mut published) = tokio::sync::mpsc::channel(16);
     actix_rt::spawn(async move { while published.recv().await.is_some() {} });
     let member = lone_member(&settings);
-    let metrics = AgreedMetrics::default();
+    let metrics = AgreementMetrics::default();
     let handle =
-        agreed_task::spawn_member(&settings, member, disk, folder, fanout, metrics);
+        agreement_task::spawn_member(&settings, member, disk, folder, fanout, metrics);
     handle.expect("it starts")
 }
 
@@ -251,7 +251,7 @@
 }
 
 async fn ask(
-    task: &tokio::sync::mpsc::Sender<AgreedMessage>,
+    task: &tokio::sync::mpsc::Sender<AgreementMessage>,
     id: &str,
 ) -> LeaderAnswer<cowslip_core::change::ChangeOutcome> {
     let entry = ChangeEntry {
@@ -265,7 +265,7 @@
     };
     let (reply, answer) = oneshot::channel();
     let sent = task
-        .send(AgreedMessage::Change(Box::new(entry), reply))
+        .send(AgreementMessage::Change(Box::new(entry), reply))
         .await;
     sent.expect("the task runs");
     answer.await.expect("it answers")
