--- a/crates/control/src/agreement_metrics.rs
+++ b/crates/control/src/agreement_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the agreement: what operators were told, and who leads.
+//! Metrics of the agreement: answers to changes, log position and leadership.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -28,7 +28,7 @@
     reason: &'static str,
 }
 
-/// Counters of one instance's part in the agreement.
+/// Metrics of this instance's agreement member.
 #[derive(Clone, Debug, Default)]
 pub struct AgreementMetrics {
     changes: Family<AnswerLabel, Counter>,
@@ -40,8 +40,8 @@
 }
 
 impl AgreementMetrics {
-    /// Counters registered under `cowslip_agreement`; every answer and
-    /// reason is there from the start, at zero.
+    /// Registers the metrics under `cowslip_agreement`. Every answer and
+    /// reason is exported from the start, at zero.
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_agreement");
         let metrics = Self {
@@ -79,7 +79,7 @@
         metrics
     }
 
-    /// An operator's change was answered.
+    /// Counts the answer to an operator's change.
     pub fn record_change(&self, answer: &ChangeAnswer<ChangeOutcome>) {
         let answer = match answer {
             ChangeAnswer::Decided(ChangeOutcome::Accepted { .. }) => ACCEPTED,
@@ -91,7 +91,7 @@
         self.changes.get_or_create(&AnswerLabel { answer }).inc();
     }
 
-    /// A change of members was answered.
+    /// Counts the answer to a member change if it was refused.
     pub fn record_member_answer(&self, answer: &ChangeAnswer<MemberAnswer>) {
         let ChangeAnswer::Decided(MemberAnswer::Refused(refusal)) = answer else {
             return;
@@ -102,14 +102,14 @@
             .inc();
     }
 
-    /// Where the log stands and who leads.
+    /// Sets the term, the commit index and whether this instance leads.
     pub fn set_position(&self, term: u64, commit: u64, leading: bool) {
         self.term.set(term as i64);
         self.commit.set(commit as i64);
         self.leading.set(i64::from(leading));
     }
 
-    /// The data folder was found rolled back.
+    /// Records that the data folder was found rolled back.
     pub fn set_barred(&self) {
         self.barred.set(1);
     }
--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -1,8 +1,9 @@
-//! The task that runs this instance's part of the agreement.
+//! The task that runs this instance's agreement member.
 //!
-//! It owns the state machine, gives it what arrives and carries out what it
-//! decides: the store thread writes, the peer senders send, the fan-out
-//! task gets each version in force, operators get their answers.
+//! It owns the replicated state machine, passes it incoming events and
+//! executes the actions that it returns: the store thread writes batches,
+//! the peer senders send messages, the fan-out task gets each committed
+//! version, and operators get their answers.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -55,62 +56,65 @@
 use crate::store_thread;
 use crate::store_thread::StoreHandle;
 
-/// Changes waiting for the task; more are pushed back to their sockets.
+/// Capacity of the task's queue. While it is full, senders wait, which applies
+/// backpressure to their connections.
 const QUEUE_CAPACITY: usize = 1_024;
 
-/// How often time is passed on; a sixth of a heartbeat.
+/// Interval of tick events; a sixth of the heartbeat interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Messages taken in one go, so that they share a sync.
+/// Most messages handled at once, so that they share one disk sync.
 const BATCH_MAX: usize = 256;
 
-/// What others ask of the task.
+/// A message to the agreement task.
 #[derive(Debug)]
 pub enum AgreementMessage {
-    /// An operator's change.
+    /// Proposes an operator's change.
     Change(
         Box<ChangeEntry>,
         oneshot::Sender<LeaderAnswer<ChangeOutcome>>,
     ),
-    /// Accepted changes, the newest last.
+    /// Returns the accepted changes, oldest first.
     History(oneshot::Sender<LeaderAnswer<Vec<AcceptedChange>>>),
-    /// Moves of backend server versions, those that are over first.
+    /// Returns the moves of backend server versions, ended ones first.
     Rollouts(oneshot::Sender<LeaderAnswer<Vec<RolloutRecord>>>),
-    /// An operator's change of members.
+    /// Proposes an operator's change of the member list.
     ChangeMembers(MemberChange, oneshot::Sender<LeaderAnswer<MemberAnswer>>),
-    /// The configuration in force and the answer to an earlier order.
+    /// Returns the configuration in force, and the answer to the change with
+    /// this request ID if it was decided.
     Current(Arc<str>, oneshot::Sender<LeaderAnswer<CurrentRevision>>),
-    /// The members.
+    /// Returns the members and their state.
     Members(oneshot::Sender<LeaderAnswer<Vec<MemberLine>>>),
-    /// Instances to greet, besides the members.
+    /// Sets the instances to contact in addition to the members.
     SetSeeds(Vec<(Arc<str>, SocketAddr)>),
-    /// Messages from other instances.
+    /// Delivers messages of other instances.
     PeerMessages(Vec<MemberMessage>),
-    /// This instance is about to stop; answered once another one leads.
+    /// Starts a leadership handover because this instance is about to stop.
+    /// Answered once another instance leads, or at once without other voters.
     HandOver(oneshot::Sender<()>),
 }
 
-/// What is in force, as operators number it.
+/// The configuration in force and its revision number.
 #[derive(Clone, Debug)]
 pub struct CurrentRevision {
-    /// The operators' number; 0 before the first.
+    /// Revision number, assigned by operators; 0 before the first revision.
     pub number: u64,
     /// The configuration.
     pub snapshot: ConfigSnapshot,
-    /// What the order that was asked about came to, if it was decided.
+    /// Outcome of the change that was asked about, if it was decided.
     pub answer: Option<ChangeOutcome>,
 }
 
-/// The running task.
+/// Handle to the running task.
 #[derive(Clone)]
 pub struct AgreementHandle {
-    /// Where its messages go.
+    /// Channel to the task.
     pub task: mpsc::Sender<AgreementMessage>,
-    /// Who leads.
+    /// Leader as this instance knows it.
     pub leader: LeaderWatch,
 }
 
-/// An instance whose part of the agreement cannot start.
+/// The reason why the agreement member cannot start.
 #[derive(Debug, Error)]
 pub enum AgreementError {
     /// The data folder cannot be used.
@@ -126,7 +130,7 @@
     member: StateReplica,
     started: BootInstant,
     store: Option<StoreHandle>,
-    /// Opens the folder again after a failure.
+    /// Reopens the data folder after a failure.
     source: Arc<dyn FolderSource>,
     peers: PeerSenders,
     view: watch::Sender<LeaderView>,
@@ -138,8 +142,8 @@
     pending_hand_overs: Vec<oneshot::Sender<()>>,
 }
 
-/// Opens the data folder and starts the task; versions in force go to
-/// `fanout`.
+/// Opens the data folder and starts the task, which sends each committed
+/// version to `fanout`.
 pub fn spawn(
     settings: &ControlSettings,
     fanout: mpsc::Sender<FanoutMessage>,
@@ -183,8 +187,8 @@
     spawn_member(settings, member, store, Arc::new(source), fanout, metrics)
 }
 
-/// Starts the task on a member and the store that it writes to; where the store
-/// fails, `source` is asked for the folder again.
+/// Starts the task with a member and the store that it writes to. If the store
+/// fails, the folder is reopened through `source`.
 pub fn spawn_member(
     settings: &ControlSettings,
     member: StateReplica,
@@ -237,7 +241,7 @@
                 }
                 Some(report) = store_reports.recv() => events.push(report),
                 Some(opening) = openings.recv() => {
-                    if let Some(reports) = self.use_reopened_folder(opening, &mut events) {
+                    if let Some(reports) = self.resume(opening, &mut events) {
                         store_reports = reports;
                     }
                 }
@@ -267,8 +271,8 @@
         }
     }
 
-    /// Lets go of a folder that failed, and has it opened again; nothing where
-    /// that is under way.
+    /// Closes the store of a failed folder and starts to reopen the folder.
+    /// Does nothing if reopening is already in progress.
     fn close_folder(
         &mut self,
         store_reports: &mut mpsc::UnboundedReceiver<ReplicaEvent>,
@@ -290,8 +294,9 @@
         }
     }
 
-    /// Goes on with a folder that is open again; gives the new store's reports.
-    fn use_reopened_folder(
+    /// Resumes with a reopened folder; returns the reports of its new store, or
+    /// `None` if the store thread cannot start.
+    fn resume(
         &mut self,
         opening: FolderOpening,
         events: &mut Vec<ReplicaEvent>,
@@ -323,9 +328,9 @@
         Some(store_reports)
     }
 
-    /// Turns a message into events, or answers it at once. A reply that
-    /// nobody waits for any more is dropped: its caller has given up and
-    /// will ask again.
+    /// Turns a message into events, or answers it at once. A reply whose
+    /// receiver is gone is dropped, because its caller has given up and will
+    /// ask again.
     fn handle_message(
         &mut self,
         message: AgreementMessage,
@@ -392,14 +397,15 @@
     async fn execute(&mut self, action: ReplicaAction) {
         match action {
             ReplicaAction::Write(batch) => {
-                // Without a folder the member has nothing to write.
+                // Without an open folder the member has nothing to write.
                 if let Some(store) = &self.store {
                     store.write(batch);
                 }
             }
             ReplicaAction::Send(address, message) => self.peers.send(address, message),
             ReplicaAction::Publish(snapshot) => {
-                // The fan-out task ends only with this one.
+                // Fails only at shutdown: the fan-out task runs as long as this
+                // one.
                 let _ = self.fanout.send(FanoutMessage::Publish(snapshot)).await;
             }
             ReplicaAction::AnswerChange(ticket, answer) => {
--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a control instance together and stops it.
+//! Starts and stops a control instance.
 
 use std::cell::Cell;
 use std::io;
@@ -37,21 +37,21 @@
 use crate::source_metrics::SourceMetrics;
 use crate::uplink_task;
 
-/// Connections served at once. One instance of 18 carries 290 of 5,200
-/// nodes, or 1,040 while most others are away, two connections each.
+/// Connections served at once. One of 18 instances serves 290 of 5,200 nodes,
+/// or 1,040 while most of the others are down, with two connections each.
 const CONNECTIONS_MAX: usize = 4_096;
 
-/// Longest that a stop waits for requests in flight; a waiting follower
-/// asks for at most two seconds.
+/// Longest time that a stop waits for requests in flight. A follower asks to
+/// wait for at most two seconds.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest that a stop waits for another instance to lead.
+/// Longest time that a stop waits for another instance to become leader.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A control instance that cannot start.
+/// The reason why a control instance cannot start.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// The part in the agreement cannot start.
+    /// The agreement member cannot start.
     #[error(transparent)]
     Agreement(#[from] AgreementError),
     /// A listener cannot be opened.
@@ -66,7 +66,7 @@
 }
 
 impl ControlSockets {
-    /// Binds both listeners.
+    /// Binds the main and the admin listener.
     pub fn bind(listen: SocketAddr, admin_listen: SocketAddr) -> io::Result<Self> {
         Ok(Self {
             main: TcpListener::bind(listen)?,
@@ -96,12 +96,12 @@
         Self::spawn_with_handler(settings, sockets, |_, handler| handler)
     }
 
-    /// The same, with a further interface for operators in front of the
-    /// listener's own handler.
+    /// Like [`Self::spawn`], but serves the handler that `wrap` returns
+    /// for the operator API and the standard handler.
     pub fn spawn_with_handler(
         settings: &ControlSettings,
         sockets: ControlSockets,
-        wrap_handler: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
+        wrap: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
     ) -> Result<Self, ControlError> {
         let mut registry = Registry::default();
         let fanout = fanout_task::spawn(
@@ -115,7 +115,7 @@
         let task = agreement.task.clone();
         let client = PeerClient::new(settings.system_key.clone());
         let leader = agreement.leader.clone();
-        // The queue holds far more than the messages sent until here.
+        // Cannot fail: the queue is empty and holds far more messages.
         let _ = fanout.try_send(FanoutMessage::WatchLeader(leader.clone()));
         if let Some(live_for) = settings.node_live {
             let presence = NodePresence { live_for };
@@ -152,7 +152,7 @@
             fanout,
             rollouts,
         );
-        let handler = wrap_handler(api, Rc::new(handler));
+        let handler = wrap(api, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let admin =
@@ -171,28 +171,29 @@
         })
     }
 
-    /// Takes what of `settings` can change while the instance runs: whom it
-    /// greets where it hears from no leader.
+    /// Applies the settings that can change while the instance runs: the
+    /// instances to contact when it hears from no leader.
     pub async fn reload(&self, settings: &ControlSettings) {
         let message = AgreementMessage::SetSeeds(settings.founders());
-        // The task ends only with the process.
+        // Fails only at shutdown: the task runs as long as the process.
         let _ = self.agreement.send(message).await;
     }
 
-    /// Address for operators and other processes.
+    /// Address where operators and other processes reach this instance.
     pub fn address(&self) -> SocketAddr {
         self.main.address()
     }
 
-    /// Hands leadership over, where this instance leads, and stops serving
-    /// once what is in flight has ended.
+    /// Hands over leadership if this instance leads, then stops serving.
+    /// Returns true if all requests in flight ended before the timeout.
     pub async fn stop(self) -> bool {
         self.hand_over().await;
         let main_drained = self.main.stop(STOP_TIMEOUT).await;
         self.admin.stop(STOP_TIMEOUT).await && main_drained
     }
 
-    /// Without a successor in time the others elect one by themselves.
+    /// Waits until another instance leads. After the timeout the others elect a
+    /// leader by themselves.
     async fn hand_over(&self) {
         let (reply, done) = oneshot::channel();
         if self
--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -1,4 +1,5 @@
-//! The HTTP face of a control instance: from posts to task messages.
+//! The HTTP handler of a control instance: decodes POST requests, passes them
+//! to the tasks as messages and encodes their answers.
 
 use std::rc::Rc;
 
@@ -42,7 +43,7 @@
 use crate::rollout_task::RolloutHandle;
 use crate::rollout_task::RolloutMessage;
 
-/// Serves operators, nodes and other control instances.
+/// Serves requests of operators, nodes and other control instances.
 pub struct ControlHandler {
     dispatcher: Rc<RequestDispatcher>,
 }
@@ -56,7 +57,7 @@
 }
 
 impl ControlHandler {
-    /// A handler that passes messages to the two tasks.
+    /// Creates a handler that passes requests to the given tasks.
     pub fn new(
         operator_key: AccessKey,
         system_key: AccessKey,
@@ -193,7 +194,7 @@
             .await
     }
 
-    /// Checks the key, then reads and decodes the message.
+    /// Checks the access key, then reads and decodes the message.
     async fn read<C: WireCall>(&self, request: &mut Request) -> Result<C, HttpReply> {
         let key = match C::ACCESS {
             CallAccess::Operator => &self.operator_key,
@@ -222,7 +223,8 @@
         answer.await.map_err(|_| stopping_reply())
     }
 
-    /// Asks the fan-out task, where this instance leads.
+    /// Asks the fan-out task if this instance leads; otherwise returns the
+    /// leader's address.
     async fn ask_fanout_as_leader<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> FanoutMessage,
--- a/crates/control/src/control_settings.rs
+++ b/crates/control/src/control_settings.rs
@@ -10,60 +10,60 @@
 use cowslip_wire::settings_reader::SettingsReader;
 use cowslip_wire::settings_reader::SettingsTime;
 
-/// What would be right for an address.
+/// Description of a valid address, for error messages.
 const ADDRESS: &str = "an address and port such as 127.0.0.1:7101";
 
-/// What would be right for a key.
+/// Description of a valid access key, for error messages.
 const KEY: &str = "a secret of at least 8 characters";
 
-/// What a control instance is told at its start.
+/// Settings of a control instance.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Name of this instance; one of `members`.
+    /// Name of this instance; one of `members` unless `joining` is set.
     pub instance: Arc<str>,
     /// Its failure domain.
     pub failure_domain: Arc<str>,
-    /// Where operators and other processes reach it.
+    /// Address where operators and other processes reach this instance.
     pub listen: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address where metrics and health are served.
     pub admin_listen: SocketAddr,
-    /// Folder for the change log; it must exist or be creatable.
+    /// Folder for the change log; created if it does not exist.
     pub data_folder: PathBuf,
-    /// All control instances, the same list on each, or the few of `seeds`.
-    /// Those that vote found the log; who votes afterwards stands in the log
-    /// itself.
+    /// All control instances, the same list on each, or only those of `seeds`.
+    /// The voters among them create the log; later changes of the voters are
+    /// entries of the log itself.
     pub members: Vec<MemberAddress>,
-    /// Set where the fleet sees to its voters by itself.
+    /// Set if the fleet manages its voters by itself.
     pub joining: Option<JoinSettings>,
-    /// How long a node counts as live after it was last heard of, where
-    /// nodes ask more often than every four seconds; six times their wait.
+    /// How long a node counts as live after it was last heard from. Set if
+    /// nodes ask more often than every four seconds, to six times their wait.
     pub node_live: Option<Duration>,
-    /// Key of the operators' interface.
+    /// Access key of operators.
     pub operator_key: AccessKey,
-    /// Key between the system's own processes.
+    /// Access key of the system's own processes.
     pub system_key: AccessKey,
 }
 
-/// How instances that know only a few seeds become a fleet.
+/// How instances that know only a few seeds form a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JoinSettings {
-    /// True where the whole fleet starts for the first time.
+    /// True if the whole fleet starts for the first time.
     pub first_start: bool,
-    /// Voters wanted: enough that `losses` of them may be away.
+    /// Target number of voters: a majority remains when `losses` of them fail.
     pub voters: usize,
 }
 
-/// Most losses that can be asked for; seven voters bear them.
+/// Largest `losses` setting; tolerating 3 losses takes seven voters.
 const LOSSES_MAX: usize = 3;
 
-/// A control instance and where it listens.
+/// Name and address of a control instance.
 #[derive(Clone, Debug)]
 pub struct MemberAddress {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// Its `listen` address.
     pub address: SocketAddr,
-    /// Whether it votes; the others only pass news on.
+    /// Whether it votes; the others only relay updates.
     pub vote: bool,
 }
 
@@ -105,9 +105,9 @@
     }
 }
 
-/// Reads `seeds` and what goes with them. Seeds are named by their addresses,
-/// since nothing else is known of them; an instance that is one of them must
-/// be named so too.
+/// Reads `seeds`, `first_start` and `losses`. Seeds are named by their
+/// addresses, since nothing else is known about them; an instance that is a
+/// seed must use its address as its name too.
 fn joining(
     reader: &mut SettingsReader<'_>,
     members: &mut Vec<MemberAddress>,
@@ -119,13 +119,17 @@
         return None;
     }
     if !members.is_empty() {
-        reader.fault("seeds", "stand beside members; keep one of the two");
+        reader.fault(
+            "seeds",
+            "cannot be combined with members; keep only one of them",
+        );
     }
     let losses = losses.unwrap_or(1);
     if losses > LOSSES_MAX {
         reader.fault("losses", "are too many; write 0 to 3");
     }
-    // All instances must agree on who founds, in whatever order they are told.
+    // All instances must agree on the founders, whatever the order in their
+    // settings.
     seeds.sort_unstable();
     for address in seeds {
         members.push(MemberAddress {
@@ -154,14 +158,15 @@
 }
 
 impl ControlSettings {
-    /// Where the other instances reach this one.
+    /// Address where the other instances reach this one.
     pub fn address(&self) -> SocketAddr {
         let mut members = self.members.iter();
         let own = members.find(|member| member.instance == self.instance);
         own.map_or(self.listen, |member| member.address)
     }
 
-    /// The instances that found the log.
+    /// Name and address of each instance that creates the log, the voters among
+    /// `members`.
     pub fn founders(&self) -> Vec<(Arc<str>, SocketAddr)> {
         let mut founders = Vec::new();
         for member in &self.members {
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -1,8 +1,10 @@
-//! The task that feeds followers: nodes, and control instances below this.
+//! The task that sends updates to followers: nodes, and control instances that
+//! follow this one.
 //!
-//! It owns the [`UpdateSource`], which decides; the task encodes each answer
-//! once and hands the same bytes to all followers that get it. What is
-//! agreed comes from the agreed task as [`FanoutMessage::Publish`].
+//! It owns the [`UpdateSource`], which decides what each follower gets. The
+//! task encodes each answer once and sends the same bytes to all followers
+//! that get it. Committed versions come from the agreement task as
+//! [`FanoutMessage::Publish`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,78 +41,80 @@
 use crate::leader_view::LeaderWatch;
 use crate::source_metrics::SourceMetrics;
 
-/// Followers' questions waiting for the task; more are pushed back to
-/// their sockets.
+/// Capacity of the task's queue. While it is full, senders wait, which applies
+/// backpressure to their connections.
 const QUEUE_CAPACITY: usize = 1_024;
 
-/// How often time is let pass where no message comes.
+/// Interval at which the task runs when no message arrives.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What others ask of the task.
+/// A message to the fan-out task.
 #[derive(Debug)]
 pub enum FanoutMessage {
-    /// The configuration in force, from the agreed task.
+    /// Publishes the configuration in force, from the agreement task.
     Publish(ConfigSnapshot),
-    /// The configuration in force is asked for.
+    /// Returns the configuration in force.
     Snapshot(oneshot::Sender<ConfigSnapshot>),
-    /// What the next question to the leader needs is asked for.
+    /// Returns the state needed for the next request to the leader.
     UplinkState(oneshot::Sender<UplinkState>),
-    /// How these changes stand among the nodes.
+    /// Returns how far each of these changes has reached the nodes.
     Moves(Vec<AcceptedChange>, oneshot::Sender<Vec<MoveLine>>),
-    /// How far one version has come among the nodes.
+    /// Returns how far one version has reached the nodes.
     Progress(ConfigVersion, oneshot::Sender<VersionProgress>),
-    /// The fleet.
+    /// Returns the live nodes and the versions that they applied.
     Status(oneshot::Sender<FleetStatus>),
-    /// The directory of backend servers.
+    /// Returns the directory of backend servers.
     Endpoints(oneshot::Sender<Vec<EndpointRecord>>),
-    /// A follower waits for news; the answer comes encoded.
+    /// Waits for updates on behalf of a follower; the answer is encoded.
     Follow(FollowCall, oneshot::Sender<Bytes>),
-    /// A follower fetches a chunk of a snapshot.
+    /// Returns a chunk of a snapshot.
     Chunk(ChunkCall, oneshot::Sender<ChunkAnswer>),
-    /// Reports of nodes and endpoints.
+    /// Records reports of nodes and endpoints.
     Report(ReportBatch),
-    /// What the leader is to be told is asked for.
+    /// Takes the reports that are to be sent to the leader.
     TakeReports(oneshot::Sender<ReportBatch>),
-    /// Reports that did not reach the leader.
+    /// Returns reports that could not be sent to the leader.
     ReturnReports(ReportBatch),
-    /// News that this instance, a follower itself, received.
-    Install(Box<InstalledNews>),
-    /// Who leads; sent once, before anything else.
+    /// Installs an update that this instance received as a follower.
+    Install(Box<InstalledUpdate>),
+    /// Sets the source of the current leader; sent once, before any other
+    /// message.
     WatchLeader(LeaderWatch),
-    /// How long nodes count as live; sent once, where settings say so.
+    /// Sets how long nodes count as live; sent once, if the settings have it.
     SetPresence(NodePresence),
 }
 
-/// How far a version has come among the nodes.
+/// How far a version has reached the nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionProgress {
-    /// Nodes that have applied it.
+    /// State of the version and counts of nodes.
     pub progress: MoveProgress,
-    /// Time from acceptance until done, in milliseconds, once done.
+    /// Time from acceptance until all live nodes applied it, in milliseconds;
+    /// `None` until then.
     pub done_after_ms: Option<u64>,
 }
 
-/// What the next question to the leader needs.
+/// State needed for the next request to the leader.
 #[derive(Debug)]
 pub struct UplinkState {
-    /// The configuration in force here.
+    /// The configuration in force at this instance.
     pub snapshot: ConfigSnapshot,
-    /// True where starting followers wait for a confirmation.
+    /// True if starting followers wait for a confirmation.
     pub wants_confirmation: bool,
 }
 
-/// News that came from the leader.
+/// An update that came from the leader.
 #[derive(Debug)]
-pub struct InstalledNews {
-    /// When the question was sent.
+pub struct InstalledUpdate {
+    /// When the request was sent.
     pub sent_at: BootInstant,
-    /// What the answer proves.
+    /// Proof of the source's version and freshness.
     pub source: SourceProof,
-    /// The configuration, checked whole, where it is newer.
+    /// The validated configuration, if it is newer.
     pub snapshot: Option<ConfigSnapshot>,
     /// Directory records that changed.
     pub endpoints: Vec<EndpointRecord>,
-    /// The leader's run.
+    /// Run number of the leader's update source; each start has a new one.
     pub run: u64,
 }
 
@@ -149,7 +153,8 @@
     sender
 }
 
-/// Asks the task; `None` once it has ended, with the process.
+/// Sends a message with a reply channel and awaits the answer; `None` once the
+/// task has ended, which happens only at shutdown.
 pub async fn ask<T>(
     fanout: &mpsc::Sender<FanoutMessage>,
     message: impl FnOnce(oneshot::Sender<T>) -> FanoutMessage,
@@ -171,7 +176,8 @@
                     None => return,
                 },
                 _ = tick.tick() => {
-                    self.source.note_delay(ticked.elapsed().saturating_sub(TICK_INTERVAL));
+                    self.source
+                        .note_delay(ticked.elapsed().saturating_sub(TICK_INTERVAL));
                     ticked = BootInstant::now();
                     None
                 }
@@ -188,8 +194,8 @@
     }
 
     fn handle_message(&mut self, now: Duration, message: FanoutMessage) {
-        // A reply that nobody waits for any more is dropped: its caller
-        // has given up and will ask again.
+        // A reply whose receiver is gone is dropped: its caller has given up
+        // and will ask again.
         match message {
             FanoutMessage::Publish(snapshot) => self.source.publish(now, snapshot),
             FanoutMessage::Snapshot(reply) => {
@@ -229,22 +235,22 @@
                 }
             }
             FanoutMessage::ReturnReports(batch) => self.source.put_back(batch),
-            FanoutMessage::Install(news) => self.install(now, *news),
+            FanoutMessage::Install(update) => self.install(now, *update),
             FanoutMessage::SetPresence(presence) => self.source.set_presence(presence),
             FanoutMessage::WatchLeader(leader) => self.leader = Some(leader),
         }
     }
 
-    fn install(&mut self, now: Duration, news: InstalledNews) {
-        let sent_at = news.sent_at.saturating_duration_since(self.started);
-        let news = LeaderUpdate {
+    fn install(&mut self, now: Duration, update: InstalledUpdate) {
+        let sent_at = update.sent_at.saturating_duration_since(self.started);
+        let update = LeaderUpdate {
             sent_at,
-            source: news.source,
-            snapshot: news.snapshot,
-            endpoints: news.endpoints,
-            run: news.run,
+            source: update.source,
+            snapshot: update.snapshot,
+            endpoints: update.endpoints,
+            run: update.run,
         };
-        self.source.install(now, news);
+        self.source.install(now, update);
     }
 
     fn moves(&self, changes: Vec<AcceptedChange>) -> Vec<MoveLine> {
@@ -289,8 +295,8 @@
 
     fn send_answers(&mut self, now: Duration) {
         for answer in self.source.tick(now) {
-            // Writing to memory cannot fail; an empty answer would not
-            // decode, and its receiver would ask elsewhere.
+            // Encoding to memory cannot fail. If it did, the empty answer would
+            // not decode, and the follower would ask another instance.
             let encoded = codec::encode(&answer.reply).unwrap_or_default();
             let encoded = Bytes::from(encoded);
             for follower in answer.followers {
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -1,8 +1,8 @@
-//! Opens the data folder of an instance, also again while it runs.
+//! Opens the data folder of an instance, and reopens it while the instance runs.
 //!
-//! Guards against an instance that runs on without a part in the agreement
-//! after its disk was full or stalled for a while: with the next such loss no
-//! majority is left, though every process runs.
+//! Without reopening, an instance whose disk was full or stalled for a while
+//! would keep running without taking part in the agreement. After the next such
+//! failure no majority would be left, although every process runs.
 
 use std::io;
 use std::path::PathBuf;
@@ -23,37 +23,38 @@
 use crate::member_store::MemberStore;
 use crate::member_store::StoreError;
 
-/// Pause before each try to open the folder again.
+/// Pause before each attempt to reopen the folder.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// A folder that has just been opened.
+/// Contents and store of a folder that has just been opened.
 pub struct FolderOpening {
-    /// What it holds.
+    /// Contents of the folder.
     pub folder: ReopenedFolder,
-    /// True where it is empty, in the place of one that was set aside.
+    /// True if the folder is a new, empty one because the old one was set aside.
     pub replaced: bool,
-    /// Where to write.
+    /// Store that writes to the folder.
     pub store: Box<dyn MemberStore>,
 }
 
 /// Opens an instance's data folder.
 pub trait FolderSource: Send + Sync {
-    /// Opens the folder; the store of an earlier opening is gone by then.
+    /// Opens the folder. The store of an earlier opening must have been dropped.
     fn open(&self) -> Result<FolderOpening, StoreError>;
 
-    /// True where a folder that is spoilt is replaced by an empty one.
+    /// True if an unusable folder is replaced by an empty one.
     fn replaces_unusable(&self) -> bool;
 }
 
-/// The folder at a path.
+/// Opens the data folder at a path.
 #[derive(Clone, Debug)]
 pub struct FolderOpener {
-    /// The folder.
+    /// Path of the folder.
     pub path: PathBuf,
-    /// Whose it is.
+    /// Instance that the folder belongs to.
     pub instance: Arc<str>,
-    /// True where a folder that is damaged or was rolled back is set aside, and
-    /// an empty one takes its place; the fleet then takes the instance in anew.
+    /// True if a folder that is damaged or was rolled back is set aside and
+    /// replaced by an empty one. The fleet then adds the instance as a new
+    /// member.
     pub replaces_unusable: bool,
 }
 
@@ -96,11 +97,13 @@
     }
 }
 
-/// Starts a thread that tries until the folder is open, and hands it over then.
+/// Starts a thread that retries until the folder is open, then sends the folder
+/// to `opened`.
 ///
-/// It waits first for the end of the thread whose reports are `before`, since
-/// that one may still hang in a write. Two stores on one folder would overwrite
-/// each other's records, and a lock does not keep them apart on every disk.
+/// The thread first waits until the store thread that sends
+/// `previous_reports` has ended, since that one may still hang in a write. Two
+/// stores on one folder would overwrite each other's records, and file locks do
+/// not exclude each other on every file system.
 pub fn spawn(
     source: Arc<dyn FolderSource>,
     mut previous_reports: UnboundedReceiver<ReplicaEvent>,
@@ -119,7 +122,7 @@
         thread::sleep(REOPEN_PAUSE);
         match source.open() {
             Ok(opening) => {
-                // A task that has ended needs no folder.
+                // Fails only if the task has ended and needs no folder.
                 let _ = opened.send(opening);
                 return;
             }
--- a/crates/control/src/leader_view.rs
+++ b/crates/control/src/leader_view.rs
@@ -1,4 +1,4 @@
-//! Who leads, as this instance knows it; published by the agreed task.
+//! The leader as this instance knows it, published by the agreement task.
 
 use std::net::SocketAddr;
 
@@ -6,27 +6,26 @@
 
 use cowslip_wire::boot_instant::BootInstant;
 
-/// What this instance knows of the leader.
+/// What this instance knows about the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaderView {
-    /// Where the leader listens, if one is known.
+    /// Address of the leader, if one is known.
     pub address: Option<SocketAddr>,
-    /// End of the lease, where this instance leads.
+    /// Expiry of this instance's leader lease, if it leads.
     pub lease_until: Option<BootInstant>,
 }
 
 impl LeaderView {
-    /// True where this instance leads and may answer as fresh now.
+    /// True if this instance leads and its answers are current.
     ///
-    /// Guards against a process that was stopped for a while, or whose
-    /// agreed task is late: the view it published says that it leads, but
-    /// another leader may have been elected. The end of the lease is
-    /// looked at with every use.
+    /// The expiry of the lease is checked on every call. If the process was
+    /// suspended or its agreement task is late, the view still says that this
+    /// instance leads, although another leader may have been elected.
     pub fn is_leading(&self) -> bool {
         self.lease_until
             .is_some_and(|until| BootInstant::now() < until)
     }
 }
 
-/// Watches the view.
+/// Receiver of the current [`LeaderView`].
 pub type LeaderWatch = watch::Receiver<LeaderView>;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The shell of `cowslip-control`: sockets, files and timers round the core.
+//! The I/O layer of `cowslip-control`: sockets, files and timers around the
+//! state machines of `cowslip-core`.
 
 pub mod agreement_metrics;
 pub mod agreement_task;
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -1,9 +1,9 @@
 //! A member's data folder: identity, log and snapshot.
 //!
-//! `identity` names the instance and numbers the folder's starts. `log`
-//! holds a head and one record for each sync. `snapshot` holds the last
-//! snapshot. A file that changes whole is written under another name,
-//! synced and renamed, and the folder is synced after it.
+//! `identity` names the instance and counts the starts. `log` holds a header
+//! and one record for each sync. `snapshot` holds the last snapshot. A file
+//! that is replaced as a whole is written under a temporary name, synced and
+//! renamed; then the folder is synced.
 
 use std::fs;
 use std::fs::File;
@@ -32,50 +32,50 @@
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
 
-/// A data folder that cannot be used, or not any more.
+/// The reason why a data folder cannot be used, or can no longer be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The disk failed; what it holds of the last write is not known.
+    /// The disk failed; it is unknown how much of the last write it holds.
     #[error("data folder: {0}")]
     Disk(#[from] io::Error),
-    /// A record could not be coded.
+    /// A record could not be encoded or decoded.
     #[error("data folder: {0}")]
     Codec(#[from] CodecError),
-    /// Another process has it open.
-    #[error("data folder {0:?}: another process uses it")]
+    /// Another process has the folder open.
+    #[error("data folder {0:?} is in use by another process")]
     InUse(PathBuf),
-    /// It is another instance's.
-    #[error("data folder: it belongs to instance {found:?}, not to {expected:?}; give each instance its own folder")]
+    /// The folder belongs to another instance.
+    #[error("data folder belongs to instance {found:?}, not to {expected:?}; give each instance its own folder")]
     OtherInstance {
-        /// Whose it is.
+        /// Instance that the folder belongs to.
         found: String,
-        /// Who opened it.
+        /// Instance that opened the folder.
         expected: String,
     },
     /// A record that was synced does not match its checksum.
     #[error("data folder: {file} is damaged at byte {at}; remove the folder and add this instance as a new member")]
     Damaged {
-        /// Which file.
+        /// Name of the file.
         file: &'static str,
-        /// Where the record starts.
+        /// Byte offset of the record.
         at: usize,
     },
-    /// Files are missing, or of different times or folders.
+    /// Files are missing, or come from different times or folders.
     #[error(
         "data folder: {problem}; remove the folder and add this instance as a new member"
     )]
     Inconsistent {
-        /// What does not fit.
+        /// Description of the inconsistency.
         problem: &'static str,
     },
-    /// The folder lost entries that it had acknowledged; the other members
-    /// found it out.
-    #[error("data folder: it was rolled back below what this instance had acknowledged; remove the folder and add this instance as a new member")]
+    /// The folder lost entries that it had acknowledged, as the other members
+    /// detected.
+    #[error("data folder was rolled back and lost entries that this instance had acknowledged; remove the folder and add this instance as a new member")]
     RolledBack,
 }
 
 impl StoreError {
-    /// True where the folder's content cannot be used, now or later.
+    /// True if the folder's contents are permanently unusable.
     pub fn is_unusable(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::Inconsistent { .. } | Self::RolledBack => true,
@@ -87,25 +87,26 @@
     }
 }
 
-/// Writes what a member asks to be written.
+/// Storage that a member writes to.
 pub trait MemberStore: Send {
-    /// Writes the batches in their order and returns once all are synced.
+    /// Writes the batches in order and returns once all are synced.
+    ///
     /// After an error the store must not be used again: the kernel may have
-    /// dropped what it could not write, so that a second sync would seem to
-    /// work.
+    /// dropped pages that it could not write, so a second sync could succeed
+    /// although data is lost.
     fn write(&mut self, batches: Vec<WriteBatch>) -> Result<(), StoreError>;
 }
 
-/// What was found in a folder.
+/// Contents and store of an opened data folder.
 #[derive(Debug)]
 pub struct OpenedFolder {
-    /// Random number of the folder.
+    /// Random ID of the folder.
     pub folder: u64,
-    /// This start.
+    /// Count and nonce of this start.
     pub start: ProcessStart,
-    /// Log and snapshot.
+    /// Saved log and snapshot.
     pub saved: SavedState,
-    /// Where to write.
+    /// Store that writes to the folder.
     pub store: FolderStore,
 }
 
@@ -115,12 +116,12 @@
     path: PathBuf,
     folder: u64,
     log: LogFile,
-    /// Held until the store is dropped.
+    /// Keeps the folder locked until the store is dropped.
     _lock: File,
 }
 
 impl FolderStore {
-    /// Opens the folder of `instance`, creating it where it is empty.
+    /// Opens the folder of `instance` and creates its files if it is empty.
     pub fn open(path: &Path, instance: &str) -> Result<OpenedFolder, StoreError> {
         fs::create_dir_all(path)?;
         let lock = lock_folder(path)?;
@@ -155,11 +156,11 @@
         })
     }
 
-    /// Renames the files of a folder that cannot be used, so that an empty one
-    /// takes its place and operators can still look at them.
+    /// Renames the files of an unusable folder, so that new files can be created
+    /// while operators can still inspect the old ones.
     ///
-    /// The identity goes first: without it whatever is left after a crash is
-    /// taken for somebody's and set aside as well.
+    /// The identity is renamed first: after a crash in between, the remaining
+    /// files without an identity are inconsistent and are set aside as well.
     pub fn set_aside(path: &Path) -> Result<(), StoreError> {
         for name in [IDENTITY_FILE, LOG_FILE, SNAPSHOT_FILE] {
             let file = path.join(name);
@@ -177,8 +178,9 @@
         let Some(write) = batch.snapshot.take() else {
             return Ok(());
         };
-        // The snapshot first: with the old log beside it everything is
-        // still there. The other way round a crash would leave a gap.
+        // The snapshot is written first: after a crash in between, the new
+        // snapshot and the old log still hold everything. In the reverse order
+        // a crash would leave a gap.
         atomic_file::write(&self.path, SNAPSHOT_FILE, &write.snapshot)?;
         let base = write.snapshot.version.index;
         self.log =
@@ -212,14 +214,14 @@
     }
 }
 
-/// Makes the files of a new folder, the identity last.
+/// Creates the files of a new folder, the identity last.
 ///
-/// Guards against a folder whose identity was lost: its log and snapshot
-/// are somebody's, so they are neither used nor overwritten.
+/// A log with entries or a snapshot without an identity is an error: the files
+/// may belong to any instance, so they are neither used nor overwritten.
 fn create(path: &Path, instance: &str) -> Result<IdentityRecord, StoreError> {
     if path.join(SNAPSHOT_FILE).exists() || LogFile::holds_entries(path)? {
         return Err(StoreError::Inconsistent {
-            problem: "there are a log or a snapshot without the identity file",
+            problem: "log or snapshot exists without the identity file",
         });
     }
     let identity = IdentityRecord::new(instance);
--- a/crates/control/src/member_store/atomic_file.rs
+++ b/crates/control/src/member_store/atomic_file.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced whole.
+//! Files that are replaced atomically.
 
 use std::fs;
 use std::fs::File;
@@ -14,7 +14,7 @@
 use crate::member_store::record_frame;
 use crate::member_store::StoreError;
 
-/// Replaces the file by one record of `value`.
+/// Atomically replaces the file by a single record of `value`.
 pub fn write<T: Serialize>(
     folder: &Path,
     name: &str,
@@ -24,20 +24,21 @@
     Ok(())
 }
 
-/// Replaces the file; the old one stays whole until the new one is synced.
+/// Atomically replaces the file; the old one stays in place until the new one is
+/// synced.
 pub fn replace(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<File> {
     let new = folder.join(format!("{name}.new"));
     let mut file = File::create(&new)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     fs::rename(&new, folder.join(name))?;
-    // A file's name lives in its folder: without this sync a crash could
+    // The rename changes the folder: without syncing the folder, a crash could
     // bring the old file back.
     File::open(folder)?.sync_all()?;
     Ok(file)
 }
 
-/// Reads the file; `None` where there is none.
+/// Reads the file; `None` if it does not exist.
 pub fn read<T: DeserializeOwned>(
     folder: &Path,
     name: &'static str,
@@ -51,7 +52,8 @@
     let Ok((bodies, end)) = record_frame::scan(&bytes) else {
         return Err(damaged);
     };
-    // It was synced before it got its name, so it is never torn.
+    // The file was synced before it was renamed into place, so it is never
+    // torn.
     if bodies.len() != 1 || end != bytes.len() {
         return Err(damaged);
     }
--- a/crates/control/src/member_store/identity_file.rs
+++ b/crates/control/src/member_store/identity_file.rs
@@ -1,4 +1,4 @@
-//! Whose a data folder is, and how often it was opened.
+//! The identity file: the owner of a data folder and the number of its starts.
 
 use std::path::Path;
 
@@ -12,22 +12,22 @@
 use crate::member_store::StoreError;
 use crate::member_store::IDENTITY_FILE;
 
-/// Largest random number, so that every codec carries it.
+/// Upper bound of random IDs and nonces, so that every codec can represent them.
 const RANDOM_MAX: u64 = 1 << 62;
 
-/// What the identity file says.
+/// Contents of the identity file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdentityRecord {
     /// Instance that the folder belongs to.
     pub instance: String,
-    /// Random number of the folder, made with it.
+    /// Random ID of the folder, chosen when the folder is created.
     pub folder: u64,
-    /// Last start.
+    /// Count and nonce of the last start.
     pub start: ProcessStart,
 }
 
 impl IdentityRecord {
-    /// A new folder's, before its first start.
+    /// Creates the identity of a new folder, before its first start.
     pub fn new(instance: &str) -> Self {
         Self {
             instance: instance.to_owned(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The same folder's, one start later.
+    /// Returns the identity with the next start: a higher count and a new nonce.
     pub fn next_start(mut self) -> Self {
         self.start = ProcessStart {
             count: self.start.count + 1,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads the identity; `None` where the folder has none.
+/// Reads the identity; `None` if the folder has none.
 pub fn read(folder: &Path) -> Result<Option<IdentityRecord>, StoreError> {
     atomic_file::read(folder, IDENTITY_FILE)
 }
--- a/crates/control/src/member_store/log_file.rs
+++ b/crates/control/src/member_store/log_file.rs
@@ -1,4 +1,4 @@
-//! The log file: a head, then a record for each sync.
+//! The log file: a header record, then one record for each sync.
 
 use std::fs;
 use std::fs::File;
@@ -24,18 +24,18 @@
 use crate::member_store::StoreError;
 use crate::member_store::LOG_FILE;
 
-/// First record of the file.
+/// First record of the log file.
 #[derive(Debug, Serialize, Deserialize)]
 struct LogHeader {
-    /// Folder that the file belongs to.
+    /// ID of the folder that the file belongs to.
     folder: u64,
-    /// A snapshot at least this far must be beside it.
+    /// The folder must hold a snapshot of at least this index.
     snapshot_index: u64,
     hard: HardState,
     entries: Vec<LogEntry>,
 }
 
-/// One batch of a record.
+/// One write batch within a record.
 #[derive(Debug, Serialize, Deserialize)]
 struct LogStep {
     hard: Option<HardState>,
@@ -43,14 +43,14 @@
     entries: Vec<LogEntry>,
 }
 
-/// The open log, positioned at its end.
+/// The open log file, positioned at its end.
 #[derive(Debug)]
 pub struct LogFile {
     file: File,
 }
 
 impl LogFile {
-    /// Replaces the log by a new one that starts with `entries`.
+    /// Replaces the log file by a new one that starts with `entries`.
     pub fn create(
         path: &Path,
         folder: u64,
@@ -69,7 +69,8 @@
         Ok(Self { file })
     }
 
-    /// Opens the log and gives what it holds; a torn last record is cut.
+    /// Opens the log file and returns its contents; a torn last record is
+    /// truncated.
     pub fn open(
         path: &Path,
         folder: u64,
@@ -78,23 +79,23 @@
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
             Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
-                let problem = "the log file is missing";
+                let problem = "log file is missing";
                 return Err(StoreError::Inconsistent { problem });
             }
             Err(failure) => return Err(failure.into()),
         };
         let (saved, end) = read_log(&bytes, folder, snapshot)?;
         let mut file = OpenOptions::new().write(true).open(path.join(LOG_FILE))?;
-        // Guards against a crash in the middle of a write, which shows as a
-        // last record that is short or fails its checksum. It was never
-        // acknowledged, so cutting it loses nothing.
+        // A crash in the middle of a write leaves a last record that is short
+        // or fails its checksum. That record was never acknowledged, so
+        // truncating it loses nothing.
         file.set_len(end as u64)?;
         file.seek(SeekFrom::Start(end as u64))?;
         file.sync_all()?;
         Ok((Self { file }, saved))
     }
 
-    /// True where a log file of `path` holds anything beyond an empty head.
+    /// True if the folder's log file holds anything beyond an empty header.
     pub fn holds_entries(path: &Path) -> Result<bool, StoreError> {
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
@@ -113,7 +114,7 @@
         Ok(!header.entries.is_empty() || header.snapshot_index > 0)
     }
 
-    /// Appends the batches as one record and syncs it.
+    /// Appends the batches as one record and syncs the file.
     pub fn append(&mut self, batches: Vec<WriteBatch>) -> Result<(), StoreError> {
         if batches.is_empty() {
             return Ok(());
@@ -141,14 +142,15 @@
     let damaged = |at| StoreError::Damaged { file: LOG_FILE, at };
     let (bodies, end) = record_frame::scan(bytes).map_err(|record| damaged(record.at))?;
     let mut bodies = bodies.into_iter();
-    // The head was synced before the file got its name.
+    // The header was synced before the file was renamed into place, so it is
+    // never torn.
     let header: LogHeader = codec::decode(bodies.next().ok_or(damaged(0))?)?;
     if header.folder != folder {
-        let problem = "the log file is another folder's";
+        let problem = "log file belongs to another folder";
         return Err(StoreError::Inconsistent { problem });
     }
     if header.snapshot_index > snapshot.version.index {
-        let problem = "the snapshot is missing or older than the log";
+        let problem = "snapshot is missing or older than the log";
         return Err(StoreError::Inconsistent { problem });
     }
     let mut saved = SavedState {
@@ -180,7 +182,7 @@
     for pair in entries.windows(2) {
         let (before, after) = (pair[0].version, pair[1].version);
         if after.index != before.index + 1 || after.term < before.term {
-            let problem = "the log has a gap";
+            let problem = "log has a gap";
             return Err(StoreError::Inconsistent { problem });
         }
     }
--- a/crates/control/src/member_store/record_frame.rs
+++ b/crates/control/src/member_store/record_frame.rs
@@ -1,23 +1,25 @@
-//! Records in a file: mark, length and checksum before each.
+//! Framing of records in a file: magic bytes, length and checksum precede each
+//! record.
 //!
-//! One record is written for each sync, and the next only after that sync.
-//! So a crash can spoil the last record only, whatever part of it reached
-//! the disk; one that is spoilt with a whole one behind it was synced.
+//! Each sync writes one record, and the next record is written only after that
+//! sync. So a crash can corrupt only the last record, whatever part of it
+//! reached the disk. A corrupt record with an intact one after it had been
+//! synced.
 
-/// Starts every record, so that a whole record behind a spoilt one is found.
+/// Starts every record, so that an intact record after a corrupt one is found.
 const MAGIC: [u8; 4] = *b"cwr1";
 
-/// Mark, length and checksum, four bytes each.
+/// Size of the header: magic bytes, length and checksum, four bytes each.
 const HEADER_BYTES: usize = 12;
 
-/// A record that was synced and is spoilt.
+/// A corrupt record that had been synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DamagedRecord {
-    /// Where it starts.
+    /// Byte offset of the record.
     pub at: usize,
 }
 
-/// A record of `body`, ready to be written.
+/// Encodes `body` as a record.
 pub fn frame(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&MAGIC);
@@ -27,7 +29,9 @@
     bytes
 }
 
-/// The bodies in `bytes`, and where the last whole record ends.
+/// Returns the record bodies in `bytes` and the end offset of the last intact
+/// record. A corrupt or incomplete tail is ignored unless an intact record
+/// follows it, which is an error.
 pub fn scan(bytes: &[u8]) -> Result<(Vec<&[u8]>, usize), DamagedRecord> {
     let mut bodies = Vec::new();
     let mut at = 0;
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about who the members are and what the leader decides on them.
+//! Log lines about the member list and the leader's decisions on it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use cowslip_core::agreement::PlanNote;
 use cowslip_core::agreement::PlanVerdict;
 
-/// The log of `agreement` names other members than before, perhaps in an
-/// entry that is not committed yet.
+/// Logs a changed member list of `agreement`. The entry that changed the list
+/// may not be committed yet.
 pub fn members(instance: &Arc<str>, members: &MemberList, agreement: &AgreementMember) {
     info!(
         "event=members-changed process=control instance={instance} last={} commit={} voters={} learners={}",
@@ -24,7 +24,7 @@
     );
 }
 
-/// The leader came to another verdict on the members.
+/// Logs a new decision of the leader on the member list.
 pub fn plan(instance: &Arc<str>, note: &PlanNote) {
     let (verdict, subject, reason) = match &note.verdict {
         PlanVerdict::Keep => ("keep", "none", "settled"),
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,9 +1,9 @@
-//! What an interface for operators needs of a control instance: numbered
-//! revisions of the whole document, and moves of backend server versions.
+//! The operations of an operator interface: numbered revisions of the whole
+//! document, and moves of backend server versions.
 //!
-//! Only the leader decides. Every order may be repeated: a revision that is
-//! in force answers as accepted however many came after it, and a move that
-//! runs or ran a moment ago is not begun a second time.
+//! Only the leader decides. Every request may be repeated: a revision that was
+//! accepted is answered as accepted, however many revisions followed, and a
+//! move that is running or was started recently is not started again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,67 +35,67 @@
 use crate::agreement_task::CurrentRevision;
 use crate::rollout_api::RolloutApi;
 
-/// How long after its start a repeated order of a move that is over is taken
-/// for a resend. Operators' programs resend for some seconds; a new order of
-/// the same move comes after somebody has mended the version.
+/// How long after the start of an ended move a repeated request counts as a
+/// resend. Operators' programs resend for some seconds. A later request is a new
+/// move to the same version, made after somebody has repaired the version.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// An operator's whole document under a number.
+/// A request to put an operator's whole document in force under a number.
 #[derive(Clone, Debug)]
 pub struct RevisionRequest {
-    /// Names the order by its content, so that a resend is known again.
+    /// Request ID derived from the content, so that a resend is recognized.
     pub request_id: Arc<str>,
-    /// Its number.
+    /// Number of the new revision.
     pub number: u64,
-    /// Number of the revision it builds on; 0 for the first.
+    /// Number of the revision that it builds on; 0 for the first.
     pub builds_on: u64,
-    /// What the operator wrote.
+    /// The operator's document.
     pub document: FleetDocument,
 }
 
-/// What became of an order.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Agreed, now or before.
+    /// Accepted, now or earlier.
     Accepted,
-    /// Another revision is in force than the order builds on.
+    /// The revision in force is not the one that the request builds on.
     Conflict,
-    /// It cannot be carried out; why.
+    /// The request cannot be carried out, for these reasons.
     Invalid(Vec<DocumentFault>),
 }
 
-/// An order of a move.
+/// A request to move a service to a new version.
 #[derive(Clone, Debug)]
 pub struct MoveRequest {
-    /// Service.
+    /// Service to move.
     pub service: Arc<str>,
     /// The new version.
     pub target: Arc<str>,
-    /// Time within which it must have taken over.
+    /// Time within which the new version must have taken over.
     pub within: Duration,
 }
 
-/// How a move stands.
+/// Status of a move.
 #[derive(Clone, Debug)]
 pub struct MoveStatus {
     /// The new version.
     pub target: Arc<str>,
-    /// How far it has come.
+    /// State of the move.
     pub state: MoveState,
 }
 
-/// Takes operators' orders at one control instance.
+/// Handles operators' requests at one control instance.
 pub struct OperatorApi {
     rollout_api: RolloutApi,
 }
 
 impl OperatorApi {
-    /// A desk over the same tasks as `moves`.
+    /// Creates an API over the same tasks as `rollout_api`.
     pub fn new(rollout_api: RolloutApi) -> Self {
         Self { rollout_api }
     }
 
-    /// What is in force, where this instance can be sure of it.
+    /// Returns the configuration in force if this instance leads.
     pub async fn current(&self) -> LeaderAnswer<CurrentRevision> {
         self.current_with_answer("".into()).await
     }
@@ -108,13 +108,14 @@
             .await
     }
 
-    /// Whether an order that builds on `builds_on` is worth reading here: what
-    /// is known of it before its document is looked at.
+    /// Returns the outcome of a request that builds on `builds_on` if it is known
+    /// without the document. Otherwise the document must be read.
     ///
-    /// Load pattern: several operators' orders at once, each of a document of
-    /// hundreds of kilobytes, sent again and again to any instance. Read and
-    /// validated wherever they arrive, they took all of a small instance's
-    /// processor for seconds, and its lease with it.
+    /// Load pattern: several operators send requests at once, each with a
+    /// document of hundreds of kilobytes, and resend them to any instance. If
+    /// every instance that gets them decoded and validated the documents, a small
+    /// instance would spend all its CPU time on them for seconds and lose its
+    /// leader lease.
     pub async fn precheck(
         &self,
         request_id: &Arc<str>,
@@ -128,7 +129,7 @@
         LeaderAnswer::Here(early_outcome(&current, builds_on))
     }
 
-    /// Puts a revision in force, or says why not.
+    /// Puts a revision in force, or returns why it was refused.
     pub async fn revise(&self, request: RevisionRequest) -> LeaderAnswer<RequestOutcome> {
         let id = Arc::clone(&request.request_id);
         let current = match self.current_with_answer(id).await {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Begins a move. Its servers may announce themselves later.
+    /// Starts a move. Servers of the new version may announce themselves later.
     pub async fn start_move(&self, request: MoveRequest) -> LeaderAnswer<RequestOutcome> {
         let current = match self.current().await {
             LeaderAnswer::Here(current) => current,
@@ -177,7 +178,7 @@
         };
         let spec = current.snapshot.document.services.get(&request.service);
         if spec.is_some_and(|spec| spec.takes_any_version()) {
-            // Which version is being replaced is not known yet.
+            // The version that would be replaced is not known yet.
             return LeaderAnswer::Unknown;
         }
         let records = match self.ask(AgreementMessage::Rollouts).await {
@@ -204,7 +205,7 @@
         self.propose(id.into(), ConfigChange::Move(change)).await
     }
 
-    /// How the last move of a service stands; `None` where there was none.
+    /// Returns the status of a service's latest move; `None` if it had none.
     pub async fn last_move(&self, service: Arc<str>) -> LeaderAnswer<Option<MoveStatus>> {
         let call = RolloutsCall {
             service: Some(service),
@@ -232,12 +233,12 @@
         if sent.is_err() {
             return LeaderAnswer::Unknown;
         }
-        // The task drops questions only when it ends with the process.
+        // The task drops the reply channel only at shutdown.
         answer.await.unwrap_or(LeaderAnswer::Unknown)
     }
 }
 
-/// What is known of an order without its document.
+/// Returns the outcome of a request if it is known without its document.
 fn early_outcome(current: &CurrentRevision, builds_on: u64) -> Option<RequestOutcome> {
     if let Some(ChangeOutcome::Accepted { .. }) = current.answer {
         return Some(RequestOutcome::Accepted);
@@ -263,7 +264,8 @@
     }
 }
 
-/// The difference that the order makes to what is in force.
+/// Builds the revision as the difference between the configuration in force and
+/// the requested document.
 fn build_revision(
     request: &RevisionRequest,
     current: &CurrentRevision,
@@ -278,7 +280,8 @@
         version: held.version,
         document: Arc::new(target),
     };
-    // Its digest is of no use: the revision it applies to is told by number.
+    // No digest is needed: the number identifies the revision that the delta
+    // applies to.
     let delta = ConfigDelta::between(held, &target, ConfigDigest::default());
     let delta = delta.ok_or_else(|| {
         vec![DocumentFault {
--- a/crates/control/src/peer_sender.rs
+++ b/crates/control/src/peer_sender.rs
@@ -1,11 +1,12 @@
-//! Carries the messages of the agreement to the other instances.
+//! Sends the messages of the agreement to the other instances.
 //!
-//! Load pattern: a burst of changes, and an instance that does not answer.
-//! Each instance has a task and a bounded queue of its own, so that one
-//! that hangs delays nobody else; what waits while a post is under way goes
-//! with the next post. A full queue drops messages, which the agreement
-//! makes good, because old heartbeats and entries are of no use. Snapshots
-//! go apart: heartbeats behind one would arrive seconds late.
+//! Load pattern: a burst of changes while one instance does not answer. Each
+//! instance has its own task and bounded queue, so that an instance that hangs
+//! delays no other. Messages queued during a POST request are sent with the
+//! next one. A full queue drops new messages: old heartbeats and entries are of
+//! no use, and the agreement sends again what is missing. Snapshots have a
+//! separate queue, since heartbeats behind a snapshot would arrive seconds
+//! late.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,20 +21,22 @@
 use cowslip_wire::peer_client::PeerClient;
 use cowslip_wire::process_log::LogValue;
 
-/// Messages waiting for one instance; a second of a busy leader's.
+/// Capacity of the queue to one instance; a busy leader sends as many messages
+/// in a second.
 const QUEUE_CAPACITY: usize = 256;
 
-/// Messages of one post. Each holds at most a megabyte of entries, and
-/// large ones are rare.
+/// Most messages in one POST request. Each holds at most a megabyte of entries,
+/// and large ones are rare.
 const POST_MESSAGES_MAX: usize = 8;
 
-/// Instances with a queue; the fleet has 18 at most.
+/// Most instances with queues; a fleet has at most 18 instances.
 const PEERS_MAX: usize = 64;
 
-/// Wait for a post to be taken, about the lease: later is too late.
+/// Timeout of a POST request; about the length of the lease, after which the
+/// messages are useless.
 const POST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Wait for a snapshot to be taken: 16 MB on a link of 32 Mbit/s.
+/// Timeout of a snapshot transfer, for 16 MB over a link of 32 Mbit/s.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Queues to the other instances.
@@ -43,7 +46,7 @@
 }
 
 impl PeerSenders {
-    /// Senders that use `client`.
+    /// Creates senders that use `client`.
     pub fn new(client: PeerClient) -> Self {
         Self {
             client,
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Queues a message, or drops it where the queue is full.
+    /// Queues a message, or drops it if the queue is full.
     pub fn send(&mut self, address: SocketAddr, message: MemberMessage) {
         let snapshot = matches!(message.body, MessageBody::Install { .. });
         let key = (address, snapshot);
--- a/crates/control/src/pin_task.rs
+++ b/crates/control/src/pin_task.rs
@@ -1,9 +1,9 @@
-//! Names the version that serves a service whose document names none, where
-//! this instance leads.
+//! Pins the version of services for which the document names none, while this
+//! instance leads.
 //!
-//! Load pattern: operators write routes and no versions, and servers of a
-//! later version announce themselves before their move is ordered. Without a
-//! name for the version in service, calls would go to the later one at once.
+//! Load pattern: operators write routes without versions, and servers of a later
+//! version announce themselves before the move to it is requested. Without a
+//! pinned version, calls would go to the later version at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,11 +27,11 @@
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
 
-/// How often the directory is looked at: well below the seconds in which a
-/// later version's servers could appear beside the first.
+/// How often the directory is checked; well below the seconds after which servers
+/// of a later version could appear beside the first ones.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Watches for ever; proposes changes while this instance leads.
+/// Runs until shutdown and proposes version pins while this instance leads.
 pub async fn run(agreement: AgreementHandle, fanout: mpsc::Sender<FanoutMessage>) {
     loop {
         actix_rt::time::sleep(CHECK_INTERVAL).await;
@@ -56,7 +56,8 @@
     }
 }
 
-/// Services without a version, and the one that most of their servers run.
+/// Returns each service without a version, with the version that most of its
+/// serving servers run.
 fn choose_versions(
     snapshot: &ConfigSnapshot,
     records: &[EndpointRecord],
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -1,5 +1,5 @@
-//! What operators ask of moves: a change before it is proposed, and moves
-//! read back.
+//! Operators' requests about moves: checks changes before they are proposed, and
+//! reports the state of moves.
 
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -27,20 +27,21 @@
 use crate::rollout_task::RolloutHandle;
 use crate::rollout_task::RolloutMessage;
 
-/// Where moves are asked for.
+/// Handles operators' requests about moves.
 pub struct RolloutApi {
-    /// The agreed log.
+    /// The agreement task.
     pub agreement: AgreementHandle,
-    /// Nodes and the directory.
+    /// The fan-out task, which knows the nodes and the directory.
     pub fanout: mpsc::Sender<FanoutMessage>,
-    /// The moves' own task.
+    /// The rollout task.
     pub rollouts: RolloutHandle,
 }
 
 impl RolloutApi {
-    /// Checks an operator's change of a move against the directory, and sets
-    /// its time; `Err` holds the answer where it is refused. Other changes
-    /// and those for another instance pass.
+    /// Checks an operator's move change against the directory and sets its time.
+    /// For a move that is taken back, also sets the current counts. Returns the
+    /// answer as `Err` if the change is refused. Other changes pass unchecked, as
+    /// do all changes if this instance does not lead.
     pub async fn prepare_change(
         &self,
         entry: &mut ChangeEntry,
@@ -52,8 +53,8 @@
         if !leading {
             return Ok(());
         }
-        // Guards against operators' clocks that are wrong, which would make
-        // a move's time too short or too long.
+        // The leader's clock replaces the operator's: a wrong operator clock
+        // would make the time of the move too short or too long.
         entry.at_ms = wall_clock::millis();
         let (reply, answer) = oneshot::channel();
         let asked = self.fanout.send(FanoutMessage::Endpoints(reply)).await;
@@ -75,8 +76,9 @@
         Ok(())
     }
 
-    /// Guards against a resend being refused by what the directory has come
-    /// to hold since: its first answer is in the log and must be repeated.
+    /// True if a change with this request ID was accepted before. A resend must
+    /// get the first answer, which is in the log, even if the directory has
+    /// changed since and the check would now fail.
     async fn is_resend(&self, request_id: &str) -> bool {
         let (reply, answer) = oneshot::channel();
         let message = AgreementMessage::History(reply);
@@ -94,12 +96,12 @@
     async fn course(&self, rollout: ConfigVersion) -> RolloutCourse {
         let (reply, answer) = oneshot::channel();
         let message = RolloutMessage::Course(rollout, reply);
-        // The task ends only with the process.
+        // Fails only at shutdown: the task runs as long as the process.
         let _ = self.rollouts.send(message).await;
         answer.await.unwrap_or_default()
     }
 
-    /// The moves that operators ask for; `None` while stopping.
+    /// Returns the moves that match the call; `None` at shutdown.
     pub async fn lines(
         &self,
         call: RolloutsCall,
@@ -172,7 +174,8 @@
     }
 }
 
-/// A move is done only once every live node routes by its end.
+/// Returns the state of a move. A finished move is done only once every live
+/// node routes by its final version.
 fn state(record: &RolloutRecord, nodes: &MoveProgress) -> MoveState {
     match record.end {
         None => MoveState::InProgress,
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -1,6 +1,8 @@
-//! The task that moves backend server versions: it owns the nodes' counts,
-//! lets the core decide where this instance leads, and proposes what comes
-//! of it as changes of the agreed log. Elsewhere it passes counts on.
+//! The task that moves services to new backend server versions.
+//!
+//! On the leader it collects the nodes' counts, lets a [`RolloutDriver`] decide
+//! on each move and proposes the resulting changes to the agreement. On other
+//! instances it forwards the counts to the leader.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,52 +40,54 @@
 use crate::agreement_task::AgreementMessage;
 use crate::fanout_task::FanoutMessage;
 
-/// Messages waiting for the task. A report that finds no room is dropped:
-/// the next one of its node holds all that it held.
+/// Capacity of the task's queue. While it is full, senders wait. A report that
+/// is lost needs no resending: counts are cumulative, so the node's next report
+/// includes them.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// How long counts are gathered before they go to the leader, so that a
-/// relay's 290 nodes reach it as ten messages a second.
+/// Interval at which collected counts are forwarded to the leader, so that the
+/// 290 nodes of a relay cause only ten messages a second.
 const FORWARD_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Counts not taken by the leader within this time are sent anew.
+/// Timeout for forwarding counts to the leader; after it, the nodes' next
+/// reports are forwarded instead.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a proposal may be without answer before it is made again.
+/// Timeout of a proposal; after it, the change may be proposed again.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Nodes that report nothing for this long are forgotten once their moves
-/// are over.
+/// How long the counts of a node that no longer reports are kept once its moves
+/// have ended.
 const REPORT_RETENTION: Duration = Duration::from_secs(600);
 
-/// Courses of moves that are over, kept for plots.
+/// Number of ended moves whose courses are kept for plots.
 const ENDED_COURSES_MAX: usize = 64;
 
-/// What others ask of the task.
+/// A message to the rollout task.
 #[derive(Debug)]
 pub enum RolloutMessage {
-    /// Counts of nodes.
+    /// Delivers counts of nodes.
     Evidence(EvidenceCall),
-    /// What this leader knows of a move beside its record.
+    /// Returns what this leader knows of a move in addition to its record.
     Course(ConfigVersion, oneshot::Sender<RolloutCourse>),
 }
 
-/// What a leader knows of a move beside its record.
+/// What a leader knows of a move in addition to its record.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutCourse {
-    /// What keeps the move from its next step.
+    /// Reason why the move waits with its next step.
     pub wait: Option<StepWait>,
-    /// Calls so far.
+    /// Counts of calls so far.
     pub counts: MoveCounts,
-    /// Share and evidence over time.
+    /// Share of the new version and evidence over time.
     pub points: Vec<CoursePoint>,
 }
 
-/// The running task.
+/// Channel to the running task.
 pub type RolloutHandle = mpsc::Sender<RolloutMessage>;
 
-// Times here are the wall clock's: moves outlive leaders, so no process's own
-// start can be their origin.
+// Times are wall-clock times: moves outlive leaders, so they cannot be relative
+// to the start of one process.
 struct RolloutTask {
     instance: Arc<str>,
     agreement: AgreementHandle,
@@ -177,8 +181,8 @@
         }
     }
 
-    /// Sends what was gathered to the leader; what is lost on the way is
-    /// held by the nodes' next reports.
+    /// Forwards the pending reports to the leader. Lost reports are not resent,
+    /// because the nodes' next reports include their counts.
     fn forward_reports(&mut self) {
         let view = *self.agreement.leader.borrow();
         if view.is_leading() {
@@ -211,7 +215,7 @@
     async fn evaluate_moves(&mut self) {
         let view = *self.agreement.leader.borrow();
         if !view.is_leading() {
-            // A lease that is over for a moment ends no leadership.
+            // A lease that has expired for a moment does not end the leadership.
             if view.lease_until.is_none() {
                 self.step_down();
             }
@@ -235,9 +239,9 @@
         }
     }
 
-    /// Guards against counts and judgements of an earlier leadership being
-    /// taken for the present: nodes report cumulatively, so a new leadership
-    /// gets all of them again.
+    /// Discards all counts and decisions when leadership ends, so that a later
+    /// leadership of this instance does not use outdated ones. Nodes report
+    /// cumulative counts, so the next leader gets all of them again.
     fn step_down(&mut self) {
         if !self.leading {
             return;
@@ -311,7 +315,7 @@
         }
     }
 
-    /// One line each time that something else keeps a move from its next step.
+    /// Logs the reason why a move waits whenever that reason changes.
     fn log_wait(&self, rollout: ConfigVersion, course: &RolloutCourse) {
         let before = self.courses.get(&rollout).and_then(|before| before.wait);
         let Some(wait) = course.wait.filter(|wait| before != Some(*wait)) else {
@@ -353,13 +357,13 @@
                     warn!("event=move-step-refused process=control move={rollout}");
                 }
             }
-            // The task ends only with the process.
+            // Fails only at shutdown: the task runs as long as the process.
             let _ = proposal_done.send(rollout);
         });
     }
 }
 
-/// What the newest look at a move saw, for its log lines.
+/// Formats the latest evidence on a move as log fields.
 fn evidence_fields(course: &RolloutCourse) -> String {
     let Some(point) = course.points.last() else {
         return "looks=0".to_owned();
--- a/crates/control/src/roster_task.rs
+++ b/crates/control/src/roster_task.rs
@@ -1,4 +1,4 @@
-//! Keeps the roster of claim holders, where this instance leads.
+//! Maintains the roster of claim holders while this instance leads.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,10 +19,10 @@
 use crate::fanout_task;
 use crate::fanout_task::FanoutMessage;
 
-/// How often the directory is looked at; the roster's own times are minutes.
+/// How often the directory is checked; the timeouts of the roster are minutes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Watches for ever; proposes changes while this instance leads.
+/// Runs until shutdown and proposes roster changes while this instance leads.
 pub async fn run(agreement: AgreementHandle, fanout: mpsc::Sender<FanoutMessage>) {
     let started = Instant::now();
     let mut keeper = RosterKeeper::default();
@@ -40,7 +40,7 @@
         else {
             return;
         };
-        // Before its first document a fleet has no calls to claim.
+        // A fleet without a document yet has no calls to claim.
         if snapshot.document.services.is_empty() {
             continue;
         }
@@ -52,8 +52,8 @@
     }
 }
 
-/// Proposes the roster on top of `version` alone; where another change came
-/// first, the next look proposes again.
+/// Proposes the roster on condition that `version` is in force. If another change
+/// came first, the next check proposes the roster again.
 async fn propose(
     agreement: &AgreementHandle,
     version: ConfigVersion,
--- a/crates/control/src/source_metrics.rs
+++ b/crates/control/src/source_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what a control instance does for its followers.
+//! Metrics of the updates that a control instance serves to its followers.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -7,7 +7,7 @@
 use cowslip_core::update_source::SourceCounts;
 use cowslip_wire::metric_start;
 
-/// Counters of one source, fed from its own counts.
+/// Metrics of one update source, derived from the source's own counts.
 #[derive(Clone)]
 pub struct SourceMetrics {
     previous: SourceCounts,
@@ -18,7 +18,7 @@
 }
 
 impl SourceMetrics {
-    /// Counters registered under `cowslip_source`, all of them at zero.
+    /// Registers the metrics under `cowslip_source`, all at zero.
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_source");
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes over the counts of the source.
+    /// Updates the metrics from the current counts of the source.
     pub fn update(&mut self, counts: SourceCounts) {
         self.admitted
             .inc_by(counts.admitted - self.previous.admitted);
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -1,9 +1,9 @@
-//! The thread that writes and syncs, so that nothing else waits for a disk.
+//! The thread that writes and syncs the data folder, so that no other code waits
+//! for the disk.
 //!
-//! Load pattern: bursts of changes on a disk whose sync takes milliseconds.
-//! Everything that was asked for while a sync ran is written with the next
-//! one; with a sync for each change, a burst of a thousand would take a
-//! thousand times the disk's time.
+//! Load pattern: bursts of changes on a disk whose sync takes milliseconds. All
+//! batches that arrive during a sync are written with the next sync. With a sync
+//! for each change, a burst of a thousand changes would take a thousand syncs.
 
 use std::io;
 use std::sync::mpsc;
@@ -18,24 +18,24 @@
 
 use crate::member_store::MemberStore;
 
-/// Batches written with one sync at most, so that one record stays small.
+/// Most batches written with one sync, which bounds the size of a record.
 const BATCH_MAX: usize = 256;
 
-/// Where batches go; the thread ends when it is dropped.
+/// Channel to the store thread; the thread ends when the handle is dropped.
 #[derive(Debug)]
 pub struct StoreHandle {
     batches: mpsc::Sender<WriteBatch>,
 }
 
 impl StoreHandle {
-    /// Queues a batch. A thread that has ended reported its failure, and a
-    /// member whose disk failed waits for no batch.
+    /// Queues a batch. If the thread has ended, the batch is dropped: the thread
+    /// reported its failure, and a member whose disk failed waits for no batch.
     pub fn write(&self, batch: WriteBatch) {
         let _ = self.batches.send(batch);
     }
 }
 
-/// Starts the thread; what is synced, or that the disk failed, is reported.
+/// Starts the thread, which reports each synced batch, or that the disk failed.
 pub fn spawn(
     store: Box<dyn MemberStore>,
     reports: UnboundedSender<ReplicaEvent>,
@@ -61,8 +61,9 @@
         }
         let last = gathered.last().map_or(0, |batch| batch.sequence);
         if let Err(failure) = store.write(gathered) {
-            // A failed sync is never repeated as if it had worked: the
-            // kernel may have dropped the pages it could not write.
+            // A failed sync must not be retried: the kernel may have dropped
+            // the pages that it could not write, so a retry could succeed
+            // although data is lost.
             error!(
                 "event=disk-failed process=control error={}",
                 LogValue(failure)
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -1,5 +1,5 @@
-//! What a control instance that does not lead does towards the leader:
-//! follows its news and carries reports up to it.
+//! The tasks that connect a control instance to the leader while another instance
+//! leads: they follow the leader's updates and send reports to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,26 +26,27 @@
 use cowslip_wire::process_log::LogValue;
 
 use crate::fanout_task::FanoutMessage;
-use crate::fanout_task::InstalledNews;
+use crate::fanout_task::InstalledUpdate;
 use crate::leader_view::LeaderWatch;
 
-/// Wait that is asked of the leader where it has no news. Each answer
-/// proves this instance fresh again, and a starting node waits for the
-/// next; 17 instances ask the leader 34 times a second.
+/// How long the leader may hold a request while it has no updates. Each answer
+/// renews the proof that this instance is up to date, and a starting node waits
+/// for the next answer. With this value, 17 instances send the leader 34 requests
+/// a second.
 const FOLLOW_WAIT: Duration = Duration::from_millis(500);
 
-/// The same while starting nodes wait for a confirmation: they start that
-/// much sooner, and a herd of them costs the leader 20 questions a second
-/// from each instance.
+/// The same while starting nodes wait for a confirmation. The shorter wait lets
+/// them start sooner; many nodes starting at once cost the leader 20 requests a
+/// second from each instance.
 const CONFIRM_WAIT: Duration = Duration::from_millis(50);
 
-/// Answers later than this are given up on: four times the wait.
+/// Timeout of a call to the leader: four times [`FOLLOW_WAIT`].
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after a failed try, so that a dead writer costs little.
+/// Pause after a failed call, so that an unreachable leader costs little.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The leader's address where it is another instance.
+/// Returns the leader's address if another instance leads.
 fn remote_leader(leader: &LeaderWatch) -> Option<SocketAddr> {
     let view = leader.borrow();
     if view.is_leading() {
@@ -54,7 +55,7 @@
     view.address
 }
 
-/// Follows the leader, whoever it is, and installs its news.
+/// Follows the current leader and installs its updates.
 pub async fn follow(
     instance: Arc<str>,
     leader: LeaderWatch,
@@ -73,8 +74,8 @@
     let mut changes = leader.clone();
     loop {
         let Some(address) = remote_leader(&leader) else {
-            // A node that starts here waits for the first answer of a leader
-            // just elected.
+            // Wakes up as soon as the leader changes: a node that starts at this
+            // instance waits for the first answer of a new leader.
             let changed = changes.changed();
             if let Ok(Err(_)) = actix_rt::time::timeout(RETRY_PAUSE, changed).await {
                 return;
@@ -104,7 +105,8 @@
 }
 
 impl LeaderFollower {
-    /// One question and what it brings; false once the task is gone.
+    /// Sends one request and installs its answer; false once the fan-out task has
+    /// ended.
     async fn poll(&mut self, address: SocketAddr) -> Result<bool, PeerError> {
         let (reply, state) = oneshot::channel();
         if self
@@ -154,20 +156,23 @@
         );
         let snapshot = self.fetch_snapshot(address, step, answer.chunk).await?;
         let endpoints = self.directory.take(answer.directory);
-        let news = InstalledNews {
+        let update = InstalledUpdate {
             sent_at,
             source,
             snapshot,
             endpoints,
             run: self.directory.place().run,
         };
-        let sent = self.task.send(FanoutMessage::Install(Box::new(news))).await;
+        let sent = self
+            .task
+            .send(FanoutMessage::Install(Box::new(update)))
+            .await;
         Ok(sent.is_ok())
     }
 
-    /// Fetches chunks as long as the follower wants them, after the one that
-    /// came along; the snapshot that
-    /// is valid and newer, if one came of it.
+    /// Fetches the chunks that the follower asks for, starting with
+    /// `first_chunk` if the answer included it. Returns the resulting snapshot if
+    /// it is valid and newer.
     async fn fetch_snapshot(
         &mut self,
         address: SocketAddr,
@@ -201,8 +206,8 @@
     }
 }
 
-/// Carries reports up to the leader, gathered. Where this instance leads
-/// they have arrived already.
+/// Sends collected reports to the leader. While this instance leads, its reports
+/// have already arrived.
 pub async fn send_reports(
     leader: LeaderWatch,
     client: PeerClient,
@@ -232,7 +237,7 @@
             "event=report-failed process=control error={}",
             LogValue(failure)
         );
-        // The task ends only with this one.
+        // Fails only at shutdown, when both tasks end.
         let _ = task.send(FanoutMessage::ReturnReports(call.batch)).await;
         actix_rt::time::sleep(RETRY_PAUSE).await;
     }
