--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -1,9 +1,9 @@
-//! What agreement costs: time to accept a change, changes a second, and the
-//! leader's bytes and processor time for each change.
+//! Cost of the agreement: latency of a change, changes per second, and the
+//! leader's bytes and CPU time per change.
 //!
-//! The first table runs whole control instances in one process and one
-//! thread, over loopback, each syncing its own folder on the disk of the
-//! build folder. The second drives the state machines alone.
+//! The first table measures complete control instances in one process and one
+//! thread, over loopback, each with its own data folder on the disk of the build
+//! folder. The second table measures only the state machines.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -39,15 +39,15 @@
 use cowslip_wire::messages::LeaderAnswer;
 use cowslip_wire::peer_client::PeerClient;
 
-/// Changes sent one after the other.
-const SINGLE_CHANGES: u64 = 300;
+/// Number of changes sent sequentially.
+const SEQUENTIAL_CHANGES: u64 = 300;
 
-/// Changes sent by many operators at once, and how many operators.
+/// Number of changes in the concurrent burst, and of operators that send them.
 const BURST_CHANGES: u64 = 2_000;
 const OPERATORS: u64 = 64;
 
-/// Changes timed at each state size.
-const CORE_CHANGES: u64 = 300;
+/// Number of changes measured at each document size.
+const MODEL_CHANGES: u64 = 300;
 
 fn main() {
     println!("members  accept p50 ms  p99 ms  max ms  burst changes/s");
@@ -58,7 +58,7 @@
     println!("members  services  leader bytes/change  leader us/change");
     for members in [3, 5] {
         for services in [10, 100, 440] {
-            measure_core(members, services);
+            measure_state_machines(members, services);
         }
     }
 }
@@ -80,19 +80,19 @@
 }
 
 fn spawn_fleet(members: usize, folder: &Path) -> Vec<ControlDaemon> {
-    let mut sockets = Vec::new();
+    let mut all_sockets = Vec::new();
     let mut addresses = Vec::new();
     for number in 0..members {
-        let bound = ControlSockets::bind(loopback(), loopback()).expect("ports");
+        let sockets = ControlSockets::bind(loopback(), loopback()).expect("ports");
         addresses.push(MemberAddress {
             instance: format!("control-{number}").into(),
-            address: bound.address().expect("an address"),
+            address: sockets.address().expect("an address"),
             vote: true,
         });
-        sockets.push(bound);
+        all_sockets.push(sockets);
     }
     let mut daemons = Vec::new();
-    for (bound, member) in sockets.into_iter().zip(&addresses) {
+    for (sockets, member) in all_sockets.into_iter().zip(&addresses) {
         let settings = ControlSettings {
             joining: None,
             node_live: None,
@@ -105,12 +105,13 @@
             operator_key: AccessKey::new("bench-operator"),
             system_key: AccessKey::new("bench-system"),
         };
-        daemons.push(ControlDaemon::spawn(&settings, bound).expect("it starts"));
+        daemons.push(ControlDaemon::spawn(&settings, sockets).expect("it starts"));
     }
     daemons
 }
 
-/// Asks round the instances; gives which one answered.
+/// Sends the change to each instance in turn until one accepts it; returns the
+/// index of that instance.
 async fn send(
     client: &PeerClient,
     addresses: &[SocketAddr],
@@ -137,19 +138,19 @@
     let leader = send(&client, &addresses, change("first".to_owned(), 0)).await;
     let leader = Rc::new(vec![addresses[leader]]);
     let mut times = Vec::new();
-    for number in 0..SINGLE_CHANGES {
-        let began = Instant::now();
+    for number in 0..SEQUENTIAL_CHANGES {
+        let started = Instant::now();
         send(&client, &leader, change(format!("single-{number}"), number)).await;
-        times.push(began.elapsed().as_secs_f64() * 1_000.0);
+        times.push(started.elapsed().as_secs_f64() * 1_000.0);
     }
     times.sort_by(f64::total_cmp);
-    let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
+    let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
     let burst = burst(&client, &leader).await;
     println!(
         "{members:7}  {:13.2}  {:6.2}  {:6.2}  {burst:15.0}",
-        at(0.5),
-        at(0.99),
-        at(1.0)
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0)
     );
     for daemon in daemons {
         daemon.stop().await;
@@ -157,7 +158,7 @@
 }
 
 async fn burst(client: &PeerClient, leader: &Rc<Vec<SocketAddr>>) -> f64 {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut operators = Vec::new();
     for operator in 0..OPERATORS {
         let client = client.clone();
@@ -171,7 +172,7 @@
     for operator in operators {
         operator.await.expect("an operator ends");
     }
-    BURST_CHANGES as f64 / began.elapsed().as_secs_f64()
+    BURST_CHANGES as f64 / started.elapsed().as_secs_f64()
 }
 
 fn document(services: usize) -> FleetDocument {
@@ -199,8 +200,8 @@
     document
 }
 
-/// Members in one thread; messages and syncs take no time.
-struct CoreFleet {
+/// Members in one thread, with instant messages and syncs.
+struct ModelFleet {
     members: Vec<StateReplica>,
     queue: VecDeque<(usize, ReplicaEvent)>,
     now: Duration,
@@ -208,7 +209,7 @@
     leader_time: Duration,
 }
 
-impl CoreFleet {
+impl ModelFleet {
     fn new(count: usize) -> Self {
         let mut founders = Vec::new();
         for number in 0..count {
@@ -239,21 +240,22 @@
         }
     }
 
-    /// Member 0 leads: it founded the log and nothing disturbs it.
-    fn run(&mut self) {
+    /// Processes queued events until none is left. Member 0 leads: it created the
+    /// log, and no fault occurs.
+    fn drain(&mut self) {
         while let Some((at, event)) = self.queue.pop_front() {
-            let began = Instant::now();
+            let started = Instant::now();
             let actions = self.members[at].handle(self.now, [event]);
             if at == 0 {
-                self.leader_time += began.elapsed();
+                self.leader_time += started.elapsed();
             }
             for action in actions {
-                self.act(at, action);
+                self.execute(at, action);
             }
         }
     }
 
-    fn act(&mut self, at: usize, action: ReplicaAction) {
+    fn execute(&mut self, at: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Write(batch) => {
                 let event = ReplicaEvent::Persisted(batch.sequence);
@@ -275,32 +277,32 @@
         for at in 0..self.members.len() {
             self.queue.push_back((at, ReplicaEvent::Tick));
         }
-        self.run();
+        self.drain();
     }
 
     fn change(&mut self, entry: ChangeEntry) {
         self.queue.push_back((0, ReplicaEvent::Change(1, entry)));
-        self.run();
+        self.drain();
     }
 }
 
-fn measure_core(members: usize, services: usize) {
-    let mut fleet = CoreFleet::new(members);
+fn measure_state_machines(members: usize, services: usize) {
+    let mut fleet = ModelFleet::new(members);
     for _ in 0..100 {
         fleet.tick();
     }
-    let mut whole = change("document".to_owned(), 0);
-    whole.change = ConfigChange::Apply(document(services));
-    fleet.change(whole);
+    let mut apply = change("document".to_owned(), 0);
+    apply.change = ConfigChange::Apply(document(services));
+    fleet.change(apply);
     assert_eq!(fleet.members[0].state().history().count(), 1);
     fleet.leader_bytes = 0;
     fleet.leader_time = Duration::ZERO;
-    for number in 0..CORE_CHANGES {
+    for number in 0..MODEL_CHANGES {
         fleet.change(change(format!("core-{number}"), number));
     }
     println!(
         "{members:7}  {services:8}  {:19}  {:16.1}",
-        fleet.leader_bytes / CORE_CHANGES as usize,
-        fleet.leader_time.as_secs_f64() * 1e6 / CORE_CHANGES as f64
+        fleet.leader_bytes / MODEL_CHANGES as usize,
+        fleet.leader_time.as_secs_f64() * 1e6 / MODEL_CHANGES as f64
     );
 }
--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -1,5 +1,5 @@
-//! Leader, relays and nodes as state machines in one process, with every
-//! message encoded and decoded as on the wire.
+//! Models of the leader, relays and nodes: their state machines in one process,
+//! with every message encoded and decoded as on the wire.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,11 +25,11 @@
 use cowslip_core::version_follower::VersionFollower;
 use cowslip_wire::codec;
 
-/// Services and routes at the two-year size.
+/// Services, and routes of each, in the fleet size expected in two years.
 const SERVICES: usize = 440;
-const ROUTES_EACH: usize = 10;
+const ROUTES_PER_SERVICE: usize = 10;
 
-/// Bytes and processor time of one role.
+/// Bytes and CPU time of one role.
 #[derive(Clone, Copy, Default)]
 pub struct RoleCost {
     pub sent: usize,
@@ -38,16 +38,17 @@
 }
 
 impl RoleCost {
-    /// Runs `work` on this role's account.
+    /// Runs `work` and adds its time to this role's CPU time.
     pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        let began = Instant::now();
+        let started = Instant::now();
         let result = work();
-        self.cpu += began.elapsed();
+        self.cpu += started.elapsed();
         result
     }
 }
 
-/// The document of the two-year size, `index` being its only difference.
+/// Returns a snapshot of the size expected in two years. Snapshots of different
+/// `index` differ only in one default.
 pub fn snapshot(index: u64) -> ConfigSnapshot {
     let mut document = FleetDocument::default();
     for service in 0..SERVICES {
@@ -58,7 +59,7 @@
             ..ServiceSpec::default()
         };
         document.services.insert(Arc::clone(&name), spec);
-        for route in 0..ROUTES_EACH {
+        for route in 0..ROUTES_PER_SERVICE {
             document.routes.push(Arc::new(RouteSpec {
                 path: format!("/service-{service:03}/resource-{route}").into(),
                 service: Arc::clone(&name),
@@ -77,7 +78,8 @@
     }
 }
 
-/// One default changed, as the leader's state machine does it.
+/// Returns the next snapshot with one default changed, as by the leader's state
+/// machine.
 pub fn next(snapshot: &ConfigSnapshot) -> ConfigSnapshot {
     let index = snapshot.version.index + 1;
     let mut document = (*snapshot.document).clone();
@@ -90,7 +92,7 @@
     }
 }
 
-/// A record of endpoint `number`.
+/// Returns the directory record of endpoint `number`.
 pub fn endpoint(number: usize, sequence: u64) -> EndpointRecord {
     EndpointRecord {
         instance: format!("server-{number:04}").into(),
@@ -105,7 +107,7 @@
     }
 }
 
-/// A source with its run.
+/// Creates an update source with the given run number.
 pub fn source(name: &str, run: u64) -> UpdateSource {
     UpdateSource::new(SourceIdentity {
         instance: name.into(),
@@ -114,7 +116,7 @@
     })
 }
 
-/// A follower: a node, or a relay towards the leader.
+/// A follower: a node, or a relay that follows the leader.
 pub struct ModelFollower {
     pub name: Arc<str>,
     pub versions: VersionFollower,
@@ -134,8 +136,8 @@
         }
     }
 
-    /// Another node that holds what this one holds.
-    pub fn twin(&self, number: usize) -> Self {
+    /// Creates another node with the same state as this one.
+    pub fn copy(&self, number: usize) -> Self {
         Self {
             versions: self.versions.clone(),
             directory: self.directory.clone(),
@@ -153,8 +155,8 @@
         }
     }
 
-    /// The next question, encoded.
-    pub fn question(&self, waited: bool) -> Vec<u8> {
+    /// Returns the next request, encoded.
+    pub fn request(&self, waited: bool) -> Vec<u8> {
         let call = FollowCall {
             follower: Arc::clone(&self.name),
             held: self.versions.held(),
@@ -168,8 +170,9 @@
         codec::encode(&call).expect("a call encodes")
     }
 
-    /// Takes an answer; fetches chunks from `source`, whose cost grows.
-    pub fn take(
+    /// Processes an answer and fetches chunks from `source`; adds their bytes to
+    /// `fetched`.
+    pub fn handle_answer(
         &mut self,
         now: Duration,
         answer: FollowAnswer,
@@ -195,7 +198,8 @@
     }
 }
 
-/// Decodes an answer that is news.
+/// Decodes an answer; `Err` holds the time after which the follower must ask
+/// again.
 pub fn answer(bytes: &[u8]) -> Result<FollowAnswer, Duration> {
     match codec::decode(bytes).expect("an answer decodes") {
         FollowReply::News(answer) => Ok(*answer),
--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -1,5 +1,6 @@
-//! What a change, a herd and an announcement cost the leader, a relay and a
-//! node, at three sizes and more. See docs/BENCHMARKS.md, "Distribution".
+//! Cost of a change, of many nodes that reconnect at once and of an announcement
+//! for the leader, a relay and a node, at several fleet sizes. See
+//! docs/BENCHMARKS.md, "Distribution".
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,32 +19,34 @@
 
 mod fleet_model;
 
-/// Nodes of one relay at the two-year size: 5,200 over 18.
-const NODES_EACH: usize = 290;
+/// Nodes of one relay in the fleet expected in two years: 5,200 nodes over 18
+/// relays.
+const NODES_PER_RELAY: usize = 290;
 
-/// Changes that are averaged: 1,600 nodes take 4 s each.
+/// Number of changes to average; with 1,600 nodes each takes 4 s.
 const CHANGES: u64 = 2;
 
-/// Endpoints at the two-year size.
+/// Endpoints in the fleet expected in two years.
 const ENDPOINTS: usize = 5_200;
 
-/// Endpoints of the directory in which one announces itself. The cost does
-/// not depend on it, and 1,600 copies of 5,200 would not fit the memory.
-const ENDPOINTS_SMALL: usize = 520;
+/// Endpoints in the directory for the announcement benchmark. The cost does not
+/// depend on this number, and 1,600 copies of 5,200 endpoints would not fit in
+/// memory.
+const ANNOUNCEMENT_ENDPOINTS: usize = 520;
 
-/// Steps after which all nodes wait for news.
-const SETTLE_ROUNDS: usize = 40;
+/// Steps after which all nodes wait for updates.
+const SETTLE_STEPS: usize = 40;
 
 /// Time between two steps of the model.
 const STEP: Duration = Duration::from_millis(100);
 
 struct Relay {
     source: UpdateSource,
-    uplink: ModelFollower,
+    follower: ModelFollower,
     waiting: FollowerId,
     nodes: Vec<ModelFollower>,
-    wanted: usize,
-    asked: HashMap<FollowerId, usize>,
+    node_count: usize,
+    pending: HashMap<FollowerId, usize>,
     later: Vec<(Duration, usize)>,
 }
 
@@ -65,13 +68,13 @@
         change_cost(nodes);
     }
     println!();
-    behind();
+    lagging_node();
     println!();
     println!("herd of reconnecting nodes at one instance, 5,200 endpoints");
     println!("nodes  state    all in s  bytes each  told later  source us each");
     for nodes in [100, 400, 1_000] {
-        herd(nodes, true);
-        herd(nodes, false);
+        reconnecting_nodes(nodes, true);
+        reconnecting_nodes(nodes, false);
     }
     println!();
     println!("one announcement, directory of 520");
@@ -89,18 +92,18 @@
         announce_all(&mut leader, endpoints);
         let mut relays = Vec::new();
         let mut number = 0;
-        for at in 0..nodes.div_ceil(NODES_EACH) {
+        for at in 0..nodes.div_ceil(NODES_PER_RELAY) {
             let first = ModelFollower::node(number);
-            let count = NODES_EACH.min(nodes - number);
+            let count = NODES_PER_RELAY.min(nodes - number);
             number += count;
             let name = format!("relay-{at}");
             relays.push(Relay {
                 source: fleet_model::source(&name, 100 + at as u64),
-                uplink: ModelFollower::relay(&name),
+                follower: ModelFollower::relay(&name),
                 waiting: 0,
                 nodes: vec![first],
-                wanted: count,
-                asked: HashMap::new(),
+                node_count: count,
+                pending: HashMap::new(),
                 later: Vec::new(),
             });
         }
@@ -116,7 +119,8 @@
         fleet
     }
 
-    /// Runs until all nodes hold what the leader holds and wait.
+    /// Runs until all nodes have the leader's state and wait for updates, then
+    /// resets the costs.
     fn settle(&mut self) {
         for relay in 0..self.relays.len() {
             self.ask_leader(relay);
@@ -124,18 +128,18 @@
                 self.ask_relay(relay, node, false);
             }
         }
-        self.rounds(SETTLE_ROUNDS);
+        self.advance_steps(SETTLE_STEPS);
         for relay in 0..self.relays.len() {
-            // The others hold what the first one holds by now.
-            for at in 1..self.relays[relay].wanted {
+            // The other nodes are copies of the first, which is up to date.
+            for at in 1..self.relays[relay].node_count {
                 let nodes = &mut self.relays[relay].nodes;
-                let number = relay * NODES_EACH + at;
-                let next = nodes[0].twin(number);
+                let number = relay * NODES_PER_RELAY + at;
+                let next = nodes[0].copy(number);
                 nodes.push(next);
                 self.ask_relay(relay, at, false);
             }
         }
-        self.rounds(SETTLE_ROUNDS);
+        self.advance_steps(SETTLE_STEPS);
         let held = self.leader.current().version;
         for relay in &self.relays {
             for node in &relay.nodes {
@@ -147,25 +151,26 @@
         self.node_cost = RoleCost::default();
     }
 
-    fn rounds(&mut self, rounds: usize) {
-        for _ in 0..rounds {
-            self.round();
+    fn advance_steps(&mut self, steps: usize) {
+        for _ in 0..steps {
+            self.advance();
         }
     }
 
-    /// Time passes once: news goes down and reports go up.
-    fn round(&mut self) {
+    /// Advances the time by one step: updates go to the nodes, reports to the
+    /// leader.
+    fn advance(&mut self) {
         self.now += STEP;
         self.leader_answers();
         for relay in 0..self.relays.len() {
             self.relay_answers(relay);
             self.relay_reports(relay);
-            self.ask_again(relay);
+            self.ask_deferred(relay);
         }
     }
 
-    /// Nodes that were told to come back come back.
-    fn ask_again(&mut self, at: usize) {
+    /// Repeats the requests of nodes that were deferred to ask again later, once due.
+    fn ask_deferred(&mut self, at: usize) {
         let now = self.now;
         let later = std::mem::take(&mut self.relays[at].later);
         for (due, node) in later {
@@ -179,26 +184,26 @@
 
     fn ask_leader(&mut self, at: usize) {
         let relay = &mut self.relays[at];
-        let question = self.relay_cost.time(|| relay.uplink.question(false));
+        let request = self.relay_cost.time(|| relay.follower.request(false));
         let (leader, now) = (&mut self.leader, self.now);
-        self.leader_cost.received += question.len();
+        self.leader_cost.received += request.len();
         relay.waiting = self.leader_cost.time(|| {
-            let call: FollowCall = codec::decode(&question).expect("a call");
+            let call: FollowCall = codec::decode(&request).expect("a call");
             leader.follow(now, call)
         });
     }
 
     fn ask_relay(&mut self, at: usize, node: usize, waited: bool) {
         let relay = &mut self.relays[at];
-        let question = self.node_cost.time(|| relay.nodes[node].question(waited));
-        self.node_cost.sent += question.len();
-        self.relay_cost.received += question.len();
+        let request = self.node_cost.time(|| relay.nodes[node].request(waited));
+        self.node_cost.sent += request.len();
+        self.relay_cost.received += request.len();
         let (source, now) = (&mut relay.source, self.now);
         let id = self.relay_cost.time(|| {
-            let call: FollowCall = codec::decode(&question).expect("a call");
+            let call: FollowCall = codec::decode(&request).expect("a call");
             source.follow(now, call)
         });
-        relay.asked.insert(id, node);
+        relay.pending.insert(id, node);
     }
 
     fn leader_answers(&mut self) {
@@ -209,13 +214,13 @@
                 let at = self.relays.iter().position(|relay| relay.waiting == id);
                 let at = at.expect("a relay waits");
                 self.leader_cost.sent += bytes.len();
-                self.relay_takes(at, &bytes);
+                self.relay_handles_answer(at, &bytes);
                 self.ask_leader(at);
             }
         }
     }
 
-    fn relay_takes(&mut self, at: usize, bytes: &[u8]) {
+    fn relay_handles_answer(&mut self, at: usize, bytes: &[u8]) {
         let relay = &mut self.relays[at];
         let (leader, now) = (&self.leader, self.now);
         let mut fetched = 0;
@@ -225,7 +230,9 @@
             };
             let source = answer.source.clone();
             let (snapshot, endpoints) =
-                relay.uplink.take(now, answer, leader, &mut fetched);
+                relay
+                    .follower
+                    .handle_answer(now, answer, leader, &mut fetched);
             let news = LeaderUpdate {
                 sent_at: now,
                 source,
@@ -245,7 +252,7 @@
         for (followers, bytes) in answers {
             for id in followers {
                 let relay = &mut self.relays[at];
-                let node = relay.asked.remove(&id).expect("a node waits");
+                let node = relay.pending.remove(&id).expect("a node waits");
                 self.relay_cost.sent += bytes.len();
                 self.node_cost.received += bytes.len();
                 let follower = &mut relay.nodes[node];
@@ -253,7 +260,7 @@
                 let mut fetched = 0;
                 let taken = self.node_cost.time(|| {
                     let answer = fleet_model::answer(&bytes)?;
-                    follower.take(now, answer, source, &mut fetched);
+                    follower.handle_answer(now, answer, source, &mut fetched);
                     Ok(())
                 });
                 self.relay_cost.sent += fetched;
@@ -309,8 +316,8 @@
         let snapshot = fleet_model::next(fleet.leader.current());
         let (leader, now) = (&mut fleet.leader, fleet.now);
         fleet.leader_cost.time(|| leader.publish(now, snapshot));
-        fleet.round();
-        fleet.round();
+        fleet.advance();
+        fleet.advance();
     }
     let held = fleet.leader.current().version;
     let progress = fleet.leader.board().progress(held);
@@ -336,9 +343,9 @@
     total.as_micros() / count as u128
 }
 
-/// A node that is one, 20 and 500 changes behind, one that starts, and one
-/// that has no news.
-fn behind() {
+/// Measures a node without updates, and one that is 1, 20 and 500 changes behind
+/// its source.
+fn lagging_node() {
     println!("a node behind the source, bytes received");
     for changes in [0, 1, 20, 500] {
         let mut fleet = Fleet::new(1, 0);
@@ -350,20 +357,21 @@
         if changes == 0 {
             fleet.now += Duration::from_secs(5);
         }
-        let began = Instant::now();
+        let started = Instant::now();
         fleet.now += STEP;
         fleet.relay_answers(0);
         println!(
             "{changes:4} changes: {} bytes, {} sent, {} us",
             fleet.node_cost.received,
             fleet.node_cost.sent,
-            began.elapsed().as_micros()
+            started.elapsed().as_micros()
         );
     }
 }
 
-/// Nodes that come to a source at once, having lost nothing or everything.
-fn herd(nodes: usize, holding: bool) {
+/// Measures nodes that reconnect to a source at once, with all of their state or
+/// none of it.
+fn reconnecting_nodes(nodes: usize, keeps_state: bool) {
     let mut source = fleet_model::source("control-2", 2);
     source.set_leading(Duration::ZERO, true);
     source.publish(Duration::ZERO, fleet_model::snapshot(1));
@@ -374,42 +382,43 @@
     reconnect(&mut source, &mut first, Duration::ZERO, false, &mut cost);
     cost = RoleCost::default();
     let start = Duration::from_secs(60);
-    let mut coming = Vec::new();
+    let mut waiting_nodes = Vec::new();
     for number in 0..nodes {
         let mut node = ModelFollower::node(number);
-        if holding {
+        if keeps_state {
             node.versions = first.versions.clone();
             node.directory = first.directory.clone();
             node.directory.forget_place();
         }
-        coming.push((start, false, node));
+        waiting_nodes.push((start, false, node));
     }
-    let mut told = 0;
+    let mut deferred = 0;
     let mut last = start;
-    while !coming.is_empty() {
-        coming.sort_by_key(|(at, _, _)| *at);
+    while !waiting_nodes.is_empty() {
+        waiting_nodes.sort_by_key(|(at, _, _)| *at);
         let mut later = Vec::new();
-        for (now, waited, mut node) in coming {
+        for (now, waited, mut node) in waiting_nodes {
             match reconnect(&mut source, &mut node, now, waited, &mut cost) {
                 None => last = last.max(now),
                 Some(after) => {
-                    told += 1;
+                    deferred += 1;
                     later.push((now + after, true, node));
                 }
             }
         }
-        coming = later;
+        waiting_nodes = later;
     }
     println!(
-        "{nodes:5}  {:8} {:8.2} {:11} {told:11} {:15}",
-        if holding { "holding" } else { "starting" },
+        "{nodes:5}  {:8} {:8.2} {:11} {deferred:11} {:15}",
+        if keeps_state { "holding" } else { "starting" },
         (last - start).as_secs_f64(),
         (cost.sent + cost.received) / nodes,
         micros(cost.cpu, nodes),
     );
 }
 
-/// One first question; the time to come back where it was not taken.
+/// Sends a first request; returns the time after which the node must ask again if
+/// the request was deferred.
 fn reconnect(
     source: &mut UpdateSource,
     node: &mut ModelFollower,
@@ -417,20 +426,20 @@
     waited: bool,
     cost: &mut RoleCost,
 ) -> Option<Duration> {
-    let question = node.question(waited);
-    cost.received += question.len();
+    let request = node.request(waited);
+    cost.received += request.len();
     let (id, answers) = cost.time(|| {
-        let call: FollowCall = codec::decode(&question).expect("a call");
+        let call: FollowCall = codec::decode(&request).expect("a call");
         let id = source.follow(now, call);
         (id, encoded(source, now))
     });
     let own = answers.into_iter().find(|(ids, _)| ids.contains(&id));
-    // No answer: the node holds everything and waits for the next change.
+    // No answer: the node is up to date and waits for the next change.
     let (_, bytes) = own?;
     cost.sent += bytes.len();
     match fleet_model::answer(&bytes) {
         Ok(answer) => {
-            node.take(now, answer, source, &mut cost.sent);
+            node.handle_answer(now, answer, source, &mut cost.sent);
             None
         }
         Err(after) => Some(after),
@@ -438,14 +447,14 @@
 }
 
 fn announcement(nodes: usize) {
-    let mut fleet = Fleet::new(nodes, ENDPOINTS_SMALL);
+    let mut fleet = Fleet::new(nodes, ANNOUNCEMENT_ENDPOINTS);
     for sequence in 2..2 + CHANGES {
         let mut batch = ReportBatch::default();
         batch.endpoints.push(fleet_model::endpoint(7, sequence));
         let (leader, now) = (&mut fleet.leader, fleet.now);
         fleet.leader_cost.time(|| leader.report(now, batch));
-        fleet.round();
-        fleet.round();
+        fleet.advance();
+        fleet.advance();
     }
     let changes = CHANGES as usize;
     let relays = changes * fleet.relays.len();
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -129,25 +129,29 @@
         Some(LeaderAnswer::Here(lines))
     }
 
-    async fn line(&self, record: RolloutRecord, course: bool) -> Option<RolloutLine> {
-        let course_state = self.course(record.rollout).await;
+    async fn line(
+        &self,
+        record: RolloutRecord,
+        with_course: bool,
+    ) -> Option<RolloutLine> {
+        let course = self.course(record.rollout).await;
         let (reply, answer) = oneshot::channel();
         let message = FanoutMessage::Progress(record.last_version(), reply);
         self.fanout.send(message).await.ok()?;
         let progress = answer.await.ok()?;
-        Some(line(record, course_state, progress, course))
+        Some(line(record, course, progress, with_course))
     }
 }
 
 fn line(
     record: RolloutRecord,
-    course_state: RolloutCourse,
+    course: RolloutCourse,
     progress: VersionProgress,
-    course: bool,
+    with_course: bool,
 ) -> RolloutLine {
     let counts = match record.end {
         Some(_) => record.counts,
-        None => course_state.counts,
+        None => course.counts,
     };
     let state = state(&record, &progress.progress);
     let ended_after_ms = record
@@ -164,9 +168,9 @@
         state,
         nodes: progress.progress,
         counts,
-        wait: course_state.wait.filter(|_| record.end.is_none()),
-        course: if course {
-            course_state.points
+        wait: course.wait.filter(|_| record.end.is_none()),
+        course: if with_course {
+            course.points
         } else {
             Vec::new()
         },
--- a/crates/control/tests/example_settings.rs
+++ b/crates/control/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The commented settings under settings/ are usable as they stand.
+//! Checks that the example settings under `settings/` are valid as they are.
 
 use std::path::PathBuf;
 
@@ -11,11 +11,12 @@
 }
 
 #[test]
-fn control_examples_are_usable() {
+fn control_examples_are_valid() {
     for deployment in ["sidertre", "colmenares"] {
         for number in 1..=3 {
             let file = example(deployment, &format!("control-{number}.yaml"));
-            let settings: ControlSettings = settings_file::read(&file).expect("usable");
+            let settings: ControlSettings =
+                settings_file::read(&file).expect("valid settings");
             assert_eq!(settings.members.len(), 3);
         }
     }
--- a/crates/control/tests/folder_opener.rs
+++ b/crates/control/tests/folder_opener.rs
@@ -1,4 +1,4 @@
-//! Folders that cannot be used any more.
+//! Data folders that have become unusable.
 
 use std::fs;
 use std::path::Path;
@@ -23,15 +23,18 @@
     }
 }
 
-/// A folder that holds this term and vote; returns its number.
-fn folder_with(path: &Path, hard: HardState) -> u64 {
+/// Creates a folder that holds `hard`; returns the ID of the folder.
+fn create_folder(path: &Path, hard: HardState) -> u64 {
     let mut opening = opener(path, false).open().expect("an empty folder");
     let batch = WriteBatch {
         sequence: 1,
         hard: Some(hard),
         ..WriteBatch::default()
     };
-    opening.store.write(vec![batch]).expect("it is written");
+    opening
+        .store
+        .write(vec![batch])
+        .expect("the write succeeds");
     opening.folder.folder
 }
 
@@ -43,56 +46,58 @@
     }
 }
 
-// Guards against an instance that keeps its vote for good with a folder that
-// was rolled back, and so takes no part while nobody can take its place.
+// Guards against an instance whose folder was rolled back and that remains a
+// voter for good: it takes no part in the agreement, and no other instance can
+// replace it.
 #[test]
-fn a_rolled_back_folder_gives_way_to_an_empty_one() {
+fn a_rolled_back_folder_is_replaced_by_an_empty_one() {
     let folder = tempfile::tempdir().expect("a folder");
-    let before = folder_with(folder.path(), barred());
+    let old_folder = create_folder(folder.path(), barred());
     let opening = opener(folder.path(), true).open().expect("an empty one");
     assert!(opening.replaced);
-    assert_ne!(opening.folder.folder, before);
+    assert_ne!(opening.folder.folder, old_folder);
     assert_eq!(opening.folder.saved.hard, HardState::default());
     drop(opening);
     for name in ["identity.spoilt", "log.spoilt"] {
         assert!(folder.path().join(name).exists(), "{name}");
     }
-    let again = opener(folder.path(), true).open().expect("the same one");
-    assert!(!again.replaced);
-    assert_eq!(again.folder.start.count, 2);
+    let reopened = opener(folder.path(), true).open().expect("the same one");
+    assert!(!reopened.replaced);
+    assert_eq!(reopened.folder.start.count, 2);
 }
 
-// Guards against a folder that stays unusable because a crash came between the
-// steps of setting it aside.
+// Guards against a folder that stays unusable because the process crashed while
+// the folder was being set aside.
 #[test]
-fn a_folder_half_set_aside_is_set_aside_whole() {
+fn setting_a_folder_aside_completes_after_a_crash() {
     let folder = tempfile::tempdir().expect("a folder");
-    folder_with(folder.path(), barred());
+    create_folder(folder.path(), barred());
     fs::remove_file(folder.path().join("identity")).expect("a file");
     let opening = opener(folder.path(), true).open().expect("an empty one");
     assert_eq!(opening.folder.saved.hard, HardState::default());
 }
 
-// Guards against two stores that write to one folder: the disk hangs in a write
-// while the folder is left.
+// Guards against two stores that write to one folder, because the previous store
+// still hangs in a write when the folder is reopened.
 #[test]
-fn a_folder_is_opened_again_only_once_the_store_before_has_ended() {
+fn a_folder_is_reopened_only_after_the_previous_store_has_ended() {
     let folder = tempfile::tempdir().expect("a folder");
     let source = Arc::new(opener(folder.path(), true));
-    let (hanging, before) = unbounded_channel::<ReplicaEvent>();
+    let (previous_store, previous_reports) = unbounded_channel::<ReplicaEvent>();
     let (opened, mut openings) = unbounded_channel();
-    folder_opener::spawn(source, before, opened).expect("a thread");
+    folder_opener::spawn(source, previous_reports, opened).expect("a thread");
     std::thread::sleep(Duration::from_millis(1_500));
     assert!(openings.try_recv().is_err());
-    drop(hanging);
+    drop(previous_store);
     assert!(openings.blocking_recv().is_some());
 }
 
-// Guards against the loss of a folder that operators see to themselves.
+// Guards against setting aside a folder in a fleet whose members are listed by
+// operators, who replace members themselves.
 #[test]
-fn a_rolled_back_folder_is_left_to_operators_who_list_the_members() {
+fn a_rolled_back_folder_is_kept_if_operators_list_the_members() {
     let folder = tempfile::tempdir().expect("a folder");
-    folder_with(folder.path(), barred());
+    create_folder(folder.path(), barred());
     let opened = opener(folder.path(), false).open();
     assert!(matches!(opened.err(), Some(StoreError::RolledBack)));
     assert!(folder.path().join("identity").exists());
--- a/crates/control/tests/killed_processes.rs
+++ b/crates/control/tests/killed_processes.rs
@@ -1,4 +1,4 @@
-//! Real control processes, killed in the middle of changes.
+//! Control processes that are killed while changes are in progress.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -29,23 +29,24 @@
 const CONTROLS: u8 = 3;
 const CHANGES: u64 = 500;
 
-/// A process is killed after this many changes, and started again with the
-/// next kill.
+/// Number of changes between kills; a killed process is restarted at the next
+/// kill.
 const KILL_EVERY: u64 = 60;
 
-/// Longest wait for anything; only a broken fleet reaches it.
+/// Timeout for an answer of the leader; only a broken fleet reaches it.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An address on a loopback IP number that only this test process uses, so
-/// that no outgoing connection can take the port before its owner binds it.
-fn own_address(number: u8) -> SocketAddr {
+/// Returns a free address on a loopback IP address that only this test process
+/// uses, so that no outgoing connection can take the port before the control
+/// process binds it.
+fn free_address(number: u8) -> SocketAddr {
     let pid = std::process::id().to_be_bytes();
-    let own = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number));
-    let bound = TcpListener::bind(SocketAddr::new(own, 0)).expect("a free port");
-    bound.local_addr().expect("its address")
+    let address = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number));
+    let listener = TcpListener::bind(SocketAddr::new(address, 0)).expect("a free port");
+    listener.local_addr().expect("its address")
 }
 
-/// Control processes that end with the test, also when it fails.
+/// Control processes that are killed when the test ends, even if it fails.
 struct ControlFleet {
     folder: TempDir,
     addresses: Vec<SocketAddr>,
@@ -64,7 +65,7 @@
     fn spawn() -> Self {
         let mut fleet = Self {
             folder: tempfile::tempdir().expect("a folder"),
-            addresses: (1..=CONTROLS).map(own_address).collect(),
+            addresses: (1..=CONTROLS).map(free_address).collect(),
             children: Vec::new(),
         };
         for number in 0..CONTROLS {
@@ -87,11 +88,11 @@
              listen: {}\nadmin_listen: {}\ndata_folder: {}\nmembers:\n{members}\
              operator_key: test-operator\nsystem_key: test-system\n",
             self.addresses[usize::from(number)],
-            own_address(10 + number),
+            free_address(10 + number),
             folder.display()
         );
         let file = self.folder.path().join(format!("control-{number}.yaml"));
-        fs::write(file, settings).expect("the folder can be written");
+        fs::write(file, settings).expect("settings are written");
     }
 
     fn start(&mut self, at: usize) {
@@ -104,7 +105,7 @@
             .arg(file)
             .env("RUST_LOG", "error")
             .spawn()
-            .expect("the program starts");
+            .expect("cowslip-control starts");
         self.children[at] = Some(child);
     }
 
@@ -116,12 +117,12 @@
     }
 }
 
-/// Asks round the instances until the leader answers.
+/// Sends the call to each instance in turn until the leader answers.
 async fn ask<C, T>(client: &PeerClient, addresses: &[SocketAddr], call: &C) -> T
 where
     C: WireCall<Answer = LeaderAnswer<T>>,
 {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         for address in addresses {
             let answer = client.send(*address, call, Duration::from_secs(3)).await;
@@ -129,7 +130,7 @@
                 return answer;
             }
         }
-        assert!(began.elapsed() < TIMEOUT, "no leader answered");
+        assert!(started.elapsed() < TIMEOUT, "no leader answered");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -147,13 +148,11 @@
     ChangeCall { entry }
 }
 
-// Operators send changes one after the other and resend each until it is
-// answered. Meanwhile processes are killed and started again, one at a time
-// and once all three together, some of them with a change under way. Every
-// change that was answered as accepted must be there at the end, once, and
-// no version number may stand for two changes.
+// Guards against accepted changes that are lost or applied twice, and against
+// version numbers that are used twice, when processes are killed: one at a
+// time, and once all three, while the operator sends and resends changes.
 #[test]
-fn kills_lose_no_change_and_use_no_number_twice() {
+fn killed_processes_lose_no_change_and_reuse_no_version() {
     let mut fleet = ControlFleet::spawn();
     let addresses = fleet.addresses.clone();
     let (accepted, lines) = actix_rt::System::new().block_on(async {
@@ -161,7 +160,7 @@
         let mut accepted = BTreeMap::new();
         for number in 0..CHANGES {
             let call = change(number);
-            // The kill meets the change while it is under way.
+            // The change is in progress when the process is killed.
             let answer = {
                 let addresses = addresses.clone();
                 let client = client.clone();
@@ -169,9 +168,9 @@
             };
             if number % KILL_EVERY == KILL_EVERY - 1 {
                 actix_rt::time::sleep(Duration::from_millis(2)).await;
-                disturb(&mut fleet, number / KILL_EVERY);
+                kill_and_restart(&mut fleet, number / KILL_EVERY);
             }
-            match answer.await.expect("the asking ends") {
+            match answer.await.expect("the request task ends") {
                 ChangeOutcome::Accepted { version } => {
                     accepted.insert(number, version);
                 }
@@ -183,18 +182,19 @@
         (accepted, lines)
     });
     assert_eq!(accepted.len() as u64, CHANGES);
-    let mut before = ConfigVersion::ZERO;
-    let mut held = BTreeMap::new();
+    let mut previous = ConfigVersion::ZERO;
+    let mut listed = BTreeMap::new();
     for line in &lines {
-        assert!(line.version > before, "{} was used twice", line.version);
-        before = line.version;
-        assert!(held.insert(line.at_ms, line.version).is_none());
+        assert!(line.version > previous, "{} was used twice", line.version);
+        previous = line.version;
+        assert!(listed.insert(line.at_ms, line.version).is_none());
     }
-    assert_eq!(held, accepted);
+    assert_eq!(listed, accepted);
 }
 
-/// Kills one process, or all of them, and starts those killed before.
-fn disturb(fleet: &mut ControlFleet, round: u64) {
+/// Restarts the processes killed previous, then kills one process, or kills and
+/// restarts all of them.
+fn kill_and_restart(fleet: &mut ControlFleet, round: u64) {
     let controls = fleet.children.len();
     for at in 0..controls {
         fleet.start(at);
--- a/crates/control/tests/member_store.rs
+++ b/crates/control/tests/member_store.rs
@@ -1,4 +1,5 @@
-//! The data folder: against a plain list, torn at every byte, and damaged.
+//! The data folder: compared with an in-memory model, truncated at every byte, and
+//! damaged.
 
 use std::fs;
 use std::path::Path;
@@ -64,45 +65,46 @@
     Ok(FolderStore::open(folder, INSTANCE)?.saved)
 }
 
-fn filled(folder: &Path, batches: Vec<WriteBatch>) {
+fn write_batches(folder: &Path, batches: Vec<WriteBatch>) {
     let mut store = FolderStore::open(folder, INSTANCE).expect("it opens").store;
     for batch in batches {
-        store.write(vec![batch]).expect("it is written");
+        store.write(vec![batch]).expect("the write succeeds");
     }
 }
 
-/// One write: how many entries are cut, how many come, and a vote.
+/// A generated write: entries to truncate, entries to append, and whether the
+/// vote changes.
 #[derive(Clone, Debug)]
-struct PlainWrite {
+struct ModelWrite {
     cut: u64,
     appended: u64,
     vote: bool,
 }
 
-fn plain_write() -> impl Strategy<Value = PlainWrite> {
-    (0_u64..3, 0_u64..4, any::<bool>()).prop_map(|(cut, appended, vote)| PlainWrite {
+fn model_write() -> impl Strategy<Value = ModelWrite> {
+    (0_u64..3, 0_u64..4, any::<bool>()).prop_map(|(cut, appended, vote)| ModelWrite {
         cut,
         appended,
         vote,
     })
 }
 
-/// Makes the batch, and does the same to a plain list.
-fn step(naive: &mut SavedState, number: u64, write: &PlainWrite) -> WriteBatch {
+/// Creates the batch for a write and applies the same write to the model.
+fn apply_write(model: &mut SavedState, number: u64, write: &ModelWrite) -> WriteBatch {
     let mut batch = WriteBatch::default();
     if write.vote {
-        naive.hard = hard(number + 1);
+        model.hard = hard(number + 1);
         batch.hard = Some(hard(number + 1));
     }
     if write.cut > 0 {
-        let kept = naive.entries.len().saturating_sub(write.cut as usize);
-        naive.entries.truncate(kept);
+        let kept = model.entries.len().saturating_sub(write.cut as usize);
+        model.entries.truncate(kept);
         batch.cut_from = Some(kept as u64 + 1);
     }
     for _ in 0..write.appended {
-        let index = naive.entries.len() as u64 + 1;
+        let index = model.entries.len() as u64 + 1;
         batch.entries.push(entry(number + 1, index));
-        naive.entries.push(entry(number + 1, index));
+        model.entries.push(entry(number + 1, index));
     }
     batch
 }
@@ -114,23 +116,23 @@
         ..ProptestConfig::default()
     })]
 
-    // The process is killed or the power fails in the middle of a write.
-    // Whatever byte the file ends at, the folder must open with exactly the
-    // writes that were synced, as a plain list holds them.
+    // Guards against lost or partial writes after a crash in the middle of a
+    // write. Whatever byte the file ends at, the folder must open with exactly
+    // the writes that were synced, as in the model.
     #[test]
-    fn a_torn_tail_is_cut_at_every_byte(writes in vec(plain_write(), 1..5)) {
+    fn a_log_torn_at_any_byte_is_truncated(writes in vec(model_write(), 1..5)) {
         let folder = tempdir().expect("a folder");
         let log = folder.path().join("log");
         let mut opened = FolderStore::open(folder.path(), INSTANCE).expect("it opens");
-        let mut naive = SavedState::default();
-        let mut held = vec![(fs::read(&log).expect("a log").len(), naive.clone())];
+        let mut model = SavedState::default();
+        let mut held = vec![(fs::read(&log).expect("a log").len(), model.clone())];
         for (number, write) in writes.iter().enumerate() {
-            let batch = step(&mut naive, number as u64, write);
+            let batch = apply_write(&mut model, number as u64, write);
             if batch.is_empty() {
                 continue;
             }
-            opened.store.write(vec![batch]).expect("it is written");
-            held.push((fs::read(&log).expect("a log").len(), naive.clone()));
+            opened.store.write(vec![batch]).expect("the write succeeds");
+            held.push((fs::read(&log).expect("a log").len(), model.clone()));
         }
         drop(opened);
         let whole = fs::read(&log).expect("a log");
@@ -145,19 +147,19 @@
     }
 }
 
-// A disk gives back a wrong byte in an entry that was acknowledged, with
-// others behind it. Going on without them would lose accepted changes, so
-// the instance does not start and says what to do.
+// Guards against dropping accepted changes when the disk returns a wrong byte in
+// an acknowledged entry that others follow. The folder must be refused with an
+// error that says what to do.
 #[test]
-fn a_damaged_middle_is_refused() {
+fn a_log_damaged_in_the_middle_is_refused() {
     let folder = tempdir().expect("a folder");
-    filled(folder.path(), vec![entries(1..=3)]);
+    write_batches(folder.path(), vec![entries(1..=3)]);
     let log = folder.path().join("log");
-    let spoilt_at = fs::read(&log).expect("a log").len() - 1;
-    filled(folder.path(), vec![entries(4..=5)]);
+    let damaged_at = fs::read(&log).expect("a log").len() - 1;
+    write_batches(folder.path(), vec![entries(4..=5)]);
     let mut bytes = fs::read(&log).expect("a log");
-    bytes[spoilt_at] ^= 1;
-    fs::write(&log, bytes).expect("a spoilt log");
+    bytes[damaged_at] ^= 1;
+    fs::write(&log, bytes).expect("a damaged log");
     let refused = open(folder.path()).expect_err("it is damaged");
     assert!(matches!(refused, StoreError::Damaged { file: "log", .. }));
     assert!(refused
@@ -165,12 +167,13 @@
         .contains("add this instance as a new member"));
 }
 
-// The kernel grew the file before the power failed, so the last record is
-// there as zeros. It was never acknowledged: the log ends before it.
+// Guards against refusing a folder whose log ends in zeros, because the power
+// failed after the kernel had extended the file. The record was never
+// acknowledged, so the log ends before it.
 #[test]
-fn a_tail_of_zeros_is_cut() {
+fn a_tail_of_zeros_is_truncated() {
     let folder = tempdir().expect("a folder");
-    filled(folder.path(), vec![entries(1..=3)]);
+    write_batches(folder.path(), vec![entries(1..=3)]);
     let log = folder.path().join("log");
     let mut bytes = fs::read(&log).expect("a log");
     bytes.extend([0; 500]);
@@ -178,13 +181,13 @@
     assert_eq!(open(folder.path()).expect("it opens").entries.len(), 3);
 }
 
-// An operator copies one instance's settings to another and leaves the data
-// folder in them, or mounts the wrong disk. Two instances with one identity
-// would count twice in a majority.
+// Guards against two instances with one identity, which would count twice in a
+// majority: an operator copies settings without changing the data folder, or
+// mounts the wrong disk.
 #[test]
 fn a_folder_of_another_instance_is_refused() {
     let folder = tempdir().expect("a folder");
-    filled(folder.path(), vec![entries(1..=3)]);
+    write_batches(folder.path(), vec![entries(1..=3)]);
     let refused = FolderStore::open(folder.path(), "control-2").expect_err("not its own");
     let StoreError::OtherInstance { found, expected } = refused else {
         panic!("{refused}");
@@ -192,8 +195,7 @@
     assert_eq!((&*found, &*expected), (INSTANCE, "control-2"));
 }
 
-// A process is started twice on one folder. The second must not write into
-// the log of the first.
+// Guards against two processes that write to the log of one folder.
 #[test]
 fn a_folder_in_use_is_refused() {
     let folder = tempdir().expect("a folder");
@@ -204,13 +206,13 @@
     open(folder.path()).expect("it is free again");
 }
 
-// Somebody removed single files of a folder, or restored some of them. What
-// is left must not pass as the whole, nor as an empty folder.
+// Guards against using a folder with missing files, as complete or as empty,
+// after somebody removed or restored single files.
 #[test]
 fn a_folder_with_missing_files_is_refused() {
     for missing in ["log", "identity", "snapshot"] {
         let folder = tempdir().expect("a folder");
-        filled(
+        write_batches(
             folder.path(),
             vec![entries(1..=3), snapshot_at(3, Vec::new())],
         );
@@ -223,40 +225,41 @@
     }
 }
 
-// The log file of another folder stands in this one.
+// Guards against using a log file that was copied from another folder.
 #[test]
 fn a_log_of_another_folder_is_refused() {
     let folder = tempdir().expect("a folder");
     let other = tempdir().expect("a folder");
-    filled(folder.path(), vec![entries(1..=3)]);
-    filled(other.path(), vec![entries(1..=2)]);
+    write_batches(folder.path(), vec![entries(1..=3)]);
+    write_batches(other.path(), vec![entries(1..=2)]);
     fs::copy(other.path().join("log"), folder.path().join("log")).expect("a copy");
     let refused = open(folder.path()).expect_err("another's");
     assert!(matches!(refused, StoreError::Inconsistent { .. }));
 }
 
-// The process dies after the new snapshot got its name and before the new
-// log did. The old log beside it still holds everything.
+// Guards against losing entries when the process crashes after the new snapshot
+// is renamed into place and before the new log is. The old log still holds all
+// entries.
 #[test]
 fn a_crash_between_snapshot_and_log_loses_nothing() {
     let folder = tempdir().expect("a folder");
-    filled(folder.path(), vec![entries(1..=6)]);
+    write_batches(folder.path(), vec![entries(1..=6)]);
     let log = folder.path().join("log");
     let old = fs::read(&log).expect("a log");
-    filled(
+    write_batches(
         folder.path(),
         vec![snapshot_at(4, vec![entry(1, 5), entry(1, 6)])],
     );
     let after = open(folder.path()).expect("it opens");
     assert_eq!(after.entries, vec![entry(1, 5), entry(1, 6)]);
     fs::write(&log, old).expect("the old log");
-    let between = open(folder.path()).expect("it opens");
-    assert_eq!(between.snapshot.version, ConfigVersion::new(1, 4));
-    assert_eq!(between.entries.len(), 6);
+    let reopened = open(folder.path()).expect("it opens");
+    assert_eq!(reopened.snapshot.version, ConfigVersion::new(1, 4));
+    assert_eq!(reopened.entries.len(), 6);
 }
 
-// The other members found that this folder lost what it had acknowledged.
-// A restart must not give it its vote back.
+// Guards against an instance that votes again after a restart although the other
+// members found that its folder had lost acknowledged entries.
 #[test]
 fn a_barred_folder_stays_barred() {
     let folder = tempdir().expect("a folder");
@@ -268,7 +271,7 @@
         hard: Some(barred),
         ..WriteBatch::default()
     };
-    filled(folder.path(), vec![batch]);
+    write_batches(folder.path(), vec![batch]);
     let refused = open(folder.path()).expect_err("it is barred");
     assert!(matches!(refused, StoreError::RolledBack));
 }
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -1,4 +1,4 @@
-//! Disks that fail, by a store that stands in for one.
+//! Behavior on disk failures, with stores that simulate failing and slow disks.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -35,31 +35,31 @@
 use cowslip_wire::access_key::AccessKey;
 use cowslip_wire::messages::LeaderAnswer;
 
-/// A disk that takes so many writes and is full then.
+/// A disk that is full after `capacity` writes.
 struct FullDisk {
-    room: usize,
+    capacity: usize,
     writes: Arc<AtomicUsize>,
 }
 
 impl MemberStore for FullDisk {
     fn write(&mut self, _batches: Vec<WriteBatch>) -> Result<(), StoreError> {
         let before = self.writes.fetch_add(1, Ordering::SeqCst);
-        if before < self.room {
+        if before < self.capacity {
             return Ok(());
         }
         Err(std::io::Error::from(std::io::ErrorKind::StorageFull).into())
     }
 }
 
-/// A folder on a full disk, which has room again after so many tries.
+/// A folder on a full disk that has free space again after `full_for` attempts.
 struct FullFolder {
-    tries: AtomicUsize,
+    attempts: AtomicUsize,
     full_for: usize,
 }
 
 impl FolderSource for FullFolder {
     fn open(&self) -> Result<FolderOpening, StoreError> {
-        let before = self.tries.fetch_add(1, Ordering::SeqCst);
+        let before = self.attempts.fetch_add(1, Ordering::SeqCst);
         if before < self.full_for {
             return Err(std::io::Error::from(std::io::ErrorKind::StorageFull).into());
         }
@@ -72,7 +72,7 @@
             },
             replaced: false,
             store: Box::new(FullDisk {
-                room: usize::MAX,
+                capacity: usize::MAX,
                 writes: Arc::default(),
             }),
         })
@@ -83,16 +83,17 @@
     }
 }
 
-/// A disk that says how many batches each write has, and waits to be let go.
+/// A disk that reports the number of batches in each write, then waits until the
+/// test lets the write finish.
 struct SlowDisk {
-    began: mpsc::Sender<usize>,
-    go: mpsc::Receiver<()>,
+    started: mpsc::Sender<usize>,
+    finish: mpsc::Receiver<()>,
 }
 
 impl MemberStore for SlowDisk {
     fn write(&mut self, batches: Vec<WriteBatch>) -> Result<(), StoreError> {
-        self.began.send(batches.len()).expect("the test looks");
-        self.go.recv().expect("the test lets go");
+        self.started.send(batches.len()).expect("the test receives");
+        self.finish.recv().expect("the test lets the write finish");
         Ok(())
     }
 }
@@ -105,63 +106,63 @@
     }
 }
 
-// A sync fails. The kernel may have dropped what it could not write, so a
-// second sync would seem to work. Nothing may be written or reported as
-// synced after the failure.
+// Guards against writes after a failed sync. The kernel may have dropped pages
+// that it could not write, so a second sync could succeed although data is
+// lost.
 #[test]
-fn nothing_is_written_after_a_failure() {
+fn nothing_is_written_after_a_failed_sync() {
     let writes = Arc::new(AtomicUsize::new(0));
     let disk = FullDisk {
-        room: 1,
+        capacity: 1,
         writes: Arc::clone(&writes),
     };
-    let (reports, mut told) = unbounded_channel();
+    let (reports, mut received) = unbounded_channel();
     let store = store_thread::spawn(Box::new(disk), reports).expect("a thread");
     store.write(batch(1));
     assert!(matches!(
-        told.blocking_recv(),
+        received.blocking_recv(),
         Some(ReplicaEvent::Persisted(1))
     ));
     store.write(batch(2));
     assert!(matches!(
-        told.blocking_recv(),
+        received.blocking_recv(),
         Some(ReplicaEvent::DiskFailed)
     ));
     store.write(batch(3));
-    assert!(told.blocking_recv().is_none());
+    assert!(received.blocking_recv().is_none());
     assert_eq!(writes.load(Ordering::SeqCst), 2);
 }
 
-// Operators send a burst while a sync runs. What gathers meanwhile must
-// share the next sync.
+// Guards against a sync for each change: all batches that operators' changes
+// queue during a sync must share the next sync.
 #[test]
-fn a_burst_shares_a_sync() {
-    let (began, begun) = mpsc::channel();
-    let (let_go, go) = mpsc::channel();
-    let disk = SlowDisk { began, go };
-    let (reports, mut told) = unbounded_channel();
+fn batches_queued_during_a_sync_share_the_next_sync() {
+    let (started, starts) = mpsc::channel();
+    let (let_finish, finish) = mpsc::channel();
+    let disk = SlowDisk { started, finish };
+    let (reports, mut received) = unbounded_channel();
     let store = store_thread::spawn(Box::new(disk), reports).expect("a thread");
     store.write(batch(1));
-    assert_eq!(begun.recv(), Ok(1));
+    assert_eq!(starts.recv(), Ok(1));
     for sequence in 2..=100 {
         store.write(batch(sequence));
     }
-    let_go.send(()).expect("the disk waits");
-    assert_eq!(begun.recv(), Ok(99));
-    let_go.send(()).expect("the disk waits");
+    let_finish.send(()).expect("the disk waits");
+    assert_eq!(starts.recv(), Ok(99));
+    let_finish.send(()).expect("the disk waits");
     assert!(matches!(
-        told.blocking_recv(),
+        received.blocking_recv(),
         Some(ReplicaEvent::Persisted(1))
     ));
     assert!(matches!(
-        told.blocking_recv(),
+        received.blocking_recv(),
         Some(ReplicaEvent::Persisted(100))
     ));
 }
 
-// The disk of the only voter is full. The operator must hear that the
-// change may have been accepted, never that it was; the next one must hear
-// that nobody leads.
+// Guards against a change that is answered as accepted although the disk of the
+// only voter was full. Its outcome is unknown; the answer to the next change
+// must be that no instance leads.
 #[test]
 fn a_change_on_a_full_disk_is_not_accepted() {
     actix_rt::System::new().block_on(async {
@@ -177,10 +178,10 @@
     });
 }
 
-// Guards against an instance that runs on without a part in the agreement once
-// its disk has been full, though there is room again.
+// Guards against an instance that keeps running without taking part in the
+// agreement after its disk was full, although the disk has free space again.
 #[test]
-fn an_instance_whose_disk_was_full_takes_part_again() {
+fn an_instance_rejoins_after_its_disk_was_full() {
     actix_rt::System::new().block_on(async {
         let handle = spawn_on_full_disk(2);
         let mut leader = handle.leader.clone();
@@ -188,20 +189,21 @@
             leader.changed().await.expect("the task runs");
         }
         assert_eq!(ask(&handle.task, "first").await, LeaderAnswer::Unknown);
-        let again = async {
+        let leads_again = async {
             while !leader.borrow().is_leading() {
                 leader.changed().await.expect("the task runs");
             }
         };
-        let again = actix_rt::time::timeout(Duration::from_secs(10), again).await;
-        again.expect("it leads again");
+        let leads_again =
+            actix_rt::time::timeout(Duration::from_secs(10), leads_again).await;
+        leads_again.expect("it leads again");
         let second = ask(&handle.task, "second").await;
         assert!(matches!(second, LeaderAnswer::Here(_)), "{second:?}");
     });
 }
 
-/// The only voter, on a disk with room for the founding alone; the folder can
-/// be opened again after so many tries.
+/// Starts the only voter, on a disk that is full after the first write, which
+/// creates the log. The folder can be reopened after `full_for` failed attempts.
 fn spawn_on_full_disk(full_for: usize) -> AgreementHandle {
     let member = MemberAddress {
         instance: "control-1".into(),
@@ -221,23 +223,23 @@
         system_key: AccessKey::new("test-system"),
     };
     let disk = Box::new(FullDisk {
-        room: 1,
+        capacity: 1,
         writes: Arc::default(),
     });
     let folder = Arc::new(FullFolder {
-        tries: AtomicUsize::new(0),
+        attempts: AtomicUsize::new(0),
         full_for,
     });
     let (fanout, mut published) = tokio::sync::mpsc::channel(16);
     actix_rt::spawn(async move { while published.recv().await.is_some() {} });
-    let member = lone_member(&settings);
+    let member = single_member(&settings);
     let metrics = AgreementMetrics::default();
     let handle =
         agreement_task::spawn_member(&settings, member, disk, folder, fanout, metrics);
     handle.expect("it starts")
 }
 
-fn lone_member(settings: &ControlSettings) -> StateReplica {
+fn single_member(settings: &ControlSettings) -> StateReplica {
     let identity = MemberIdentity {
         instance: Arc::clone(&settings.instance),
         address: settings.address(),
