--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -2,8 +2,8 @@
 //! leader's bytes and CPU time per change.
 //!
 //! The first table measures complete control instances in one process and one
-//! thread, over loopback, each with its own data folder on the disk of the build
-//! folder. The second table measures only the state machines.
+//! thread, over loopback. Each instance syncs its own data folder on the disk of
+//! the build folder. The second table measures only the state machines.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Repeats the requests of nodes that were deferred to ask again later, once due.
+    /// Repeats the requests of nodes that were told to ask again later, once due.
     fn ask_deferred(&mut self, at: usize) {
         let now = self.now;
         let later = std::mem::take(&mut self.relays[at].later);
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -73,11 +73,11 @@
     Report(ReportBatch),
     /// Takes the reports that are to be sent to the leader.
     TakeReports(oneshot::Sender<ReportBatch>),
-    /// Returns reports that could not be sent to the leader.
+    /// Takes back reports that could not be sent to the leader.
     ReturnReports(ReportBatch),
     /// Installs an update that this instance received as a follower.
     Install(Box<InstalledUpdate>),
-    /// Sets the source of the current leader; sent once, before any other
+    /// Sets the watch that tells the task who leads; sent once, before any other
     /// message.
     WatchLeader(LeaderWatch),
     /// Sets how long nodes count as live; sent once, if the settings have it.
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -102,8 +102,8 @@
 ///
 /// The thread first waits until the store thread that sends
 /// `previous_reports` has ended, since that one may still hang in a write. Two
-/// stores on one folder would overwrite each other's records, and file locks do
-/// not exclude each other on every file system.
+/// stores on one folder would overwrite each other's records, and a file lock
+/// does not prevent that on every file system.
 pub fn spawn(
     source: Arc<dyn FolderSource>,
     mut previous_reports: UnboundedReceiver<ReplicaEvent>,
--- a/crates/control/tests/example_settings.rs
+++ b/crates/control/tests/example_settings.rs
@@ -15,8 +15,7 @@
     for deployment in ["sidertre", "colmenares"] {
         for number in 1..=3 {
             let file = example(deployment, &format!("control-{number}.yaml"));
-            let settings: ControlSettings =
-                settings_file::read(&file).expect("valid settings");
+            let settings: ControlSettings = settings_file::read(&file).expect("usable");
             assert_eq!(settings.members.len(), 3);
         }
     }
--- a/crates/control/tests/killed_processes.rs
+++ b/crates/control/tests/killed_processes.rs
@@ -192,7 +192,7 @@
     assert_eq!(listed, accepted);
 }
 
-/// Restarts the processes killed previous, then kills one process, or kills and
+/// Restarts the processes killed before, then kills one process, or kills and
 /// restarts all of them.
 fn kill_and_restart(fleet: &mut ControlFleet, round: u64) {
     let controls = fleet.children.len();
