--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -1,8 +1,8 @@
-//! Opens the data folder of an instance, also again while it runs.
+//! Opens the data folder of an instance, and reopens it while the instance runs.
 //!
-//! Guards against an instance that runs on without a part in the agreement
-//! after its disk was full or stalled for a while: with the next such loss no
-//! majority is left, though every process runs.
+//! Without reopening, an instance whose disk was full or stalled for a while
+//! would keep running without taking part in the agreement. After the next such
+//! failure no majority would be left, although every process runs.
 
 use std::io;
 use std::path::PathBuf;
@@ -23,42 +23,43 @@
 use crate::member_store::MemberStore;
 use crate::member_store::StoreError;
 
-/// Pause before each try to open the folder again.
+/// Pause before each attempt to reopen the folder.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// A folder that has just been opened.
+/// Contents and store of a folder that has just been opened.
 pub struct FolderOpening {
-    /// What it holds.
+    /// Contents of the folder.
     pub folder: ReopenedFolder,
-    /// True where it is empty, in the place of one that was set aside.
-    pub renewed: bool,
-    /// Where to write.
+    /// True if the folder is a new, empty one because the old one was set aside.
+    pub replaced: bool,
+    /// Store that writes to the folder.
     pub store: Box<dyn MemberStore>,
 }
 
 /// Opens an instance's data folder.
 pub trait FolderSource: Send + Sync {
-    /// Opens the folder; the store of an earlier opening is gone by then.
+    /// Opens the folder. The store of an earlier opening must have been dropped.
     fn open(&self) -> Result<FolderOpening, StoreError>;
 
-    /// True where a folder that is spoilt is replaced by an empty one.
-    fn renews(&self) -> bool;
+    /// True if an unusable folder is replaced by an empty one.
+    fn replaces_unusable(&self) -> bool;
 }
 
-/// The folder at a path.
+/// Opens the data folder at a path.
 #[derive(Clone, Debug)]
 pub struct FolderOpener {
-    /// The folder.
+    /// Path of the folder.
     pub path: PathBuf,
-    /// Whose it is.
+    /// Instance that the folder belongs to.
     pub instance: Arc<str>,
-    /// True where a folder that is damaged or was rolled back is set aside, and
-    /// an empty one takes its place; the fleet then takes the instance in anew.
-    pub renews: bool,
+    /// True if a folder that is damaged or was rolled back is set aside and
+    /// replaced by an empty one. The fleet then adds the instance as a new
+    /// member.
+    pub replaces_unusable: bool,
 }
 
 impl FolderOpener {
-    fn open_as_it_is(&self) -> Result<FolderOpening, StoreError> {
+    fn open_in_place(&self) -> Result<FolderOpening, StoreError> {
         let opened = FolderStore::open(&self.path, &self.instance)?;
         Ok(FolderOpening {
             folder: ReopenedFolder {
@@ -67,7 +68,7 @@
                 saved: opened.saved,
                 seed: rand::rng().random(),
             },
-            renewed: false,
+            replaced: false,
             store: Box::new(opened.store),
         })
     }
@@ -75,57 +76,59 @@
 
 impl FolderSource for FolderOpener {
     fn open(&self) -> Result<FolderOpening, StoreError> {
-        let problem = match self.open_as_it_is() {
-            Err(problem) if self.renews && problem.is_spoilt() => problem,
+        let error = match self.open_in_place() {
+            Err(error) if self.replaces_unusable && error.is_unusable() => error,
             opened => return opened,
         };
         warn!(
             "event=folder-set-aside process=control instance={} error={}",
             self.instance,
-            LogValue(problem)
+            LogValue(error)
         );
         FolderStore::set_aside(&self.path)?;
         Ok(FolderOpening {
-            renewed: true,
-            ..self.open_as_it_is()?
+            replaced: true,
+            ..self.open_in_place()?
         })
     }
 
-    fn renews(&self) -> bool {
-        self.renews
+    fn replaces_unusable(&self) -> bool {
+        self.replaces_unusable
     }
 }
 
-/// Starts a thread that tries until the folder is open, and hands it over then.
+/// Starts a thread that retries until the folder is open, then sends the folder
+/// to `opened`.
 ///
-/// It waits first for the end of the thread whose reports are `before`, since
-/// that one may still hang in a write. Two stores on one folder would overwrite
-/// each other's records, and a lock does not keep them apart on every disk.
+/// The thread first waits until the store thread that sends
+/// `previous_reports` has ended, since that one may still hang in a write. Two
+/// stores on one folder would overwrite each other's records, and a file lock
+/// does not prevent that on every file system.
 pub fn spawn(
     source: Arc<dyn FolderSource>,
-    mut before: UnboundedReceiver<ReplicaEvent>,
+    mut previous_reports: UnboundedReceiver<ReplicaEvent>,
     opened: UnboundedSender<FolderOpening>,
 ) -> io::Result<()> {
     let thread = thread::Builder::new().name("folder-opener".to_owned());
     thread.spawn(move || {
-        while before.blocking_recv().is_some() {}
-        open_at_last(&*source, &opened);
+        while previous_reports.blocking_recv().is_some() {}
+        open_with_retries(&*source, &opened);
     })?;
     Ok(())
 }
 
-fn open_at_last(source: &dyn FolderSource, opened: &UnboundedSender<FolderOpening>) {
+fn open_with_retries(source: &dyn FolderSource, opened: &UnboundedSender<FolderOpening>) {
     while !opened.is_closed() {
         thread::sleep(REOPEN_PAUSE);
         match source.open() {
             Ok(opening) => {
-                // A task that has ended needs no folder.
+                // Fails only if the task has ended and needs no folder.
                 let _ = opened.send(opening);
                 return;
             }
-            Err(problem) => warn!(
+            Err(error) => warn!(
                 "event=folder-not-opened process=control error={}",
-                LogValue(problem)
+                LogValue(error)
             ),
         }
     }
--- a/crates/control/src/peer_sender.rs
+++ b/crates/control/src/peer_sender.rs
@@ -1,11 +1,12 @@
-//! Carries the messages of the agreement to the other instances.
+//! Sends the messages of the agreement to the other instances.
 //!
-//! Load pattern: a burst of changes, and an instance that does not answer.
-//! Each instance has a task and a bounded queue of its own, so that one
-//! that hangs delays nobody else; what waits while a post is under way goes
-//! with the next post. A full queue drops messages, which the agreement
-//! makes good, because old heartbeats and entries are of no use. Snapshots
-//! go apart: heartbeats behind one would arrive seconds late.
+//! Load pattern: a burst of changes while one instance does not answer. Each
+//! instance has its own task and bounded queue, so that an instance that hangs
+//! delays no other. Messages queued during a POST request are sent with the
+//! next one. A full queue drops new messages: old heartbeats and entries are of
+//! no use, and the agreement sends again what is missing. Snapshots have a
+//! separate queue, since heartbeats behind a snapshot would arrive seconds
+//! late.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,64 +21,66 @@
 use cowslip_wire::peer_client::PeerClient;
 use cowslip_wire::process_log::LogValue;
 
-/// Messages waiting for one instance; a second of a busy leader's.
-const QUEUE_MAX: usize = 256;
+/// Capacity of the queue to one instance; a busy leader sends as many messages
+/// in a second.
+const QUEUE_CAPACITY: usize = 256;
 
-/// Messages of one post. Each holds at most a megabyte of entries, and
-/// large ones are rare.
+/// Most messages in one POST request. Each holds at most a megabyte of entries,
+/// and large ones are rare.
 const POST_MESSAGES_MAX: usize = 8;
 
-/// Instances with a queue; the fleet has 18 at most.
+/// Most instances with queues; a fleet has at most 18 instances.
 const PEERS_MAX: usize = 64;
 
-/// Wait for a post to be taken, about the lease: later is too late.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of a POST request; about the length of the lease, after which the
+/// messages are useless.
+const POST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Wait for a snapshot to be taken: 16 MB on a link of 32 Mbit/s.
-const SNAPSHOT_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a snapshot transfer, for 16 MB over a link of 32 Mbit/s.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Queues to the other instances.
 pub struct PeerSenders {
     client: PeerClient,
-    lanes: BTreeMap<(SocketAddr, bool), mpsc::Sender<MemberMessage>>,
+    queues: BTreeMap<(SocketAddr, bool), mpsc::Sender<MemberMessage>>,
 }
 
 impl PeerSenders {
-    /// Senders that use `client`.
+    /// Creates senders that use `client`.
     pub fn new(client: PeerClient) -> Self {
         Self {
             client,
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
-    /// Queues a message, or drops it where the queue is full.
+    /// Queues a message, or drops it if the queue is full.
     pub fn send(&mut self, address: SocketAddr, message: MemberMessage) {
         let snapshot = matches!(message.body, MessageBody::Install { .. });
         let key = (address, snapshot);
-        if !self.lanes.contains_key(&key) {
-            if self.lanes.len() >= 2 * PEERS_MAX {
+        if !self.queues.contains_key(&key) {
+            if self.queues.len() >= 2 * PEERS_MAX {
                 return;
             }
-            let lane = spawn_lane(self.client.clone(), address, snapshot);
-            self.lanes.insert(key, lane);
+            let queue = spawn_queue(self.client.clone(), address, snapshot);
+            self.queues.insert(key, queue);
         }
-        if let Some(lane) = self.lanes.get(&key) {
-            let _ = lane.try_send(message);
+        if let Some(queue) = self.queues.get(&key) {
+            let _ = queue.try_send(message);
         }
     }
 }
 
-fn spawn_lane(
+fn spawn_queue(
     client: PeerClient,
     address: SocketAddr,
     snapshot: bool,
 ) -> mpsc::Sender<MemberMessage> {
-    let (lane, mut messages) = mpsc::channel(QUEUE_MAX);
-    let patience = if snapshot {
-        SNAPSHOT_PATIENCE
+    let (queue, mut messages) = mpsc::channel(QUEUE_CAPACITY);
+    let timeout = if snapshot {
+        SNAPSHOT_TIMEOUT
     } else {
-        PATIENCE
+        POST_TIMEOUT
     };
     actix_rt::spawn(async move {
         let mut gathered = Vec::new();
@@ -85,7 +88,7 @@
             let call = AgreeCall {
                 messages: std::mem::take(&mut gathered),
             };
-            if let Err(failure) = client.send(address, &call, patience).await {
+            if let Err(failure) = client.send(address, &call, timeout).await {
                 debug!(
                     "event=agree-failed process=control to={address} error={}",
                     LogValue(failure)
@@ -93,5 +96,5 @@
             }
         }
     });
-    lane
+    queue
 }
--- a/crates/control/src/rollout_desk.rs
+++ b/crates/control/src/rollout_api.rs
@@ -1,5 +1,5 @@
-//! What operators ask of moves: a change before it is proposed, and moves
-//! read back.
+//! Operators' requests about moves: checks changes before they are proposed, and
+//! reports the state of moves.
 
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -19,38 +19,42 @@
 use cowslip_wire::messages::LeaderAnswer;
 use cowslip_wire::wall_clock;
 
-use crate::agreed_task::AgreedHandle;
-use crate::agreed_task::AgreedMessage;
+use crate::agreement_task::AgreementHandle;
+use crate::agreement_task::AgreementMessage;
 use crate::fanout_task::FanoutMessage;
 use crate::fanout_task::VersionProgress;
 use crate::rollout_task::RolloutCourse;
 use crate::rollout_task::RolloutHandle;
 use crate::rollout_task::RolloutMessage;
 
-/// Where moves are asked for.
-pub struct RolloutDesk {
-    /// The agreed log.
-    pub agreed: AgreedHandle,
-    /// Nodes and the directory.
+/// Handles operators' requests about moves.
+pub struct RolloutApi {
+    /// The agreement task.
+    pub agreement: AgreementHandle,
+    /// The fan-out task, which knows the nodes and the directory.
     pub fanout: mpsc::Sender<FanoutMessage>,
-    /// The moves' own task.
+    /// The rollout task.
     pub rollouts: RolloutHandle,
 }
 
-impl RolloutDesk {
-    /// Checks an operator's change of a move against the directory, and sets
-    /// its time; `Err` holds the answer where it is refused. Other changes
-    /// and those for another instance pass.
-    pub async fn admit(&self, entry: &mut ChangeEntry) -> Result<(), ChangeOutcome> {
-        let leading = self.agreed.leader.borrow().leading();
+impl RolloutApi {
+    /// Checks an operator's move change against the directory and sets its time.
+    /// For a move that is taken back, also sets the current counts. Returns the
+    /// answer as `Err` if the change is refused. Other changes pass unchecked, as
+    /// do all changes if this instance does not lead.
+    pub async fn prepare_change(
+        &self,
+        entry: &mut ChangeEntry,
+    ) -> Result<(), ChangeOutcome> {
+        let leading = self.agreement.leader.borrow().is_leading();
         let ConfigChange::Move(change) = &mut entry.change else {
             return Ok(());
         };
         if !leading {
             return Ok(());
         }
-        // Guards against operators' clocks that are wrong, which would make
-        // a move's time too short or too long.
+        // The leader's clock replaces the operator's: a wrong operator clock
+        // would make the time of the move too short or too long.
         entry.at_ms = wall_clock::millis();
         let (reply, answer) = oneshot::channel();
         let asked = self.fanout.send(FanoutMessage::Endpoints(reply)).await;
@@ -72,12 +76,13 @@
         Ok(())
     }
 
-    /// Guards against a resend being refused by what the directory has come
-    /// to hold since: its first answer is in the log and must be repeated.
+    /// True if a change with this request ID was accepted before. A resend must
+    /// get the first answer, which is in the log, even if the directory has
+    /// changed since and the check would now fail.
     async fn is_resend(&self, request_id: &str) -> bool {
         let (reply, answer) = oneshot::channel();
-        let message = AgreedMessage::History(reply);
-        if self.agreed.task.send(message).await.is_err() {
+        let message = AgreementMessage::History(reply);
+        if self.agreement.task.send(message).await.is_err() {
             return false;
         }
         let Ok(LeaderAnswer::Here(changes)) = answer.await else {
@@ -91,19 +96,19 @@
     async fn course(&self, rollout: ConfigVersion) -> RolloutCourse {
         let (reply, answer) = oneshot::channel();
         let message = RolloutMessage::Course(rollout, reply);
-        // The task ends only with the process.
+        // Fails only at shutdown: the task runs as long as the process.
         let _ = self.rollouts.send(message).await;
         answer.await.unwrap_or_default()
     }
 
-    /// The moves that operators ask for; `None` while stopping.
+    /// Returns the moves that match the call; `None` at shutdown.
     pub async fn lines(
         &self,
         call: RolloutsCall,
     ) -> Option<LeaderAnswer<Vec<RolloutLine>>> {
         let (reply, answer) = oneshot::channel();
-        let message = AgreedMessage::Rollouts(reply);
-        self.agreed.task.send(message).await.ok()?;
+        let message = AgreementMessage::Rollouts(reply);
+        self.agreement.task.send(message).await.ok()?;
         let records = match answer.await.ok()? {
             LeaderAnswer::Here(records) => records,
             LeaderAnswer::Elsewhere(leader) => {
@@ -113,58 +118,68 @@
         };
         let mut lines = Vec::new();
         for record in records {
-            let number = call.rollout.is_none_or(|wanted| wanted == record.rollout);
+            let rollout_matches =
+                call.rollout.is_none_or(|wanted| wanted == record.rollout);
             let service = call.service.as_ref();
-            let service = service.is_none_or(|wanted| *wanted == record.service);
-            if number && service {
+            let service_matches = service.is_none_or(|wanted| *wanted == record.service);
+            if rollout_matches && service_matches {
                 lines.push(self.line(record, call.course).await?);
             }
         }
         Some(LeaderAnswer::Here(lines))
     }
 
-    async fn line(&self, record: RolloutRecord, course: bool) -> Option<RolloutLine> {
-        let known = self.course(record.rollout).await;
+    async fn line(
+        &self,
+        record: RolloutRecord,
+        with_course: bool,
+    ) -> Option<RolloutLine> {
+        let course = self.course(record.rollout).await;
         let (reply, answer) = oneshot::channel();
         let message = FanoutMessage::Progress(record.last_version(), reply);
         self.fanout.send(message).await.ok()?;
-        let reached = answer.await.ok()?;
-        Some(line(record, known, reached, course))
+        let progress = answer.await.ok()?;
+        Some(line(record, course, progress, with_course))
     }
 }
 
 fn line(
     record: RolloutRecord,
-    known: RolloutCourse,
-    reached: VersionProgress,
-    course: bool,
+    course: RolloutCourse,
+    progress: VersionProgress,
+    with_course: bool,
 ) -> RolloutLine {
     let counts = match record.end {
         Some(_) => record.counts,
-        None => known.counts,
+        None => course.counts,
     };
-    let state = state(&record, &reached.progress);
-    let ended = record
+    let state = state(&record, &progress.progress);
+    let ended_after_ms = record
         .ended
         .map(|(_, at_ms)| at_ms.saturating_sub(record.started_ms));
-    let spread = match state {
-        MoveState::Done => reached.done_after_ms,
+    let propagation_ms = match state {
+        MoveState::Done => progress.done_after_ms,
         MoveState::InProgress | MoveState::TakenBack => Some(0),
     };
-    let over = state != MoveState::InProgress;
-    let after = ended.filter(|_| over);
+    let is_over = state != MoveState::InProgress;
+    let after = ended_after_ms.filter(|_| is_over);
     RolloutLine {
-        ended_after_ms: after.map(|after| after + spread.unwrap_or(0)),
+        ended_after_ms: after.map(|after| after + propagation_ms.unwrap_or(0)),
         state,
-        nodes: reached.progress,
+        nodes: progress.progress,
         counts,
-        wait: known.wait.filter(|_| record.end.is_none()),
-        course: if course { known.points } else { Vec::new() },
+        wait: course.wait.filter(|_| record.end.is_none()),
+        course: if with_course {
+            course.points
+        } else {
+            Vec::new()
+        },
         record,
     }
 }
 
-/// A move is done only once every live node routes by its end.
+/// Returns the state of a move. A finished move is done only once every live
+/// node routes by its final version.
 fn state(record: &RolloutRecord, nodes: &MoveProgress) -> MoveState {
     match record.end {
         None => MoveState::InProgress,
--- a/crates/control/src/source_metrics.rs
+++ b/crates/control/src/source_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what a control instance does for its followers.
+//! Metrics of the updates that a control instance serves to its followers.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -7,10 +7,10 @@
 use cowslip_core::update_source::SourceCounts;
 use cowslip_wire::metric_start;
 
-/// Counters of one source, fed from its own counts.
+/// Metrics of one update source, derived from the source's own counts.
 #[derive(Clone)]
 pub struct SourceMetrics {
-    seen: SourceCounts,
+    previous: SourceCounts,
     admitted: Counter,
     told_later: Counter,
     leases_ended: Counter,
@@ -18,11 +18,11 @@
 }
 
 impl SourceMetrics {
-    /// Counters registered under `cowslip_source`, all of them at zero.
+    /// Registers the metrics under `cowslip_source`, all at zero.
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_source");
         Self {
-            seen: SourceCounts::default(),
+            previous: SourceCounts::default(),
             admitted: metric_start::counter(
                 registry,
                 "admitted",
@@ -46,14 +46,15 @@
         }
     }
 
-    /// Takes over the counts of the source.
+    /// Updates the metrics from the current counts of the source.
     pub fn update(&mut self, counts: SourceCounts) {
-        self.admitted.inc_by(counts.admitted - self.seen.admitted);
+        self.admitted
+            .inc_by(counts.admitted - self.previous.admitted);
         self.told_later
-            .inc_by(counts.told_later - self.seen.told_later);
+            .inc_by(counts.told_later - self.previous.told_later);
         self.leases_ended
-            .inc_by(counts.leases_ended - self.seen.leases_ended);
+            .inc_by(counts.leases_ended - self.previous.leases_ended);
         self.leases_frozen.set(counts.leases_frozen as i64);
-        self.seen = counts;
+        self.previous = counts;
     }
 }
