--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -280,7 +280,7 @@
         let page = (fronts.admin)(view, Rc::new(page));
         let listen = HttpListener::spawn;
         let daemon = Self {
-            callers: HttpListener::spawn_ahead(
+            callers: HttpListener::spawn_pipelined(
                 sockets.callers,
                 CALLERS_MAX,
                 Rc::new(callers),
--- a/crates/wire/src/http_listener.rs
+++ b/crates/wire/src/http_listener.rs
@@ -133,7 +133,7 @@
     /// The same for callers that send requests ahead, which are worked on
     /// together; with times that may change. Connections keep the times that
     /// held when they were taken.
-    pub fn spawn_ahead(
+    pub fn spawn_pipelined(
         socket: std::net::TcpListener,
         connections_max: usize,
         handler: Rc<dyn HttpHandler>,
--- a/crates/wire/tests/ahead_connection.rs
+++ b/crates/wire/tests/ahead_connection.rs
@@ -101,7 +101,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let socket = std::net::TcpListener::bind(any).unwrap();
     let (_, times) = watch::channel(times);
-    HttpListener::spawn_ahead(socket, 100, Rc::new(handler), times).unwrap()
+    HttpListener::spawn_pipelined(socket, 100, Rc::new(handler), times).unwrap()
 }
 
 fn usual() -> ListenerTimes {
@@ -356,7 +356,7 @@
         let socket = std::net::TcpListener::bind(any).unwrap();
         let (_, times) = watch::channel(usual());
         let handler = Rc::new(PartsHandler);
-        let listener = HttpListener::spawn_ahead(socket, 1, handler, times).unwrap();
+        let listener = HttpListener::spawn_pipelined(socket, 1, handler, times).unwrap();
         let mut caller = TcpStream::connect(listener.address()).await.unwrap();
         let body = vec![b's'; 1024 * 1024];
         let head = format!(
