--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use cowslip_core::document::FleetDocument;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 
 use crate::server_check::ServerExpectation;
 
@@ -18,7 +18,7 @@
     /// The backend server that the node is told of.
     pub expectation: ServerExpectation,
     /// Times that the callers' listener keeps.
-    pub times: watch::Sender<ListenerTimes>,
+    pub times: watch::Sender<ListenerTimeouts>,
 }
 
 impl InstallHooks {
@@ -27,9 +27,9 @@
         if !self.configured.replace(true) {
             self.expectation.ask(document);
         }
-        let own = ListenerTimes::default();
+        let own = ListenerTimeouts::default();
         let millis = |set: Option<u64>| set.map(Duration::from_millis);
-        let times = ListenerTimes {
+        let times = ListenerTimeouts {
             head: millis(document.limits.head_ms).unwrap_or(own.head),
             idle: millis(document.limits.idle_ms).unwrap_or(own.idle),
         };
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -20,7 +20,7 @@
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::http_listener::HttpHandler;
 use cowslip_wire::http_listener::HttpListener;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 use cowslip_wire::peer_client::PeerClient;
 
 use crate::call_dialect::CallDialect;
@@ -206,7 +206,7 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Open)),
         };
-        let (times, watched_times) = watch::channel(ListenerTimes::default());
+        let (times, watched_times) = watch::channel(ListenerTimeouts::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -29,7 +29,7 @@
 use cowslip_node::entry_task::RoutingResult;
 use cowslip_node::install_hooks::InstallHooks;
 use cowslip_node::server_check::ServerExpectation;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 
 fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
@@ -45,7 +45,7 @@
             address: None,
             check,
         },
-        times: watch::channel(ListenerTimes::default()).0,
+        times: watch::channel(ListenerTimeouts::default()).0,
     };
     entry_task::spawn("records-1".into(), "voss".into(), gate, hooks, 1)
 }
--- a/crates/wire/src/ahead_connection.rs
+++ b/crates/wire/src/ahead_connection.rs
@@ -34,7 +34,7 @@
 use crate::ahead_connection::ahead_exchange::HeadRead;
 use crate::boot_instant::BootInstant;
 use crate::http_listener::CountedHandler;
-use crate::http_listener::ListenerTimes;
+use crate::http_listener::ListenerTimeouts;
 use crate::read_room::read_ready;
 use crate::read_room::BODY_ROOM;
 use crate::read_room::HEAD_ROOM;
@@ -61,7 +61,7 @@
     /// How answers are written.
     pub config: ServiceConfig,
     /// Times to keep.
-    pub times: ListenerTimes,
+    pub times: ListenerTimeouts,
 }
 
 /// Serves one connection until it ends. `closing` ends when no new request
--- a/crates/wire/src/http_listener.rs
+++ b/crates/wire/src/http_listener.rs
@@ -50,14 +50,14 @@
 
 /// Times that a listener keeps with its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListenerTimes {
+pub struct ListenerTimeouts {
     /// For a request's head to arrive whole.
     pub head: Duration,
     /// Idle connections are closed after this long.
     pub idle: Duration,
 }
 
-impl Default for ListenerTimes {
+impl Default for ListenerTimeouts {
     fn default() -> Self {
         Self {
             head: HEAD_TIMEOUT,
@@ -67,7 +67,7 @@
 }
 
 /// Watches the times, which may change while the listener runs.
-pub type TimesWatch = watch::Receiver<ListenerTimes>;
+pub type TimesWatch = watch::Receiver<ListenerTimeouts>;
 
 /// How a connection's requests are served.
 #[derive(Clone, Copy, Debug)]
@@ -125,7 +125,7 @@
         connections_max: usize,
         handler: Rc<dyn HttpHandler>,
     ) -> io::Result<Self> {
-        let (_, times) = watch::channel(ListenerTimes::default());
+        let (_, times) = watch::channel(ListenerTimeouts::default());
         let kind = ServingKind::InTurn;
         Self::spawn_kind(socket, connections_max, handler, times, kind)
     }
@@ -287,7 +287,7 @@
         }
     }
 
-    fn ahead(&self, times: ListenerTimes) -> ConnectionService {
+    fn ahead(&self, times: ListenerTimeouts) -> ConnectionService {
         let config = ServiceConfigBuilder::new()
             .keep_alive(KeepAlive::Timeout(times.idle))
             .build();
@@ -301,7 +301,7 @@
         })
     }
 
-    async fn in_turn(&self, times: ListenerTimes) -> Option<ConnectionService> {
+    async fn in_turn(&self, times: ListenerTimeouts) -> Option<ConnectionService> {
         let closing = self.staged.clone();
         let counted = Rc::clone(&self.counted);
         let factory = HttpService::build()
--- a/crates/wire/tests/ahead_connection.rs
+++ b/crates/wire/tests/ahead_connection.rs
@@ -19,7 +19,7 @@
 
 use cowslip_wire::http_listener::HttpHandler;
 use cowslip_wire::http_listener::HttpListener;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 use cowslip_wire::http_listener::ReplyFuture;
 use cowslip_wire::http_reply;
 
@@ -97,15 +97,15 @@
     }
 }
 
-fn listener(handler: TimedHandler, times: ListenerTimes) -> HttpListener {
+fn listener(handler: TimedHandler, times: ListenerTimeouts) -> HttpListener {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let socket = std::net::TcpListener::bind(any).unwrap();
     let (_, times) = watch::channel(times);
     HttpListener::spawn_pipelined(socket, 100, Rc::new(handler), times).unwrap()
 }
 
-fn usual() -> ListenerTimes {
-    ListenerTimes::default()
+fn usual() -> ListenerTimeouts {
+    ListenerTimeouts::default()
 }
 
 fn get(path: &str) -> Vec<u8> {
@@ -280,7 +280,7 @@
 #[test]
 fn malformed_large_and_slow_heads_are_told() {
     System::new().block_on(async {
-        let times = ListenerTimes {
+        let times = ListenerTimeouts {
             head: Duration::from_millis(150),
             idle: Duration::from_millis(400),
         };
