--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -15,8 +15,8 @@
 use tokio::sync::oneshot;
 
 use cowslip_core::node_presence::NodePresence;
-use cowslip_wire::admin_page::AdminPage;
-use cowslip_wire::admin_page::ADMIN_CONNECTIONS_MAX;
+use cowslip_wire::admin_handler::AdminHandler;
+use cowslip_wire::admin_handler::ADMIN_CONNECTIONS_MAX;
 use cowslip_wire::http_listener::HttpHandler;
 use cowslip_wire::http_listener::HttpListener;
 use cowslip_wire::peer_client::PeerClient;
@@ -154,7 +154,7 @@
         );
         let handler = front(desk, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
-        let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let admin =
             HttpListener::spawn(sockets.admin, ADMIN_CONNECTIONS_MAX, Rc::new(page))?;
         info!(
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -15,8 +15,8 @@
 use tokio::sync::watch;
 
 use cowslip_core::entry_router::CallOrigin;
-use cowslip_wire::admin_page::AdminPage;
-use cowslip_wire::admin_page::ADMIN_CONNECTIONS_MAX;
+use cowslip_wire::admin_handler::AdminHandler;
+use cowslip_wire::admin_handler::ADMIN_CONNECTIONS_MAX;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::http_listener::HttpHandler;
 use cowslip_wire::http_listener::HttpListener;
@@ -276,7 +276,7 @@
             EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
         let local = Rc::new(LocalHandler::new(gate.clone(), desk));
         let local = (fronts.local)(ServerDesk { gate: gate.clone() }, local);
-        let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let page = (fronts.admin)(view, Rc::new(page));
         let listen = HttpListener::spawn;
         let daemon = Self {
--- a/crates/wire/src/admin_page.rs
+++ b/crates/wire/src/admin_handler.rs
@@ -20,12 +20,12 @@
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Serves `/metrics`, `/healthz` and `/readyz`.
-pub struct AdminPage {
+pub struct AdminHandler {
     registry: Rc<Registry>,
     ready: Rc<Cell<bool>>,
 }
 
-impl AdminPage {
+impl AdminHandler {
     /// A page over the process's metrics and its readiness.
     pub fn new(registry: Rc<Registry>, ready: Rc<Cell<bool>>) -> Self {
         Self { registry, ready }
@@ -52,7 +52,7 @@
     }
 }
 
-impl HttpHandler for AdminPage {
+impl HttpHandler for AdminHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
         let reply = self.reply(request.path());
         Box::pin(async move { reply })
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,7 +5,7 @@
 //! see `cowslip-core`.
 
 pub mod access_key;
-pub mod admin_page;
+pub mod admin_handler;
 pub mod agreement_messages;
 mod ahead_connection;
 pub mod boot_instant;
