--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -15,9 +15,9 @@
 use crate::codec::CodecError;
 use crate::codec::CONTENT_TYPE;
 use crate::codec::MESSAGE_BYTES_MAX;
+use crate::http_client;
+use crate::http_client::ClientPlan;
 use crate::messages::WireCall;
-use crate::plain_client;
-use crate::plain_client::ClientPlan;
 
 /// Time to connect; ten times the slowest link that the users name.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -61,7 +61,7 @@
 impl PeerClient {
     /// A client that offers `key`.
     pub fn new(key: AccessKey) -> Self {
-        let client = plain_client::build(ClientPlan {
+        let client = http_client::build(ClientPlan {
             connect: CONNECT_TIMEOUT,
             idle: IDLE_TIME,
             connections: CONNECTIONS_MAX,
