--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 
 use cowslip_wire::http_client;
-use cowslip_wire::http_client::ClientPlan;
+use cowslip_wire::http_client::ClientConfig;
 
 use super::call_tally::CallEnd;
 use super::call_tally::CallTally;
@@ -120,7 +120,7 @@
 
 impl LoadSender {
     fn new(plan: LoadPlan, number: u32) -> Self {
-        let client = http_client::build(ClientPlan {
+        let client = http_client::build(ClientConfig {
             connect: CONNECT_TIMEOUT,
             idle: IDLE_TIME,
             connections: plan.under_way_max,
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -7,7 +7,7 @@
 
 /// What differs between the clients of the system.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientPlan {
+pub struct ClientConfig {
     /// Time to connect.
     pub connect: Duration,
     /// Idle connections are dropped after this.
@@ -18,7 +18,7 @@
 
 /// A client without redirects, headers or time limits of its own: every try,
 /// every header and every deadline is the caller's decision.
-pub fn build(plan: ClientPlan) -> Client {
+pub fn build(plan: ClientConfig) -> Client {
     let connector = Connector::new()
         .timeout(plan.connect)
         .conn_keep_alive(plan.idle)
--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -16,7 +16,7 @@
 use crate::codec::CONTENT_TYPE;
 use crate::codec::MESSAGE_BYTES_MAX;
 use crate::http_client;
-use crate::http_client::ClientPlan;
+use crate::http_client::ClientConfig;
 use crate::messages::WireCall;
 
 /// Time to connect; ten times the slowest link that the users name.
@@ -61,7 +61,7 @@
 impl PeerClient {
     /// A client that offers `key`.
     pub fn new(key: AccessKey) -> Self {
-        let client = http_client::build(ClientPlan {
+        let client = http_client::build(ClientConfig {
             connect: CONNECT_TIMEOUT,
             idle: IDLE_TIME,
             connections: CONNECTIONS_MAX,
