--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -33,9 +33,9 @@
 
 use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_wire::boot_instant::BootInstant;
-use cowslip_wire::read_room::read_ready;
-use cowslip_wire::read_room::BODY_ROOM;
-use cowslip_wire::read_room::HEAD_ROOM;
+use cowslip_wire::socket_read::read_ready;
+use cowslip_wire::socket_read::BODY_ROOM;
+use cowslip_wire::socket_read::HEAD_ROOM;
 
 use crate::call_forward::CallBody;
 use crate::hop::hop_request::HopRequest;
--- a/crates/wire/src/ahead_connection.rs
+++ b/crates/wire/src/ahead_connection.rs
@@ -35,9 +35,9 @@
 use crate::boot_instant::BootInstant;
 use crate::http_listener::CountedHandler;
 use crate::http_listener::ListenerTimeouts;
-use crate::read_room::read_ready;
-use crate::read_room::BODY_ROOM;
-use crate::read_room::HEAD_ROOM;
+use crate::socket_read::read_ready;
+use crate::socket_read::BODY_ROOM;
+use crate::socket_read::HEAD_ROOM;
 
 mod ahead_exchange;
 
