--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -35,7 +35,7 @@
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::socket_read::read_ready;
 use cowslip_wire::socket_read::BODY_ROOM;
-use cowslip_wire::socket_read::HEAD_ROOM;
+use cowslip_wire::socket_read::HEAD_READ_BYTES;
 
 use crate::call_forward::CallBody;
 use crate::hop::hop_request::HopRequest;
@@ -374,7 +374,7 @@
         if let Some(head) = decoded {
             return Ok(head);
         }
-        read_more(reader, received, HEAD_ROOM).await?;
+        read_more(reader, received, HEAD_READ_BYTES).await?;
     }
 }
 
--- a/crates/wire/src/ahead_connection.rs
+++ b/crates/wire/src/ahead_connection.rs
@@ -37,7 +37,7 @@
 use crate::http_listener::ListenerTimeouts;
 use crate::socket_read::read_ready;
 use crate::socket_read::BODY_ROOM;
-use crate::socket_read::HEAD_ROOM;
+use crate::socket_read::HEAD_READ_BYTES;
 
 mod ahead_exchange;
 
@@ -247,7 +247,7 @@
         let produces = self.answering.is_some() && self.output.len() < OUTPUT_MAX;
         let read_room = match &self.feed {
             Some(_) => BODY_ROOM,
-            None => HEAD_ROOM,
+            None => HEAD_READ_BYTES,
         };
         let Self {
             reader,
--- a/crates/wire/src/socket_read.rs
+++ b/crates/wire/src/socket_read.rs
@@ -12,7 +12,7 @@
 
 /// Room for a head: most are under a kilobyte, and a short answer fits
 /// behind it. A head that is kept pins this much for as long as its request.
-pub const HEAD_ROOM: usize = 2 * 1024;
+pub const HEAD_READ_BYTES: usize = 2 * 1024;
 
 /// Room while a body is being read: what the sockets of small instances have
 /// ready at once, and little enough that a hundred bodies hold under 2 MB.
