--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -34,7 +34,7 @@
 use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::socket_read::read_ready;
-use cowslip_wire::socket_read::BODY_ROOM;
+use cowslip_wire::socket_read::BODY_READ_BYTES;
 use cowslip_wire::socket_read::HEAD_READ_BYTES;
 
 use crate::call_forward::CallBody;
@@ -230,7 +230,7 @@
                 }
             }
             let (mut reader, _) = self.stream.split();
-            let read = read_ready(&mut reader, &mut self.received, BODY_ROOM).await;
+            let read = read_ready(&mut reader, &mut self.received, BODY_READ_BYTES).await;
             if read.map_err(PayloadError::Io)? > 0 {
                 continue;
             }
@@ -407,7 +407,7 @@
         match decoded {
             Some(None) => break,
             Some(Some(_)) => {}
-            None => read_more(reader, received, BODY_ROOM).await?,
+            None => read_more(reader, received, BODY_READ_BYTES).await?,
         }
     }
     *codec = payload.into_message_codec();
--- a/crates/wire/src/ahead_connection.rs
+++ b/crates/wire/src/ahead_connection.rs
@@ -36,7 +36,7 @@
 use crate::http_listener::CountedHandler;
 use crate::http_listener::ListenerTimeouts;
 use crate::socket_read::read_ready;
-use crate::socket_read::BODY_ROOM;
+use crate::socket_read::BODY_READ_BYTES;
 use crate::socket_read::HEAD_READ_BYTES;
 
 mod ahead_exchange;
@@ -246,7 +246,7 @@
         let writes = !self.output.is_empty();
         let produces = self.answering.is_some() && self.output.len() < OUTPUT_MAX;
         let read_room = match &self.feed {
-            Some(_) => BODY_ROOM,
+            Some(_) => BODY_READ_BYTES,
             None => HEAD_READ_BYTES,
         };
         let Self {
--- a/crates/wire/src/socket_read.rs
+++ b/crates/wire/src/socket_read.rs
@@ -16,7 +16,7 @@
 
 /// Room while a body is being read: what the sockets of small instances have
 /// ready at once, and little enough that a hundred bodies hold under 2 MB.
-pub const BODY_ROOM: usize = 16 * 1024;
+pub const BODY_READ_BYTES: usize = 16 * 1024;
 
 /// Reads once what is there; 0 at the end.
 ///
