--- a/crates/control/src/agreed_metrics.rs
+++ b/crates/control/src/agreed_metrics.rs
@@ -10,7 +10,7 @@
 use cowslip_core::agreement::MemberAnswer;
 use cowslip_core::agreement::MemberRefusal;
 use cowslip_core::change::ChangeOutcome;
-use cowslip_wire::metric_start;
+use cowslip_wire::registered_metric;
 
 const ACCEPTED: &str = "accepted";
 const CONFLICT: &str = "conflict";
@@ -45,10 +45,10 @@
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_agreement");
         let metrics = Self {
-            term: metric_start::gauge(registry, "term", "Highest term seen"),
-            commit: metric_start::gauge(registry, "commit", "Last committed index"),
-            leading: metric_start::gauge(registry, "leading", "1 where it leads"),
-            barred: metric_start::gauge(
+            term: registered_metric::gauge(registry, "term", "Highest term seen"),
+            commit: registered_metric::gauge(registry, "commit", "Last committed index"),
+            leading: registered_metric::gauge(registry, "leading", "1 where it leads"),
+            barred: registered_metric::gauge(
                 registry,
                 "barred",
                 "1 where the data folder was found rolled back",
--- a/crates/control/src/source_metrics.rs
+++ b/crates/control/src/source_metrics.rs
@@ -5,7 +5,7 @@
 use prometheus_client::registry::Registry;
 
 use cowslip_core::update_source::SourceCounts;
-use cowslip_wire::metric_start;
+use cowslip_wire::registered_metric;
 
 /// Counters of one source, fed from its own counts.
 #[derive(Clone)]
@@ -23,22 +23,22 @@
         let registry = registry.sub_registry_with_prefix("cowslip_source");
         Self {
             seen: SourceCounts::default(),
-            admitted: metric_start::counter(
+            admitted: registered_metric::counter(
                 registry,
                 "admitted",
                 "First questions of followers that were taken",
             ),
-            told_later: metric_start::counter(
+            told_later: registered_metric::counter(
                 registry,
                 "told_later",
                 "First questions of followers told when to come back",
             ),
-            leases_ended: metric_start::counter(
+            leases_ended: registered_metric::counter(
                 registry,
                 "leases_ended",
                 "Endpoints removed because nobody renewed their lease",
             ),
-            leases_frozen: metric_start::gauge(
+            leases_frozen: registered_metric::gauge(
                 registry,
                 "leases_frozen",
                 "Ended leases that are held because too many ended at once",
--- a/crates/node/src/call_metrics.rs
+++ b/crates/node/src/call_metrics.rs
@@ -9,7 +9,7 @@
 
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::refusal::RetryReason;
-use cowslip_wire::metric_start;
+use cowslip_wire::registered_metric;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
@@ -31,7 +31,7 @@
         let refusals = Family::<ReasonLabel, Counter>::default();
         let retries = Family::<ReasonLabel, Counter>::default();
         let registry = registry.sub_registry_with_prefix(format!("cowslip_{side}"));
-        let answered = metric_start::counter(
+        let answered = registered_metric::counter(
             registry,
             "answered",
             "Calls that a backend server answered",
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -4,7 +4,7 @@
 use prometheus_client::registry::Registry;
 
 use cowslip_core::version_follower::FollowCounts;
-use cowslip_wire::metric_start;
+use cowslip_wire::registered_metric;
 
 /// Counters of one follower, fed from its own counts.
 #[derive(Clone)]
@@ -24,32 +24,32 @@
         let registry = registry.sub_registry_with_prefix("cowslip_follow");
         Self {
             seen: FollowCounts::default(),
-            stale: metric_start::counter(
+            stale: registered_metric::counter(
                 registry,
                 "stale",
                 "Versions passed over because they were not above the one held",
             ),
-            damaged: metric_start::counter(
+            damaged: registered_metric::counter(
                 registry,
                 "damaged",
                 "Deltas or chunks that did not fit or were damaged",
             ),
-            refused: metric_start::counter(
+            refused: registered_metric::counter(
                 registry,
                 "refused",
                 "Versions refused by validation",
             ),
-            unconfirmed: metric_start::counter(
+            unconfirmed: registered_metric::counter(
                 registry,
                 "unconfirmed",
                 "Versions not taken at the start because nothing confirmed them",
             ),
-            failed: metric_start::counter(
+            failed: registered_metric::counter(
                 registry,
                 "failed",
                 "Questions to control instances that got no answer",
             ),
-            told_later: metric_start::counter(
+            told_later: registered_metric::counter(
                 registry,
                 "told_later",
                 "Questions that were told when to come back",
