--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -32,7 +32,7 @@
 fn main() {
     let args = command_args::parse_or_exit(&control_args());
     process_log::start();
-    let held = SettingsText::hold(args.settings);
+    let held = SettingsText::read(args.settings);
     let settings: ControlSettings =
         settings_file::read_or_exit("cowslip-control", held.path());
     if args.check {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -32,7 +32,7 @@
 fn main() {
     let args = command_args::parse_or_exit(&node_args());
     process_log::start();
-    let held = SettingsText::hold(args.settings);
+    let held = SettingsText::read(args.settings);
     let settings: NodeSettings = settings_file::read_or_exit("cowslip-node", held.path());
     if args.check {
         println!("{}: usable", held.path().display());
--- a/crates/wire/src/settings_watch.rs
+++ b/crates/wire/src/settings_watch.rs
@@ -36,7 +36,7 @@
 
 impl SettingsText {
     /// Reads the file at `path`. One that cannot be read holds nothing yet.
-    pub fn hold(path: PathBuf) -> Self {
+    pub fn read(path: PathBuf) -> Self {
         let text = fs::read_to_string(&path).unwrap_or_default();
         Self { path, text }
     }
--- a/crates/wire/tests/process_start.rs
+++ b/crates/wire/tests/process_start.rs
@@ -42,7 +42,7 @@
     std::fs::write(&path, "name: before\n").expect("a file");
     actix_rt::System::new().block_on(async {
         let signals = StopSignals::listen().expect("signals");
-        let held = SettingsText::hold(path.clone());
+        let held = SettingsText::read(path.clone());
         std::fs::write(&path, "name: after\n").expect("a file");
         raise(Signal::SIGHUP).expect("a signal");
         let seen = reloaded(signals, held).await;
