--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -12,7 +12,7 @@
 use cowslip_wire::process_log;
 use cowslip_wire::settings_file;
 use cowslip_wire::settings_watch;
-use cowslip_wire::settings_watch::SettingsText;
+use cowslip_wire::settings_watch::SettingsBaseline;
 use cowslip_wire::stop_signal;
 use cowslip_wire::stop_signal::StopSignals;
 
@@ -32,7 +32,7 @@
 fn main() {
     let args = command_args::parse_or_exit(&control_args());
     process_log::start();
-    let held = SettingsText::read(args.settings);
+    let held = SettingsBaseline::read(args.settings);
     let settings: ControlSettings =
         settings_file::read_or_exit("cowslip-control", held.path());
     if args.check {
@@ -49,7 +49,7 @@
 
 async fn run(
     settings: &ControlSettings,
-    held: SettingsText,
+    held: SettingsBaseline,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let signals = StopSignals::listen()?;
     let sockets = ControlSockets::bind(settings.listen, settings.admin_listen)?;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,7 +12,7 @@
 use cowslip_wire::process_log;
 use cowslip_wire::settings_file;
 use cowslip_wire::settings_watch;
-use cowslip_wire::settings_watch::SettingsText;
+use cowslip_wire::settings_watch::SettingsBaseline;
 use cowslip_wire::stop_signal;
 use cowslip_wire::stop_signal::StopSignals;
 
@@ -32,7 +32,7 @@
 fn main() {
     let args = command_args::parse_or_exit(&node_args());
     process_log::start();
-    let held = SettingsText::read(args.settings);
+    let held = SettingsBaseline::read(args.settings);
     let settings: NodeSettings = settings_file::read_or_exit("cowslip-node", held.path());
     if args.check {
         println!("{}: usable", held.path().display());
@@ -46,7 +46,7 @@
     }
 }
 
-async fn run(settings: &NodeSettings, held: SettingsText) -> std::io::Result<()> {
+async fn run(settings: &NodeSettings, held: SettingsBaseline) -> std::io::Result<()> {
     let signals = StopSignals::listen()?;
     let sockets = NodeSockets::bind(settings)?;
     let seed = rand::random();
--- a/crates/wire/src/settings_watch.rs
+++ b/crates/wire/src/settings_watch.rs
@@ -29,12 +29,12 @@
 /// Guards against a change between that and the start of the watch, which would
 /// pass for what the process has, so that it never learned of it.
 #[derive(Clone, Debug)]
-pub struct SettingsText {
+pub struct SettingsBaseline {
     path: PathBuf,
     text: String,
 }
 
-impl SettingsText {
+impl SettingsBaseline {
     /// Reads the file at `path`. One that cannot be read holds nothing yet.
     pub fn read(path: PathBuf) -> Self {
         let text = fs::read_to_string(&path).unwrap_or_default();
@@ -67,7 +67,7 @@
 
 impl<T: FromSettings + 'static> SettingsWatch<T> {
     /// Watches a file for what differs from `held`.
-    pub fn spawn(held: SettingsText) -> Self {
+    pub fn spawn(held: SettingsBaseline) -> Self {
         let (sender, changes) = mpsc::unbounded_channel();
         let at_once = Rc::new(Notify::new());
         actix_rt::spawn(watch(held, sender, Rc::clone(&at_once)));
@@ -84,7 +84,7 @@
 /// that took the place of those before.
 pub async fn until_stopped<T: FromSettings + 'static>(
     signals: StopSignals,
-    held: SettingsText,
+    held: SettingsBaseline,
     mut reload: impl AsyncFnMut(T),
 ) {
     let mut watch = SettingsWatch::<T>::spawn(held);
@@ -100,11 +100,11 @@
 }
 
 async fn watch<T: FromSettings>(
-    held: SettingsText,
+    held: SettingsBaseline,
     changes: mpsc::UnboundedSender<T>,
     at_once: Rc<Notify>,
 ) {
-    let SettingsText {
+    let SettingsBaseline {
         path,
         text: mut held,
     } = held;
--- a/crates/wire/tests/process_start.rs
+++ b/crates/wire/tests/process_start.rs
@@ -8,7 +8,7 @@
 use cowslip_wire::settings_reader::FromSettings;
 use cowslip_wire::settings_reader::SettingsReader;
 use cowslip_wire::settings_watch;
-use cowslip_wire::settings_watch::SettingsText;
+use cowslip_wire::settings_watch::SettingsBaseline;
 use cowslip_wire::stop_signal::StopSignals;
 
 /// Settings of one name.
@@ -22,7 +22,7 @@
 }
 
 /// Runs until the settings have been read once more, and a stop is asked for.
-async fn reloaded(signals: StopSignals, held: SettingsText) -> Vec<NamedSettings> {
+async fn reloaded(signals: StopSignals, held: SettingsBaseline) -> Vec<NamedSettings> {
     let mut seen = Vec::new();
     let run = settings_watch::until_stopped(signals, held, async |changed| {
         seen.push(changed);
@@ -42,7 +42,7 @@
     std::fs::write(&path, "name: before\n").expect("a file");
     actix_rt::System::new().block_on(async {
         let signals = StopSignals::listen().expect("signals");
-        let held = SettingsText::read(path.clone());
+        let held = SettingsBaseline::read(path.clone());
         std::fs::write(&path, "name: after\n").expect("a file");
         raise(Signal::SIGHUP).expect("a signal");
         let seen = reloaded(signals, held).await;
