--- a/crates/control/src/control_settings.rs
+++ b/crates/control/src/control_settings.rs
@@ -7,8 +7,8 @@
 
 use cowslip_wire::access_key::AccessKey;
 use cowslip_wire::settings_reader::FromSettings;
+use cowslip_wire::settings_reader::SettingsDuration;
 use cowslip_wire::settings_reader::SettingsReader;
-use cowslip_wire::settings_reader::SettingsTime;
 
 /// What would be right for an address.
 const ADDRESS: &str = "an address and port such as 127.0.0.1:7101";
@@ -98,7 +98,7 @@
             data_folder: data_folder?,
             members,
             joining,
-            node_live: node_live.map(|SettingsTime(live)| live),
+            node_live: node_live.map(|SettingsDuration(live)| live),
             operator_key: operator_key?,
             system_key: system_key?,
         })
--- a/crates/node/src/node_settings.rs
+++ b/crates/node/src/node_settings.rs
@@ -6,8 +6,8 @@
 
 use cowslip_wire::access_key::AccessKey;
 use cowslip_wire::settings_reader::FromSettings;
+use cowslip_wire::settings_reader::SettingsDuration;
 use cowslip_wire::settings_reader::SettingsReader;
-use cowslip_wire::settings_reader::SettingsTime;
 
 /// What would be right for an address.
 const ADDRESS: &str = "an address and port such as 127.0.0.1:7301";
@@ -119,13 +119,13 @@
             controls,
             system_key: system_key?,
             drain_notice: drain_notice
-                .map_or(DRAIN_NOTICE, |SettingsTime(notice)| notice),
-            follow_wait: follow_wait.map_or(FOLLOW_WAIT, |SettingsTime(wait)| wait),
+                .map_or(DRAIN_NOTICE, |SettingsDuration(notice)| notice),
+            follow_wait: follow_wait.map_or(FOLLOW_WAIT, |SettingsDuration(wait)| wait),
             evidence_pause: evidence_pause
-                .map_or(EVIDENCE_PAUSE, |SettingsTime(pause)| pause),
+                .map_or(EVIDENCE_PAUSE, |SettingsDuration(pause)| pause),
             service: service.map(Arc::from),
             server,
-            stop_within: stop_within.map(|SettingsTime(within)| within),
+            stop_within: stop_within.map(|SettingsDuration(within)| within),
         })
     }
 }
--- a/crates/wire/src/settings_reader.rs
+++ b/crates/wire/src/settings_reader.rs
@@ -283,14 +283,14 @@
 
 /// A time written with its unit, such as `750ms` or `2s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SettingsTime(pub Duration);
+pub struct SettingsDuration(pub Duration);
 
 /// A time without a unit, or with one that is not known.
 #[derive(Debug, Error)]
 #[error("a time is a whole number with its unit, such as 750ms, 2s or 10m")]
 pub struct TimeError;
 
-impl FromStr for SettingsTime {
+impl FromStr for SettingsDuration {
     type Err = TimeError;
 
     fn from_str(text: &str) -> Result<Self, TimeError> {
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -6,14 +6,14 @@
 
 use cowslip_wire::settings_reader::read_text;
 use cowslip_wire::settings_reader::FromSettings;
+use cowslip_wire::settings_reader::SettingsDuration;
 use cowslip_wire::settings_reader::SettingsReader;
-use cowslip_wire::settings_reader::SettingsTime;
 
 #[derive(Debug, PartialEq)]
 struct SampleSettings {
     name: String,
     listen: SocketAddr,
-    pause: Option<SettingsTime>,
+    pause: Option<SettingsDuration>,
     parts: Vec<SamplePart>,
 }
 
@@ -94,11 +94,11 @@
 
     #[test]
     fn a_time_is_its_number_of_units(number in 0..100_000_u32) {
-        let millis: SettingsTime = format!("{number}ms").parse().expect("a time");
+        let millis: SettingsDuration = format!("{number}ms").parse().expect("a time");
         prop_assert_eq!(millis.0.as_millis(), u128::from(number));
-        let minutes: SettingsTime = format!("{number}m").parse().expect("a time");
+        let minutes: SettingsDuration = format!("{number}m").parse().expect("a time");
         prop_assert_eq!(minutes.0.as_secs(), u64::from(number) * 60);
-        let bare: Result<SettingsTime, _> = number.to_string().parse();
+        let bare: Result<SettingsDuration, _> = number.to_string().parse();
         prop_assert!(bare.is_err());
     }
 }
