--- a/crates/wire/src/command_args.rs
+++ b/crates/wire/src/command_args.rs
@@ -5,7 +5,7 @@
 use bpaf::Args;
 use bpaf::OptionParser;
 
-use crate::settings_file::EXIT_UNUSABLE;
+use crate::settings_file::EXIT_USAGE;
 
 /// Columns of help and error texts.
 const TEXT_WIDTH: usize = 80;
@@ -19,7 +19,7 @@
         Err(failure) => {
             failure.print_message(TEXT_WIDTH);
             let asked_for = failure.exit_code() == 0;
-            exit(if asked_for { 0 } else { EXIT_UNUSABLE });
+            exit(if asked_for { 0 } else { EXIT_USAGE });
         }
     }
 }
--- a/crates/wire/src/settings_file.rs
+++ b/crates/wire/src/settings_file.rs
@@ -12,7 +12,7 @@
 use crate::settings_reader::SettingsFault;
 
 /// Exit status for settings that cannot be used.
-pub const EXIT_UNUSABLE: i32 = 2;
+pub const EXIT_USAGE: i32 = 2;
 
 /// Settings that cannot be used.
 #[derive(Debug, Error)]
@@ -47,7 +47,7 @@
         Ok(settings) => settings,
         Err(problem) => {
             eprintln!("{program}: {problem}");
-            exit(EXIT_UNUSABLE);
+            exit(EXIT_USAGE);
         }
     }
 }
