--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -39,7 +39,7 @@
         return;
     }
     let ended = actix_rt::System::new().block_on(run(&settings, held));
-    process_log::finish();
+    process_log::flush();
     if let Err(problem) = ended {
         eprintln!("cowslip-node: {problem}");
         exit(1);
--- a/crates/wire/src/process_log.rs
+++ b/crates/wire/src/process_log.rs
@@ -40,7 +40,7 @@
 
 /// Lets the lines that wait be written; a process calls it before it ends. A
 /// reader that stands still is not waited for long.
-pub fn finish() {
+pub fn flush() {
     let Some(queue) = QUEUE.get() else {
         return;
     };
