--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -185,7 +185,7 @@
     answer.extend_from_slice(head.as_bytes());
     answer.extend_from_slice(&body);
     let kind = HeaderValue::from_static("application/octet-stream");
-    http_reply::with_type(StatusCode::OK, kind, answer.freeze())
+    http_reply::with_content_type(StatusCode::OK, kind, answer.freeze())
 }
 
 /// Time that the caller asks the request to take, besides the plan's.
--- a/crates/wire/src/admin_handler.rs
+++ b/crates/wire/src/admin_handler.rs
@@ -48,7 +48,7 @@
             return http_reply::text(status, "metrics cannot be encoded");
         }
         let kind = HeaderValue::from_static(METRICS_TYPE);
-        http_reply::with_type(StatusCode::OK, kind, text.into())
+        http_reply::with_content_type(StatusCode::OK, kind, text.into())
     }
 }
 
--- a/crates/wire/src/http_reply.rs
+++ b/crates/wire/src/http_reply.rs
@@ -27,7 +27,7 @@
     let mut line: String = text.into();
     line.push('\n');
     let value = HeaderValue::from_static("text/plain; charset=utf-8");
-    with_type(status, value, line.into())
+    with_content_type(status, value, line.into())
 }
 
 /// An answer of JSON.
@@ -35,14 +35,18 @@
     match serde_json::to_vec(value) {
         Ok(body) => {
             let kind = HeaderValue::from_static("application/json");
-            with_type(status, kind, body.into())
+            with_content_type(status, kind, body.into())
         }
         Err(fault) => text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
     }
 }
 
 /// An answer of bytes with their content type.
-pub fn with_type(status: StatusCode, kind: HeaderValue, body: Bytes) -> HttpReply {
+pub fn with_content_type(
+    status: StatusCode,
+    kind: HeaderValue,
+    body: Bytes,
+) -> HttpReply {
     let mut reply = Response::new(status).set_body(BoxBody::new(body));
     reply.headers_mut().insert(CONTENT_TYPE, kind);
     reply
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -46,5 +46,5 @@
 /// An answer that is encoded already.
 pub fn message(bytes: Bytes) -> HttpReply {
     let kind = HeaderValue::from_static(codec::CONTENT_TYPE);
-    http_reply::with_type(StatusCode::OK, kind, bytes)
+    http_reply::with_content_type(StatusCode::OK, kind, bytes)
 }
