--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -149,7 +149,7 @@
     /// not answered by the backend server.
     async fn handle_call(&self, mut request: Request) -> Result<HttpReply, TryFailure> {
         let key = http_reply::header(&request, KEY_HEADER).unwrap_or_default();
-        if !self.system_key.admits(key.as_bytes()) {
+        if !self.system_key.matches(key.as_bytes()) {
             return Err(not_run(RefusalReason::BadHeader));
         }
         let arrived = BootInstant::now();
--- a/crates/wire/src/access_key.rs
+++ b/crates/wire/src/access_key.rs
@@ -29,7 +29,7 @@
 
     /// Compares in time that does not depend on where the two differ, so
     /// that a key cannot be guessed byte by byte.
-    pub fn admits(&self, offered: &[u8]) -> bool {
+    pub fn matches(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
 }
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -21,7 +21,7 @@
     key: &AccessKey,
 ) -> Result<C, HttpReply> {
     let offered = http_reply::header(request, KEY_HEADER).unwrap_or_default();
-    if !key.admits(offered.as_bytes()) {
+    if !key.matches(offered.as_bytes()) {
         let status = StatusCode::UNAUTHORIZED;
         return Err(http_reply::text(status, "the key is missing or wrong"));
     }
