--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -138,7 +138,7 @@
             FollowCall::PATH => {
                 let call: FollowCall = self.read(&mut request).await?;
                 let answer = self.fanout(|reply| FanoutMessage::Follow(call, reply));
-                Ok(message_reply::message(answer.await?))
+                Ok(message_reply::from_encoded(answer.await?))
             }
             ChunkCall::PATH => {
                 let call: ChunkCall = self.read(&mut request).await?;
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -36,7 +36,7 @@
 /// An answer, encoded.
 pub fn encoded<T: Serialize>(answer: &T) -> HttpReply {
     match codec::encode(answer) {
-        Ok(bytes) => message(bytes.into()),
+        Ok(bytes) => from_encoded(bytes.into()),
         Err(fault) => {
             http_reply::text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string())
         }
@@ -44,7 +44,7 @@
 }
 
 /// An answer that is encoded already.
-pub fn message(bytes: Bytes) -> HttpReply {
+pub fn from_encoded(bytes: Bytes) -> HttpReply {
     let kind = HeaderValue::from_static(codec::CONTENT_TYPE);
     http_reply::with_content_type(StatusCode::OK, kind, bytes)
 }
