--- a/crates/wire/src/http_listener.rs
+++ b/crates/wire/src/http_listener.rs
@@ -1,8 +1,9 @@
-//! An HTTP/1.1 listener whose accept loop, connections and limits are ours.
+//! An HTTP/1.1 listener with its own accept loop and connection limits.
 //!
-//! One task owns the listening socket and one each connection; the handler
-//! is a trait object. The number of connections is bounded. A stop ends each
-//! connection once the answer on its way has been flushed to the socket.
+//! One task owns the listening socket, and one task serves each connection;
+//! the handler is a trait object. The number of connections is bounded. A stop
+//! closes each connection once its responses in flight are flushed to the
+//! socket.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -34,81 +35,83 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-use crate::ahead_connection;
-use crate::ahead_connection::ConnectionPlan;
 use crate::http_reply::HttpReply;
+use crate::pipelined_connection;
+use crate::pipelined_connection::ConnectionContext;
 
-/// Time for a connection's request head to arrive whole; a slow sender
-/// holds a connection no longer.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for a complete request head to arrive; bounds how long a slow sender
+/// can hold a connection.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections are closed after this long.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Pause after a failed accept: out of file descriptors, mostly.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// Delay after a failed accept, which mostly means that the process is out of
+/// file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Times that a listener keeps with its connections.
+/// Timeouts of a listener's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerTimeouts {
-    /// For a request's head to arrive whole.
+    /// Time for a complete request head to arrive.
     pub head: Duration,
-    /// Idle connections are closed after this long.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
 impl Default for ListenerTimeouts {
     fn default() -> Self {
         Self {
-            head: HEAD_TIMEOUT,
+            head: REQUEST_HEAD_TIMEOUT,
             idle: IDLE_TIMEOUT,
         }
     }
 }
 
-/// Watches the times, which may change while the listener runs.
-pub type TimesWatch = watch::Receiver<ListenerTimeouts>;
+/// Receives the timeouts, which may change while the listener runs.
+pub type TimeoutsWatch = watch::Receiver<ListenerTimeouts>;
 
-/// How a connection's requests are served.
+/// How the requests of one connection are served.
 #[derive(Clone, Copy, Debug)]
-enum ServingKind {
-    /// One after the other.
-    InTurn,
-    /// Those that were sent ahead together.
-    Ahead,
+enum RequestMode {
+    /// One at a time.
+    Sequential,
+    /// Pipelined GET and HEAD requests run concurrently.
+    Pipelined,
 }
 
-/// Where a listener stands.
+/// Lifecycle stage of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ListenerStage {
     Open,
-    /// No new connection and no new request; what is in flight ends.
+    /// No new connection or request is accepted; requests in flight complete.
     Closing,
-    /// Every connection is cut.
-    Cut,
+    /// Open connections are dropped.
+    Aborted,
 }
 
-/// Answer of a handler, still on its way.
+/// A handler's response, once it completes.
 pub type ReplyFuture = Pin<Box<dyn Future<Output = HttpReply>>>;
 
-/// Serves the requests of a listener.
+/// Handles the requests of a listener.
 pub trait HttpHandler {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, request: Request) -> ReplyFuture;
 }
 
-/// A running listener; dropping it stops accepting.
+/// A running listener; dropping it closes the socket and its connections.
 pub struct HttpListener {
     address: SocketAddr,
     stage: watch::Sender<ListenerStage>,
-    open: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     connections_max: usize,
     in_flight: Rc<Cell<usize>>,
 }
 
 impl HttpListener {
     /// Binds `address` and serves at most `connections_max` connections at
-    /// once; more wait in the system's backlog. Port 0 takes a free port.
+    /// once; further ones wait in the kernel's accept backlog. Port 0 picks a
+    /// free port.
     pub fn bind(
         address: SocketAddr,
         connections_max: usize,
@@ -118,201 +121,215 @@
         Self::spawn(socket, connections_max, handler)
     }
 
-    /// Serves a socket that is bound already, so that its port can be told
-    /// to others before anything answers on it.
+    /// Serves a socket that is already bound, so that its port can be
+    /// published before the listener answers on it.
     pub fn spawn(
         socket: std::net::TcpListener,
         connections_max: usize,
         handler: Rc<dyn HttpHandler>,
     ) -> io::Result<Self> {
-        let (_, times) = watch::channel(ListenerTimeouts::default());
-        let kind = ServingKind::InTurn;
-        Self::spawn_kind(socket, connections_max, handler, times, kind)
+        let (_, timeouts) = watch::channel(ListenerTimeouts::default());
+        let mode = RequestMode::Sequential;
+        Self::spawn_with_mode(socket, connections_max, handler, timeouts, mode)
     }
 
-    /// The same for callers that send requests ahead, which are worked on
-    /// together; with times that may change. Connections keep the times that
-    /// held when they were taken.
+    /// Serves a bound socket and handles pipelined requests concurrently. The
+    /// timeouts may change; a connection keeps those in force when it was
+    /// accepted.
     pub fn spawn_pipelined(
         socket: std::net::TcpListener,
         connections_max: usize,
         handler: Rc<dyn HttpHandler>,
-        times: TimesWatch,
+        timeouts: TimeoutsWatch,
     ) -> io::Result<Self> {
-        Self::spawn_kind(socket, connections_max, handler, times, ServingKind::Ahead)
+        Self::spawn_with_mode(
+            socket,
+            connections_max,
+            handler,
+            timeouts,
+            RequestMode::Pipelined,
+        )
     }
 
-    fn spawn_kind(
+    fn spawn_with_mode(
         socket: std::net::TcpListener,
         connections_max: usize,
         handler: Rc<dyn HttpHandler>,
-        times: TimesWatch,
-        kind: ServingKind,
+        timeouts: TimeoutsWatch,
+        mode: RequestMode,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         let socket = TcpListener::from_std(socket)?;
         let address = socket.local_addr()?;
-        let (stage, staged) = watch::channel(ListenerStage::Open);
-        let open = Arc::new(Semaphore::new(connections_max));
+        let (stage, stage_watch) = watch::channel(ListenerStage::Open);
+        let permits = Arc::new(Semaphore::new(connections_max));
         let in_flight = Rc::new(Cell::new(0));
         let counted = CountedHandler {
             handler,
             in_flight: Rc::clone(&in_flight),
         };
-        let loop_parts = AcceptLoop {
+        let accept_loop = AcceptLoop {
             socket,
-            open: Arc::clone(&open),
+            permits: Arc::clone(&permits),
             counted: Rc::new(counted),
-            staged,
-            times,
-            kind,
+            stage_watch,
+            timeouts,
+            mode,
         };
-        actix_rt::spawn(loop_parts.run());
+        actix_rt::spawn(accept_loop.run());
         Ok(Self {
             address,
             stage,
-            open,
+            permits,
             connections_max,
             in_flight,
         })
     }
 
-    /// The address in use.
+    /// The local address of the socket.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests whose answers have not been handed over whole.
+    /// Number of requests whose responses are not completely written.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Stops accepting and lets each connection end with the answer that is
-    /// on its way, up to `patience`; then cuts the rest. True where none was
-    /// cut.
-    pub async fn stop(self, patience: Duration) -> bool {
+    /// Stops accepting and lets each connection finish its responses in flight
+    /// for up to `timeout`, then drops the remaining connections. Returns true
+    /// if none was dropped.
+    pub async fn stop(self, timeout: Duration) -> bool {
         self.stage.send_replace(ListenerStage::Closing);
         let all = u32::try_from(self.connections_max).unwrap_or(u32::MAX);
-        // Each connection holds one permit until its last byte is flushed.
-        let ended = actix_rt::time::timeout(patience, self.open.acquire_many(all));
+        // Each connection holds one permit until its last byte is flushed, so
+        // that holding all permits means that no connection is open.
+        let ended = actix_rt::time::timeout(timeout, self.permits.acquire_many(all));
         let whole = ended.await.is_ok();
-        self.stage.send_replace(ListenerStage::Cut);
+        self.stage.send_replace(ListenerStage::Aborted);
         whole
     }
 }
 
-/// Ends when the listener has come to `stage` or was dropped.
-async fn reached(mut staged: watch::Receiver<ListenerStage>, stage: ListenerStage) {
-    // An error means that the handle was dropped, which cuts too.
-    let _ = staged.wait_for(|now| *now >= stage).await;
+/// Completes when the listener has reached `stage` or was dropped.
+async fn stage_reached(
+    mut stage_watch: watch::Receiver<ListenerStage>,
+    stage: ListenerStage,
+) {
+    // An error means that the listener was dropped, which also ends every
+    // connection.
+    let _ = stage_watch.wait_for(|now| *now >= stage).await;
 }
 
-/// Serves one connection at a time of those that it is called for.
-type ConnectionService = Rc<dyn ServeConnection>;
+/// Serves connections with the timeouts in force when it was built.
+type ConnectionService = Rc<dyn ConnectionServer>;
 
-/// A service whose library types are hidden.
-trait ServeConnection {
+/// Serves one connection until it closes; hides the HTTP library's types.
+trait ConnectionServer {
     fn serve(&self, stream: TcpStream) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
 
-struct HttpConnections<S>(S);
+struct SequentialConnections<S>(S);
 
-impl<S: Service<TcpStream>> ServeConnection for HttpConnections<S> {
+impl<S: Service<TcpStream>> ConnectionServer for SequentialConnections<S> {
     fn serve(&self, stream: TcpStream) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(serve(&self.0, stream))
     }
 }
 
-/// Serves requests of a connection that were sent ahead together.
-struct AheadConnections {
-    plan: ConnectionPlan,
-    staged: watch::Receiver<ListenerStage>,
+/// Serves connections with concurrent request pipelining.
+struct PipelinedConnections {
+    context: ConnectionContext,
+    stage_watch: watch::Receiver<ListenerStage>,
 }
 
-impl ServeConnection for AheadConnections {
+impl ConnectionServer for PipelinedConnections {
     fn serve(&self, stream: TcpStream) -> Pin<Box<dyn Future<Output = ()> + '_>> {
-        let closing = reached(self.staged.clone(), ListenerStage::Closing);
+        let closing = stage_reached(self.stage_watch.clone(), ListenerStage::Closing);
         Box::pin(async move {
-            // A broken connection is its peer's matter.
-            let _ = ahead_connection::serve(&self.plan, stream, closing).await;
+            // An error only concerns this connection, which closes with it.
+            let _ = pipelined_connection::serve(&self.context, stream, closing).await;
         })
     }
 }
 
 struct AcceptLoop {
     socket: TcpListener,
-    open: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     counted: Rc<CountedHandler>,
-    staged: watch::Receiver<ListenerStage>,
-    times: TimesWatch,
-    kind: ServingKind,
+    stage_watch: watch::Receiver<ListenerStage>,
+    timeouts: TimeoutsWatch,
+    mode: RequestMode,
 }
 
 impl AcceptLoop {
     async fn run(mut self) {
-        let Some(mut service) = self.service().await else {
+        let Some(mut service) = self.connection_service().await else {
             return;
         };
         loop {
-            let accepting = accept(&self.socket, &self.open);
+            let accepting = accept(&self.socket, &self.permits);
             let accepted = tokio::select! {
                 accepted = accepting => accepted,
-                () = reached(self.staged.clone(), ListenerStage::Closing) => return,
+                () = stage_reached(self.stage_watch.clone(), ListenerStage::Closing) => return,
             };
             let Ok((stream, permit)) = accepted else {
-                actix_rt::time::sleep(ACCEPT_PAUSE).await;
+                actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // An error means that the times are fixed.
-            if self.times.has_changed().unwrap_or(false) {
-                service = self.service().await.unwrap_or(service);
+            // An error means that the sender is gone and the timeouts are final.
+            if self.timeouts.has_changed().unwrap_or(false) {
+                service = self.connection_service().await.unwrap_or(service);
             }
             let service = Rc::clone(&service);
-            let staged = self.staged.clone();
+            let stage_watch = self.stage_watch.clone();
             actix_rt::spawn(async move {
                 tokio::select! {
                     () = service.serve(stream) => {}
-                    () = reached(staged, ListenerStage::Cut) => {}
+                    () = stage_reached(stage_watch, ListenerStage::Aborted) => {}
                 }
                 drop(permit);
             });
         }
     }
 
-    async fn service(&mut self) -> Option<ConnectionService> {
-        let times = *self.times.borrow_and_update();
-        match self.kind {
-            ServingKind::InTurn => self.in_turn(times).await,
-            ServingKind::Ahead => Some(self.ahead(times)),
+    async fn connection_service(&mut self) -> Option<ConnectionService> {
+        let timeouts = *self.timeouts.borrow_and_update();
+        match self.mode {
+            RequestMode::Sequential => self.sequential_service(timeouts).await,
+            RequestMode::Pipelined => Some(self.pipelined_service(timeouts)),
         }
     }
 
-    fn ahead(&self, times: ListenerTimeouts) -> ConnectionService {
+    fn pipelined_service(&self, timeouts: ListenerTimeouts) -> ConnectionService {
         let config = ServiceConfigBuilder::new()
-            .keep_alive(KeepAlive::Timeout(times.idle))
+            .keep_alive(KeepAlive::Timeout(timeouts.idle))
             .build();
-        Rc::new(AheadConnections {
-            plan: ConnectionPlan {
+        Rc::new(PipelinedConnections {
+            context: ConnectionContext {
                 handler: Rc::clone(&self.counted),
                 config,
-                times,
+                timeouts,
             },
-            staged: self.staged.clone(),
+            stage_watch: self.stage_watch.clone(),
         })
     }
 
-    async fn in_turn(&self, times: ListenerTimeouts) -> Option<ConnectionService> {
-        let closing = self.staged.clone();
+    async fn sequential_service(
+        &self,
+        timeouts: ListenerTimeouts,
+    ) -> Option<ConnectionService> {
+        let closing = self.stage_watch.clone();
         let counted = Rc::clone(&self.counted);
         let factory = HttpService::build()
-            .client_request_timeout(times.head)
-            .keep_alive(times.idle)
-            // Guards against callers that leave: with their half of the
-            // connection closed their calls would run on, hold slots, and
-            // keep new ones waiting until the deadline of those who left.
+            .client_request_timeout(timeouts.head)
+            .keep_alive(timeouts.idle)
+            // A half-closed connection means that its caller has left. If its
+            // calls kept running, they would hold slots and delay new calls
+            // until the deadlines of the abandoned ones.
             .h1_allow_half_closed(false)
             .graceful_shutdown_signal(move || {
-                reached(closing.clone(), ListenerStage::Closing)
+                stage_reached(closing.clone(), ListenerStage::Closing)
             })
             .h1(fn_service(move |request: Request| {
                 let counted = Rc::clone(&counted);
@@ -320,47 +337,47 @@
             }))
             .tcp();
         let service = factory.new_service(()).await.ok()?;
-        Some(Rc::new(HttpConnections(service)))
+        Some(Rc::new(SequentialConnections(service)))
     }
 }
 
-/// The next connection, once there is room for it.
+/// Accepts the next connection once the connection limit allows it.
 async fn accept(
     socket: &TcpListener,
-    open: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, OwnedSemaphorePermit)> {
-    let permit = Arc::clone(open).acquire_owned().await;
+    let permit = Arc::clone(permits).acquire_owned().await;
     let permit = permit.map_err(io::Error::other)?;
     let (stream, _) = socket.accept().await?;
     Ok((stream, permit))
 }
 
 async fn serve<S: Service<TcpStream>>(service: &S, stream: TcpStream) {
-    // A broken connection is its peer's matter; requests that it cuts are
-    // seen and counted by their handlers.
+    // An error only concerns this connection; handlers notice and count the
+    // requests that it interrupts.
     let _ = service.call(stream).await;
 }
 
-/// Answers requests and counts them while they are in flight.
+/// Handles requests and counts them while they are in flight.
 pub(crate) struct CountedHandler {
     handler: Rc<dyn HttpHandler>,
     in_flight: Rc<Cell<usize>>,
 }
 
 impl CountedHandler {
-    /// Answers a request.
+    /// Handles a request; it counts as in flight until its body is dropped.
     pub(crate) async fn handle(&self, request: Request) -> Response<CountedBody> {
-        let guard = FlightGuard::begin(&self.in_flight);
+        let guard = InFlightGuard::begin(&self.in_flight);
         let reply = self.handler.handle(request).await;
         Self::counted(reply, guard)
     }
 
-    /// Counts an answer that no handler gave.
+    /// Counts a response that no handler produced.
     pub(crate) fn count(&self, reply: HttpReply) -> Response<CountedBody> {
-        Self::counted(reply, FlightGuard::begin(&self.in_flight))
+        Self::counted(reply, InFlightGuard::begin(&self.in_flight))
     }
 
-    fn counted(reply: HttpReply, guard: FlightGuard) -> Response<CountedBody> {
+    fn counted(reply: HttpReply, guard: InFlightGuard) -> Response<CountedBody> {
         reply.map_body(|_, body| CountedBody {
             body,
             _guard: guard,
@@ -368,26 +385,26 @@
     }
 }
 
-/// Counts a request in flight for as long as it lives.
-struct FlightGuard(Rc<Cell<usize>>);
+/// Counts a request as in flight until it is dropped.
+struct InFlightGuard(Rc<Cell<usize>>);
 
-impl FlightGuard {
+impl InFlightGuard {
     fn begin(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A body that counts as in flight until it is dropped.
+/// A response body that counts its request as in flight until it is dropped.
 pub(crate) struct CountedBody {
     body: BoxBody,
-    _guard: FlightGuard,
+    _guard: InFlightGuard,
 }
 
 impl MessageBody for CountedBody {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod access_key;
 pub mod admin_handler;
 pub mod agreement_messages;
-mod ahead_connection;
 pub mod boot_instant;
 pub mod claim_messages;
 pub mod codec;
@@ -20,6 +19,7 @@
 pub mod message_reply;
 pub mod messages;
 pub mod peer_client;
+mod pipelined_connection;
 pub mod process_log;
 pub mod registered_metric;
 pub mod settings_file;
--- a/crates/wire/src/ahead_connection/ahead_exchange.rs
+++ b/crates/wire/src/pipelined_connection/pipelined_exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a connection and its answer.
+//! One request of a pipelined connection and its response.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -36,39 +36,39 @@
 use crate::http_listener::CountedHandler;
 use crate::http_reply;
 
-/// Parts of a body that wait for its handler, each of some kilobytes.
-const PARTS_MAX: usize = 8;
+/// Body chunks of a few kilobytes each that are queued for the handler.
+const CHUNKS_MAX: usize = 8;
 
-/// A part of a body, or its end.
-type BodyPart = Option<Result<Bytes, PayloadError>>;
+/// A chunk of a request body, or `None` at its end.
+type BodyChunk = Option<Result<Bytes, PayloadError>>;
 
-/// A codec reads a request's body while its answer is written by it.
+/// A codec may decode a request's body while it encodes the response.
 type SharedCodec = Rc<RefCell<Codec>>;
 
-/// An answer being made.
+/// A handler's response that is not yet complete.
 type RunningReply = Pin<Box<dyn Future<Output = Response<CountedBody>>>>;
 
-/// A request whose head was read, or what is answered in its place.
-pub(super) struct HeadRead {
+/// A request whose head was decoded, or the error status to answer with.
+pub(super) struct ReceivedRequest {
     codec: Codec,
     request: Result<Request, StatusCode>,
-    repeatable: bool,
+    concurrent: bool,
     last: bool,
 }
 
-impl HeadRead {
-    /// Takes a head out of the input; `None` where it has not come whole.
+impl ReceivedRequest {
+    /// Decodes a request head; `None` if the input does not hold all of it.
     ///
-    /// Each request has a codec of its own, since that also remembers how
-    /// its answer is to be written.
-    pub(super) fn take(input: &mut BytesMut, config: ServiceConfig) -> Option<Self> {
+    /// Each request has its own codec, because a codec also keeps the request's
+    /// properties that decide how its response is encoded.
+    pub(super) fn decode(input: &mut BytesMut, config: ServiceConfig) -> Option<Self> {
         let mut codec = Codec::new(config.clone());
         match codec.decode(input) {
             Ok(Some(Message::Item(request))) => {
-                let bare = codec.message_type() == MessageType::None;
-                let quiet = matches!(*request.method(), Method::GET | Method::HEAD);
+                let no_body = codec.message_type() == MessageType::None;
+                let safe = matches!(*request.method(), Method::GET | Method::HEAD);
                 Some(Self {
-                    repeatable: bare && quiet,
+                    concurrent: no_body && safe,
                     last: !codec.keep_alive(),
                     codec,
                     request: Ok(request),
@@ -86,38 +86,38 @@
         }
     }
 
-    /// Stands for a request that cannot be read.
+    /// A request that cannot be parsed or was too slow, answered with `status`.
     pub(super) fn refused(status: StatusCode, config: ServiceConfig) -> Self {
         Self {
             codec: Codec::new(config),
             request: Err(status),
-            repeatable: false,
+            concurrent: false,
             last: true,
         }
     }
 
-    /// True where it may run beside others.
-    pub(super) fn is_repeatable(&self) -> bool {
-        self.repeatable
+    /// True for a GET or HEAD request without a body.
+    pub(super) fn may_run_concurrently(&self) -> bool {
+        self.concurrent
     }
 
-    /// True where its caller sends none after it.
+    /// True if the caller sends no request after this one.
     pub(super) fn is_last(&self) -> bool {
         self.last
     }
 
-    /// True where its caller waits for a word before it sends the body.
+    /// True if the caller waits for `100 Continue` before it sends the body.
     pub(super) fn expects_continue(&self) -> bool {
         self.request
             .as_ref()
             .is_ok_and(|request| request.head().expect())
     }
 
-    /// Hands it to the handler.
-    pub(super) fn begin(
+    /// Passes the request to the handler; returns a decoder if it has a body.
+    pub(super) fn start(
         self,
         handler: &Rc<CountedHandler>,
-    ) -> (AheadExchange, Option<BodyFeed>) {
+    ) -> (PipelinedExchange, Option<BodyDecoder>) {
         let handler = Rc::clone(handler);
         let has_body = self.codec.message_type() != MessageType::None;
         let codec = Rc::new(RefCell::new(self.codec));
@@ -125,7 +125,7 @@
         let running: RunningReply = match self.request {
             Ok(mut request) => {
                 if has_body {
-                    feed = Some(BodyFeed::attach(&mut request, Rc::clone(&codec)));
+                    feed = Some(BodyDecoder::attach(&mut request, Rc::clone(&codec)));
                 }
                 Box::pin(async move { handler.handle(request).await })
             }
@@ -134,38 +134,38 @@
                 Box::pin(async move { handler.count(reply) })
             }
         };
-        let exchange = AheadExchange {
+        let exchange = PipelinedExchange {
             codec,
-            repeatable: self.repeatable,
+            concurrent: self.concurrent,
             progress: ReplyProgress::Running(running),
         };
         (exchange, feed)
     }
 }
 
-/// How far an answer is.
+/// Progress of a response.
 enum ReplyProgress {
     Running(RunningReply),
     Ready(Response<CountedBody>),
 }
 
-/// A request that was begun.
-pub(super) struct AheadExchange {
+/// A started request.
+pub(super) struct PipelinedExchange {
     codec: SharedCodec,
-    repeatable: bool,
+    concurrent: bool,
     progress: ReplyProgress,
 }
 
-impl AheadExchange {
-    /// True where others may run beside it.
-    pub(super) fn is_repeatable(&self) -> bool {
-        self.repeatable
+impl PipelinedExchange {
+    /// True if other such requests may run beside this one.
+    pub(super) fn may_run_concurrently(&self) -> bool {
+        self.concurrent
     }
 
-    /// Turns into the answer that is to be written, where it is there.
-    pub(super) fn into_ready(self) -> Result<ReadyAnswer, Self> {
+    /// Returns the response, or the exchange itself while its handler runs.
+    pub(super) fn into_ready(self) -> Result<ReadyReply, Self> {
         match self.progress {
-            ReplyProgress::Ready(reply) => Ok(ReadyAnswer {
+            ReplyProgress::Ready(reply) => Ok(ReadyReply {
                 codec: self.codec,
                 reply,
             }),
@@ -174,9 +174,9 @@
     }
 }
 
-/// Drives all requests; ready once the oldest has its answer.
+/// Polls all running requests; ready once the oldest has its response.
 pub(super) fn poll_all(
-    exchanges: &mut VecDeque<AheadExchange>,
+    exchanges: &mut VecDeque<PipelinedExchange>,
     cx: &mut Context<'_>,
 ) -> Poll<()> {
     for exchange in exchanges.iter_mut() {
@@ -193,31 +193,31 @@
     }
 }
 
-/// An answer that is to be written.
-pub(super) struct ReadyAnswer {
+/// A complete response head with a body that is not written yet.
+pub(super) struct ReadyReply {
     codec: SharedCodec,
     reply: Response<CountedBody>,
 }
 
-impl ReadyAnswer {
-    /// True where the handler wants the connection to end.
+impl ReadyReply {
+    /// True if the handler asks for the connection to close.
     pub(super) fn asks_to_close(&self) -> bool {
         self.reply.head().connection_type() == ConnectionType::Close
     }
 
-    /// Writes the head; what is left is the body, if it has one. `end` says
-    /// that the connection ends with this answer.
+    /// Writes the head and returns the writer of the body, if there is one.
+    /// `close` says that the connection closes after this response.
     pub(super) fn write_head(
         mut self,
-        end: bool,
+        close: bool,
         output: &mut BytesMut,
     ) -> io::Result<Option<BodyWriter>> {
-        if end {
+        if close {
             self.reply
                 .head_mut()
                 .set_connection_type(ConnectionType::Close);
         } else if self.asks_to_close() {
-            self.reply = stay_open(self.reply);
+            self.reply = with_keep_alive(self.reply);
         }
         let (head, body) = self.reply.into_parts();
         let size = body.size();
@@ -229,14 +229,14 @@
         Ok(Some(BodyWriter {
             codec: self.codec,
             body: Box::pin(body),
-            end,
+            close,
         }))
     }
 }
 
-/// The same answer without the wish to end the connection, which cannot be
-/// taken back from an answer that has it.
-fn stay_open(mut reply: Response<CountedBody>) -> Response<CountedBody> {
+/// Rebuilds the response without its request to close the connection, because
+/// the library cannot unset that flag.
+fn with_keep_alive(mut reply: Response<CountedBody>) -> Response<CountedBody> {
     let headers = std::mem::take(reply.headers_mut());
     let reason = reply.head().reason;
     let (reply, body) = reply.into_parts();
@@ -246,107 +246,109 @@
     open
 }
 
-/// The body of an answer being written.
+/// Writes the body of a response.
 pub(super) struct BodyWriter {
     codec: SharedCodec,
     body: Pin<Box<CountedBody>>,
-    end: bool,
+    close: bool,
 }
 
 impl BodyWriter {
-    /// True where the connection ends with it.
-    pub(super) fn is_end(&self) -> bool {
-        self.end
+    /// True if the connection closes after this body.
+    pub(super) fn closes_connection(&self) -> bool {
+        self.close
     }
 
-    /// The next part; `None` at the end.
+    /// The next chunk; `None` at the end.
     pub(super) async fn next(&mut self) -> Option<io::Result<Bytes>> {
-        let part = poll_fn(|cx| self.body.as_mut().poll_next(cx)).await;
-        part.map(|part| part.map_err(|error| io::Error::other(error.to_string())))
+        let chunk = poll_fn(|cx| self.body.as_mut().poll_next(cx)).await;
+        chunk.map(|chunk| chunk.map_err(|error| io::Error::other(error.to_string())))
     }
 
-    /// Writes a part.
-    pub(super) fn write(&self, part: Bytes, output: &mut BytesMut) -> io::Result<()> {
+    /// Encodes a chunk.
+    pub(super) fn write(&self, chunk: Bytes, output: &mut BytesMut) -> io::Result<()> {
         let mut codec = self.codec.borrow_mut();
-        codec.encode(Message::Chunk(Some(part)), output)
+        codec.encode(Message::Chunk(Some(chunk)), output)
     }
 
-    /// Writes the end; an error where parts are missing.
+    /// Encodes the end of the body; fails if the body is shorter than declared.
     pub(super) fn write_end(&self, output: &mut BytesMut) -> io::Result<()> {
         self.codec.borrow_mut().encode(Message::Chunk(None), output)
     }
 }
 
-/// What came of the input that a body was given.
-pub(super) enum FeedStep {
-    /// More input, or room at the handler, is needed.
+/// Result of decoding a body from the input.
+pub(super) enum DecodeStep {
+    /// More input, or capacity in the handler's queue, is needed.
     Wait,
     /// The body has ended.
     End,
-    /// It is malformed.
-    Broken,
+    /// The body is malformed.
+    Malformed,
 }
 
-/// A request's body on its way to the handler.
-pub(super) struct BodyFeed {
+/// Decodes a request's body and queues its chunks for the handler.
+pub(super) struct BodyDecoder {
     codec: SharedCodec,
-    parts: mpsc::Sender<BodyPart>,
+    chunks: mpsc::Sender<BodyChunk>,
 }
 
-impl BodyFeed {
+impl BodyDecoder {
     fn attach(request: &mut Request, codec: SharedCodec) -> Self {
-        let (parts, receiver) = mpsc::channel::<BodyPart>(PARTS_MAX);
+        let (chunks, receiver) = mpsc::channel::<BodyChunk>(CHUNKS_MAX);
         let stream = stream::unfold(Some(receiver), |receiver| async move {
             let mut receiver = receiver?;
             match receiver.recv().await {
-                Some(Some(part)) => Some((part, Some(receiver))),
+                Some(Some(chunk)) => Some((chunk, Some(receiver))),
                 Some(None) => None,
-                // Guards against a caller that leaves in the middle of its
-                // body: what came of it would pass for the whole.
+                // The caller disconnected in the middle of the body. Without an
+                // error the handler would take the partial body as complete.
                 None => Some((Err(PayloadError::Incomplete(None)), None)),
             }
         });
         let stream: BoxedPayloadStream = Box::pin(stream);
         *request.payload() = Payload::from(stream);
-        Self { codec, parts }
+        Self { codec, chunks }
     }
 
-    /// Hands on what the input holds of the body.
-    pub(super) fn take(&mut self, input: &mut BytesMut) -> FeedStep {
+    /// Decodes body chunks from the input while the handler's queue has capacity.
+    pub(super) fn decode(&mut self, input: &mut BytesMut) -> DecodeStep {
         loop {
-            if !self.has_room() {
-                return FeedStep::Wait;
+            if !self.has_capacity() {
+                return DecodeStep::Wait;
             }
             let read = self.codec.borrow_mut().decode(input);
-            // A handler that reads no more of it has answered already.
+            // Sending fails if the handler has answered without reading the
+            // rest of the body, which is then discarded.
             match read {
-                Ok(Some(Message::Chunk(Some(part)))) => {
-                    let _ = self.parts.try_send(Some(Ok(part)));
+                Ok(Some(Message::Chunk(Some(chunk)))) => {
+                    let _ = self.chunks.try_send(Some(Ok(chunk)));
                 }
                 Ok(Some(Message::Chunk(None))) => {
-                    let _ = self.parts.try_send(None);
-                    return FeedStep::End;
+                    let _ = self.chunks.try_send(None);
+                    return DecodeStep::End;
                 }
-                Ok(None) => return FeedStep::Wait,
+                Ok(None) => return DecodeStep::Wait,
                 Ok(Some(Message::Item(_))) | Err(_) => {
                     let fault = PayloadError::EncodingCorrupted;
-                    let _ = self.parts.try_send(Some(Err(fault)));
-                    return FeedStep::Broken;
+                    let _ = self.chunks.try_send(Some(Err(fault)));
+                    return DecodeStep::Malformed;
                 }
             }
         }
     }
 
-    fn has_room(&self) -> bool {
-        self.parts.is_closed() || self.parts.capacity() > 0
+    fn has_capacity(&self) -> bool {
+        self.chunks.is_closed() || self.chunks.capacity() > 0
     }
 
-    /// Ends once the handler takes more; never where it does already.
-    pub(super) async fn room(&mut self) {
-        if self.has_room() {
+    /// Completes once the handler's queue has capacity again; never completes
+    /// if it has capacity already.
+    pub(super) async fn wait_for_capacity(&mut self) {
+        if self.has_capacity() {
             std::future::pending::<()>().await;
         }
-        // An error means that the handler reads no more.
-        let _ = self.parts.reserve().await;
+        // An error means that the handler has dropped the body.
+        let _ = self.chunks.reserve().await;
     }
 }
