--- a/crates/wire/src/access_key.rs
+++ b/crates/wire/src/access_key.rs
@@ -1,4 +1,4 @@
-//! The keys that guard the operators' and the system's own interface.
+//! Shared keys that authenticate operators and the system's own processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,45 +6,46 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Header that carries the key.
+/// Request header that carries the key.
 pub const KEY_HEADER: &str = "cowslip-key";
 
-/// Shortest secret taken from settings; anything shorter is a slip.
+/// Minimum length of a key in the settings; a shorter one is taken for a
+/// mistake.
 const KEY_BYTES_MIN: usize = 8;
 
-/// A shared secret from the settings; never printed.
+/// A shared secret from the settings, which `Debug` does not print.
 #[derive(Clone)]
 pub struct AccessKey(String);
 
 impl AccessKey {
-    /// A key of these characters.
+    /// Creates a key without checking its length.
     pub fn new(secret: impl Into<String>) -> Self {
         Self(secret.into())
     }
 
-    /// The secret, for sending.
+    /// The secret, to be sent in [`KEY_HEADER`].
     pub fn secret(&self) -> &str {
         &self.0
     }
 
-    /// Compares in time that does not depend on where the two differ, so
-    /// that a key cannot be guessed byte by byte.
+    /// Compares an offered key in constant time, so that it cannot be guessed
+    /// byte by byte from response times.
     pub fn matches(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
 }
 
-/// A secret that is too short to be one.
+/// A key with fewer characters than the minimum.
 #[derive(Debug, Error)]
 #[error("a key has at least {KEY_BYTES_MIN} characters")]
-pub struct ShortKey;
+pub struct ShortKeyError;
 
 impl FromStr for AccessKey {
-    type Err = ShortKey;
+    type Err = ShortKeyError;
 
-    fn from_str(secret: &str) -> Result<Self, ShortKey> {
+    fn from_str(secret: &str) -> Result<Self, ShortKeyError> {
         if secret.len() < KEY_BYTES_MIN {
-            return Err(ShortKey);
+            return Err(ShortKeyError);
         }
         Ok(Self::new(secret))
     }
--- a/crates/wire/src/admin_handler.rs
+++ b/crates/wire/src/admin_handler.rs
@@ -1,4 +1,4 @@
-//! The admin listener of every process: metrics, health and readiness.
+//! Handler of every process's admin listener: metrics, health and readiness.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,10 +14,11 @@
 use crate::http_reply;
 use crate::http_reply::HttpReply;
 
-/// Connections of the admin listener; scrapers need only a few.
+/// Connection limit of the admin listener; metric scrapers need only a few.
 pub const ADMIN_CONNECTIONS_MAX: usize = 32;
 
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str =
+    "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Serves `/metrics`, `/healthz` and `/readyz`.
 pub struct AdminHandler {
@@ -26,7 +27,7 @@
 }
 
 impl AdminHandler {
-    /// A page over the process's metrics and its readiness.
+    /// Creates a handler for the process's metrics and readiness flag.
     pub fn new(registry: Rc<Registry>, ready: Rc<Cell<bool>>) -> Self {
         Self { registry, ready }
     }
@@ -47,8 +48,8 @@
             let status = StatusCode::INTERNAL_SERVER_ERROR;
             return http_reply::text(status, "metrics cannot be encoded");
         }
-        let kind = HeaderValue::from_static(METRICS_TYPE);
-        http_reply::with_content_type(StatusCode::OK, kind, text.into())
+        let content_type = HeaderValue::from_static(METRICS_CONTENT_TYPE);
+        http_reply::with_content_type(StatusCode::OK, content_type, text.into())
     }
 }
 
--- a/crates/wire/src/agreement_messages.rs
+++ b/crates/wire/src/agreement_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between control instances that agree, and by which operators
-//! change who agrees.
+//! Consensus messages between control instances, and operator messages that
+//! list and change the consensus members.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,19 +14,19 @@
 use crate::messages::LeaderAnswer;
 use crate::messages::WireCall;
 
-/// Messages of the agreement, gathered; they need no answer of their own.
+/// A batch of consensus messages; responses to them are sent in later batches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreeCall {
-    /// The messages, in the order of sending.
+    /// The messages in sending order.
     pub messages: Vec<MemberMessage>,
 }
 wire_call!(AgreeCall, System, "/system/agree", ());
 
-/// An operator's change of members. Sending it again is harmless: what is
-/// done already is refused as such.
+/// An operator's membership change. Resending it is harmless: a change that is
+/// already made is refused with a reason that says so.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberCall {
-    /// The change.
+    /// The member to add or remove.
     pub change: MemberChange,
 }
 wire_call!(
@@ -36,7 +36,7 @@
     LeaderAnswer<MemberAnswer>
 );
 
-/// Asks for the members.
+/// Requests the list of members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersCall {}
 wire_call!(
--- a/crates/wire/src/boot_instant.rs
+++ b/crates/wire/src/boot_instant.rs
@@ -1,4 +1,4 @@
-//! A moment on a clock that also runs while the machine is suspended.
+//! A monotonic instant that includes the time while the machine is suspended.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use nix::time::clock_gettime;
 use nix::time::ClockId;
 
-/// Time since the machine started, suspended time included.
+/// Time since the machine booted, including suspended time.
 ///
-/// Guards against a process that was suspended with its machine: on the
-/// usual steady clock no time has passed, so a leader goes on to answer by
-/// a lease that ended long ago, and a drain counts as fresh. No step of the
-/// wall clock moves this one.
+/// The usual monotonic clock stops while the machine is suspended: after a
+/// resume, a leader would keep answering under a lease that has long expired,
+/// and an old drain would count as recent. Steps of the wall clock do not
+/// affect this clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// This moment.
+    /// The current instant.
     pub fn now() -> Self {
-        // The clock is there on every Linux since 2.6.39; without it nothing
-        // that rests on leases may run.
+        // Linux has had this clock since 2.6.39. Without it, leases cannot be
+        // timed and the process must not run.
         let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
         Self(read.expect("the boot clock can be read").into())
     }
 
-    /// Time since then.
+    /// Time from this instant until now.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this moment; zero where it is later.
+    /// Time from `earlier` to this instant; zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/wire/src/claim_messages.rs
+++ b/crates/wire/src/claim_messages.rs
@@ -1,4 +1,4 @@
-//! Messages about claims of non-idempotent calls, between nodes.
+//! Messages between nodes about claims of non-idempotent calls.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,10 +9,10 @@
 use crate::messages::CallAccess;
 use crate::messages::WireCall;
 
-/// A claimant's request to one holder. Resending it is harmless.
+/// A claiming node's request to one claim holder. Resending it is harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCall {
-    /// The request.
+    /// The request to prepare or accept a claim.
     pub request: ClaimRequest,
 }
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Largest message taken, in bytes. A document of 440 services with ten
-/// routes each encodes to under 1 MB; this leaves a tenfold margin.
+/// Maximum size of a message, in bytes. A document of 440 services with ten
+/// routes each encodes to under 1 MB, which leaves a tenfold margin.
 pub const MESSAGE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Content type of every message.
@@ -14,20 +14,21 @@
 /// A message that cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The value does not fit the encoding.
+    /// The value cannot be represented in MessagePack.
     #[error("cannot encode: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// The bytes are not the message they should be.
+    /// The bytes are not an encoding of the expected type.
     #[error("cannot decode: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
 }
 
-/// Encodes a message, fields by name so that versions can differ.
+/// Encodes a message with named fields, so that sender and receiver may run
+/// different versions.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     Ok(rmp_serde::to_vec_named(message)?)
 }
 
-/// Decodes a message; any bytes at all give an error or a value, no panic.
+/// Decodes a message; never panics, whatever the bytes.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/crates/wire/src/command_args.rs
+++ b/crates/wire/src/command_args.rs
@@ -1,4 +1,4 @@
-//! Reads a process's arguments with the exit statuses that all share.
+//! Command-line parsing with the exit statuses that all programs share.
 
 use std::process::exit;
 
@@ -7,12 +7,12 @@
 
 use crate::settings_file::EXIT_USAGE;
 
-/// Columns of help and error texts.
+/// Width of help and error texts, in columns.
 const TEXT_WIDTH: usize = 80;
 
-/// Parses the command line, or prints why not and ends the process: status
-/// 0 after `--help` and `--version`, 2 for a usage error. The library's own
-/// status of 1 would read as "refused" to a script.
+/// Parses the command line, or prints a message and exits the process: with
+/// status 0 after `--help` and `--version`, with 2 after a usage error. The
+/// library's own status for usage errors, 1, means "refused" in these programs.
 pub fn parse_or_exit<T>(parser: &OptionParser<T>) -> T {
     match parser.run_inner(Args::current_args()) {
         Ok(args) => args,
--- a/crates/wire/src/evidence_messages.rs
+++ b/crates/wire/src/evidence_messages.rs
@@ -1,5 +1,5 @@
-//! Messages about moves of backend server versions: nodes' counts on their
-//! way to the leader, and moves as operators read them.
+//! Messages about moves of backend server versions: call counts that nodes
+//! report to the leader, and moves as listed for operators.
 
 use std::sync::Arc;
 
@@ -19,11 +19,11 @@
 use crate::messages::LeaderAnswer;
 use crate::messages::WireCall;
 
-/// Counts of one or more nodes, each cumulative. Sending them again, late
-/// or crossed is harmless.
+/// Cumulative call counts of one or more nodes. Repeated, delayed or reordered
+/// delivery is harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceCall {
-    /// The newest report of each node.
+    /// The latest report of each node.
     pub reports: Vec<EvidenceReport>,
 }
 
@@ -33,14 +33,14 @@
     type Answer = ();
 }
 
-/// Asks for moves of backend server versions.
+/// Requests the moves of backend server versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutsCall {
-    /// Only the move with this number.
+    /// Return only the move with this number.
     pub rollout: Option<ConfigVersion>,
-    /// Only moves of this service.
+    /// Return only moves of this service.
     pub service: Option<Arc<str>>,
-    /// With their course, for a plot.
+    /// Include the course of each move over time, for a plot.
     pub course: bool,
 }
 
@@ -50,22 +50,22 @@
     type Answer = LeaderAnswer<Vec<RolloutLine>>;
 }
 
-/// One move as operators read it.
+/// One move of a backend server version, as listed for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutLine {
-    /// The move as it stands in the agreed log.
+    /// The move as recorded in the replicated log.
     pub record: RolloutRecord,
-    /// State, with the nodes taken into account.
+    /// State of the move, considering which nodes have applied it.
     pub state: MoveState,
-    /// Nodes that have applied the move's last change.
+    /// Progress of the move's latest change across the nodes.
     pub nodes: MoveProgress,
-    /// Calls so far, or until the end.
+    /// Call counts so far, or until the move ended.
     pub counts: MoveCounts,
-    /// What keeps it from its next step, if anything does.
+    /// Condition that holds back the next step, if any.
     pub wait: Option<StepWait>,
-    /// Time from the start until done on all live nodes, in milliseconds,
-    /// or until taken back.
+    /// Time from the start until the move was done on all live nodes or was
+    /// taken back, in milliseconds.
     pub ended_after_ms: Option<u64>,
-    /// Its course, where asked for and known to this leader.
+    /// Course of the move over time, if requested and known to this leader.
     pub course: Vec<CoursePoint>,
 }
--- a/crates/wire/src/follow_messages.rs
+++ b/crates/wire/src/follow_messages.rs
@@ -1,5 +1,5 @@
-//! Messages by which followers get the configuration and the directory of
-//! backend servers, and by which nodes are reported.
+//! Messages with which followers fetch the configuration and the directory of
+//! backend servers, and with which nodes and endpoints are reported.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -21,12 +21,12 @@
     type Answer = FollowReply;
 }
 
-/// Asks for a chunk of a snapshot that an answer announced.
+/// Requests one chunk of a snapshot that a [`FollowAnswer`] announced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkCall {
     /// Version of the snapshot.
     pub version: ConfigVersion,
-    /// Number of the chunk.
+    /// Index of the chunk.
     pub at: usize,
 }
 
@@ -36,18 +36,18 @@
     type Answer = ChunkAnswer;
 }
 
-/// A chunk, or none where the source keeps another snapshot by now.
+/// A chunk, or `None` if the source no longer holds that snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkAnswer {
     /// The chunk's bytes.
     pub chunk: Option<Bytes>,
 }
 
-/// Tells of nodes and endpoints: from a node its own endpoint, from another
-/// control instance what its followers reported.
+/// Reports nodes and endpoints: a node reports its own endpoint, and a control
+/// instance reports what its followers sent to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportCall {
-    /// What is told.
+    /// The reported nodes and endpoints.
     pub batch: ReportBatch,
 }
 
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -1,23 +1,23 @@
-//! An HTTP client that adds nothing of its own.
+//! An HTTP client without default headers, redirects or request timeouts.
 
 use std::time::Duration;
 
 use awc::Client;
 use awc::Connector;
 
-/// What differs between the clients of the system.
+/// Connection settings of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConfig {
-    /// Time to connect.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Idle connections are dropped after this.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
-    /// Connections kept or open at once.
+    /// Maximum number of open connections, idle ones included.
     pub connections: usize,
 }
 
-/// A client without redirects, headers or time limits of its own: every try,
-/// every header and every deadline is the caller's decision.
+/// Builds a client that adds no redirects, headers or request timeouts, so that
+/// retries, headers and deadlines are left to the caller.
 pub fn build(plan: ClientConfig) -> Client {
     let connector = Connector::new()
         .timeout(plan.connect)
--- a/crates/wire/src/http_reply.rs
+++ b/crates/wire/src/http_reply.rs
@@ -1,4 +1,4 @@
-//! Small HTTP answers and the reading of request bodies.
+//! Builders of small HTTP responses, and reading of request headers and bodies.
 
 use std::time::Duration;
 
@@ -16,13 +16,14 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest pause within a body; a slow sender holds a connection no longer.
+/// Longest pause between chunks of a request body; bounds how long a stalled
+/// sender can hold a connection.
 const BODY_PAUSE_MAX: Duration = Duration::from_secs(10);
 
-/// An answer as every handler gives it.
+/// A complete response, as returned by every handler.
 pub type HttpReply = Response<BoxBody>;
 
-/// An answer of plain text.
+/// Builds a plain-text response of one line.
 pub fn text(status: StatusCode, text: impl Into<String>) -> HttpReply {
     let mut line: String = text.into();
     line.push('\n');
@@ -30,29 +31,29 @@
     with_content_type(status, value, line.into())
 }
 
-/// An answer of JSON.
+/// Builds a JSON response; status 500 if the value cannot be serialized.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> HttpReply {
     match serde_json::to_vec(value) {
         Ok(body) => {
-            let kind = HeaderValue::from_static("application/json");
-            with_content_type(status, kind, body.into())
+            let content_type = HeaderValue::from_static("application/json");
+            with_content_type(status, content_type, body.into())
         }
         Err(fault) => text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
     }
 }
 
-/// An answer of bytes with their content type.
+/// Builds a response from a body and its content type.
 pub fn with_content_type(
     status: StatusCode,
-    kind: HeaderValue,
+    content_type: HeaderValue,
     body: Bytes,
 ) -> HttpReply {
     let mut reply = Response::new(status).set_body(BoxBody::new(body));
-    reply.headers_mut().insert(CONTENT_TYPE, kind);
+    reply.headers_mut().insert(CONTENT_TYPE, content_type);
     reply
 }
 
-/// Sets a header whose value is known to be printable.
+/// Sets a header; a value with non-printable characters is ignored.
 pub fn set_header(reply: &mut HttpReply, name: &'static str, value: &str) {
     let Ok(value) = HeaderValue::from_str(value) else {
         return;
@@ -61,32 +62,32 @@
     reply.headers_mut().insert(name, value);
 }
 
-/// A header of the request as text; `None` where absent or not printable.
+/// Returns a request header as text; `None` if absent or not printable.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// A body that could not be read whole.
+/// A request body that could not be read completely.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// More bytes than the limit.
+    /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// Nothing came for longer than the limit.
+    /// No data arrived for longer than the allowed pause.
     #[error("the body paused for more than {BODY_PAUSE_MAX:?}")]
-    Slow,
-    /// It ended early or was not well formed.
+    Stalled,
+    /// The body ended early or was malformed.
     #[error("the body did not arrive whole: {0}")]
     Broken(#[from] actix_http::error::PayloadError),
 }
 
-/// Reads a request's body whole, up to `limit` bytes.
+/// Reads a complete request body of at most `limit` bytes.
 pub async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     loop {
         let next = actix_rt::time::timeout(BODY_PAUSE_MAX, payload.next()).await;
-        let Some(chunk) = next.map_err(|_| BodyError::Slow)? else {
+        let Some(chunk) = next.map_err(|_| BodyError::Stalled)? else {
             break;
         };
         let chunk = chunk?;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the processes of cowslipwall say to each other, and the HTTP,
-//! settings and logs that every one of them shares.
+//! Messages between the processes of cowslipwall, and the HTTP, settings and
+//! logging code that all of them share.
 //!
-//! Messages travel as MessagePack in HTTP/1.1 posts. Nothing here decides:
-//! see `cowslip-core`.
+//! Messages are sent as MessagePack in HTTP/1.1 POST requests. The decision
+//! logic is in `cowslip-core`.
 
 pub mod access_key;
 pub mod admin_handler;
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -1,4 +1,4 @@
-//! The receiving side of messages: checks the key, reads and decodes, and
+//! Server side of messages: checks the key, reads and decodes the message, and
 //! encodes the answer.
 
 use actix_http::header::HeaderValue;
@@ -14,8 +14,8 @@
 use crate::http_reply::HttpReply;
 use crate::messages::WireCall;
 
-/// Checks the key before anything of the body is read, then reads and
-/// decodes the message.
+/// Checks the key before reading the body, then reads and decodes the message.
+/// The error is the response to send: status 401, 413 or 400.
 pub async fn read<C: WireCall>(
     request: &mut Request,
     key: &AccessKey,
@@ -33,7 +33,7 @@
         .map_err(|fault| http_reply::text(StatusCode::BAD_REQUEST, fault.to_string()))
 }
 
-/// An answer, encoded.
+/// Builds a response with the encoded answer.
 pub fn encoded<T: Serialize>(answer: &T) -> HttpReply {
     match codec::encode(answer) {
         Ok(bytes) => from_encoded(bytes.into()),
@@ -43,8 +43,8 @@
     }
 }
 
-/// An answer that is encoded already.
+/// Builds a response from an already encoded answer.
 pub fn from_encoded(bytes: Bytes) -> HttpReply {
-    let kind = HeaderValue::from_static(codec::CONTENT_TYPE);
-    http_reply::with_content_type(StatusCode::OK, kind, bytes)
+    let content_type = HeaderValue::from_static(codec::CONTENT_TYPE);
+    http_reply::with_content_type(StatusCode::OK, content_type, bytes)
 }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -1,4 +1,4 @@
-//! Typed messages between processes; each names its path and its answer.
+//! Typed messages between processes, each with its path, key and answer type.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use cowslip_core::move_tracker::NodeReport;
 use cowslip_core::version::ConfigVersion;
 
-/// Which key a message needs.
+/// The key that a message requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallAccess {
     /// The operators' key.
     Operator,
-    /// The key that the system's own processes share.
+    /// The key shared by the system's own processes.
     System,
 }
 
-/// A message that is sent as a post and answered in its response.
+/// A message that is sent as a POST request and answered in its response.
 pub trait WireCall: Serialize + DeserializeOwned {
-    /// Path of the post.
+    /// Path of the POST request.
     const PATH: &'static str;
-    /// Key it needs.
+    /// Key that the message requires.
     const ACCESS: CallAccess;
-    /// What comes back.
+    /// Type of the answer.
     type Answer: Serialize + DeserializeOwned;
 }
 
@@ -51,17 +51,18 @@
 pub enum LeaderAnswer<T> {
     /// The leader's answer.
     Here(T),
-    /// This instance does not lead; ask there, if known.
+    /// This instance is not the leader; the leader's address, if known.
     Elsewhere(Option<SocketAddr>),
-    /// Whether the change was accepted is not known: ask again with the
-    /// same request identifier.
+    /// It is unknown whether the change was accepted: retry with the same
+    /// request identifier.
     Unknown,
 }
 
-/// An operator's change. Resending it is harmless.
+/// An operator's configuration change. Resending it is harmless, as the
+/// request identifier marks duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCall {
-    /// The change, named by its request identifier.
+    /// The change with its request identifier.
     pub entry: ChangeEntry,
 }
 wire_call!(
@@ -71,7 +72,7 @@
     LeaderAnswer<ChangeOutcome>
 );
 
-/// Asks for the configuration in force.
+/// Requests the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShowCall {}
 wire_call!(
@@ -81,10 +82,11 @@
     LeaderAnswer<ConfigSnapshot>
 );
 
-/// Asks how moves stand.
+/// Requests the progress of moves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MovesCall {
-    /// Only the move that made this version; all that are kept otherwise.
+    /// Return only the move that created this version; `None` for all moves
+    /// that are still kept.
     pub version: Option<ConfigVersion>,
 }
 wire_call!(
@@ -94,22 +96,24 @@
     LeaderAnswer<Vec<MoveLine>>
 );
 
-/// One move as operators read it.
+/// One move, as listed for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveLine {
-    /// Version it made.
+    /// Configuration version that the move created.
     pub version: ConfigVersion,
-    /// What it changed.
+    /// Summary of the change.
     pub summary: String,
-    /// Leader's wall clock at acceptance, milliseconds since 1970.
+    /// Time of acceptance by the leader's wall clock, in milliseconds since
+    /// 1970.
     pub at_ms: u64,
-    /// How far it has come.
+    /// Progress across the nodes.
     pub progress: MoveProgress,
-    /// Time from acceptance until done, in milliseconds, once done.
+    /// Time from acceptance until the move was done, in milliseconds; `None`
+    /// until then.
     pub done_after_ms: Option<u64>,
 }
 
-/// Asks for the fleet as the leader sees it.
+/// Requests the state of the fleet as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusCall {}
 wire_call!(
@@ -119,12 +123,12 @@
     LeaderAnswer<FleetStatus>
 );
 
-/// The fleet as the leader sees it.
+/// State of the fleet as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Instance that answers.
+    /// Control instance that answers.
     pub instance: Arc<str>,
-    /// Version in force.
+    /// Configuration version in force.
     pub version: ConfigVersion,
     /// Live nodes.
     pub nodes: Vec<NodeLine>,
@@ -133,13 +137,13 @@
 /// One live node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeLine {
-    /// Its last report.
+    /// The node's latest report.
     pub report: NodeReport,
     /// Age of that report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Asks for the directory of backend servers.
+/// Requests the directory of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointsCall {}
 wire_call!(
--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Sends messages to other processes of the system.
+//! Client that sends messages to other processes of the system.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,39 +19,40 @@
 use crate::http_client::ClientConfig;
 use crate::messages::WireCall;
 
-/// Time to connect; ten times the slowest link that the users name.
+/// Timeout for connecting; ten times the latency of the slowest link that users
+/// report.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Idle connections are dropped well before the other side closes them at
-/// 75 s.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+/// Time after which an idle connection is closed; well below the 75 s after
+/// which the server side closes it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Connections kept or open at once, over all peers together.
+/// Maximum number of open connections to all peers together.
 const CONNECTIONS_MAX: usize = 1_024;
 
 /// Why a message got no answer.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No connection; the peer has not seen the message.
+    /// No connection was established; the peer has not received the message.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// The message may have been taken and its answer was lost.
-    #[error("no whole answer: {0}")]
-    Lost(String),
+    /// No complete response arrived; the peer may have handled the message.
+    #[error("no complete response: {0}")]
+    NoResponse(String),
     /// The peer refused the message with this status.
     #[error("refused with status {status}: {text}")]
     Refused {
         /// HTTP status.
         status: u16,
-        /// What the peer said.
+        /// Text of the response body.
         text: String,
     },
-    /// Message or answer could not be coded.
+    /// The message could not be encoded or the answer could not be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Sends messages with one key over kept connections.
+/// Sends messages with one key over persistent connections.
 #[derive(Clone)]
 pub struct PeerClient {
     client: Client,
@@ -59,28 +60,30 @@
 }
 
 impl PeerClient {
-    /// A client that offers `key`.
+    /// Creates a client that authenticates with `key`.
     pub fn new(key: AccessKey) -> Self {
         let client = http_client::build(ClientConfig {
             connect: CONNECT_TIMEOUT,
-            idle: IDLE_TIME,
+            idle: IDLE_TIMEOUT,
             connections: CONNECTIONS_MAX,
         });
         Self { client, key }
     }
 
-    /// Sends `call` to `address` and waits for its answer up to `patience`.
+    /// Sends `call` to `address` and waits up to `timeout` for its answer.
     pub async fn send<C: WireCall>(
         &self,
         address: SocketAddr,
         call: &C,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<C::Answer, PeerError> {
         let body = encode(call)?;
         let exchange = self.exchange(address, C::PATH, body);
-        match actix_rt::time::timeout(patience, exchange).await {
+        match actix_rt::time::timeout(timeout, exchange).await {
             Ok(answer) => Ok(decode(&answer?)?),
-            Err(_) => Err(PeerError::Lost(format!("none within {patience:?}"))),
+            Err(_) => Err(PeerError::NoResponse(format!(
+                "timed out after {timeout:?}"
+            ))),
         }
     }
 
@@ -97,7 +100,7 @@
             .insert_header((KEY_HEADER, self.key.secret()));
         let mut response = request.send_body(body).await.map_err(send_error)?;
         let answer = response.body().limit(MESSAGE_BYTES_MAX).await;
-        let answer = answer.map_err(|error| PeerError::Lost(error.to_string()))?;
+        let answer = answer.map_err(|error| PeerError::NoResponse(error.to_string()))?;
         if response.status().is_success() {
             return Ok(answer);
         }
@@ -110,13 +113,14 @@
 
 fn send_error(error: SendRequestError) -> PeerError {
     match error {
-        // The library's word for a peer that closed after the message left.
+        // The library returns this error if the peer closed the connection
+        // after the message was sent.
         SendRequestError::Connect(ConnectError::Disconnected) => {
-            PeerError::Lost(error.to_string())
+            PeerError::NoResponse(error.to_string())
         }
         SendRequestError::Url(_) | SendRequestError::Connect(_) => {
             PeerError::Connect(error.to_string())
         }
-        _ => PeerError::Lost(error.to_string()),
+        _ => PeerError::NoResponse(error.to_string()),
     }
 }
--- a/crates/wire/src/process_log.rs
+++ b/crates/wire/src/process_log.rs
@@ -1,8 +1,9 @@
-//! Logs: one line of key=value pairs for each event, on standard output.
+//! Logging to standard output: one line of `key=value` pairs for each event.
 //!
-//! Writing a line never waits: a reader that stands still fills a bounded
-//! queue, further lines are dropped, and their number is written once the
-//! reader goes on.
+//! Logging never blocks the caller. Lines pass through a bounded queue to a
+//! writer thread; if the reader of standard output stalls and the queue is
+//! full, further lines are dropped and their number is logged once the reader
+//! continues.
 
 use std::fmt;
 use std::io;
@@ -19,40 +20,41 @@
 
 use crate::wall_clock;
 
-/// Lines that wait for their reader; some seconds of a busy node's.
-const LINES_MAX: usize = 1_024;
+/// Lines queued for the writer thread; a few seconds of a busy node's log.
+const QUEUED_LINES_MAX: usize = 1_024;
 
-/// Lines that found no room since the last that did.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped since the last line that was written.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Longest wait for the last lines at the end of a process.
-const FINISH_TIME: Duration = Duration::from_millis(200);
+/// Longest wait in [`flush`] for the queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Where lines go, once the logger runs.
+/// Queue to the writer thread, set once the logger has started.
 static QUEUE: OnceLock<LineQueue> = OnceLock::new();
 
-/// What the writing thread is handed.
-enum LogPart {
+/// A message to the writer thread.
+enum LogMessage {
     Line(Vec<u8>),
-    /// All lines before it are written once the other end hears of it.
-    Mark(mpsc::SyncSender<()>),
+    /// Acknowledged on this channel once all lines queued before it are written.
+    FlushMarker(mpsc::SyncSender<()>),
 }
 
-/// Lets the lines that wait be written; a process calls it before it ends. A
-/// reader that stands still is not waited for long.
+/// Waits until the queued lines are written; a process calls this before it
+/// exits. Gives up after a short timeout if the reader has stalled, and at once
+/// if the queue is full.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else {
         return;
     };
-    let (mark, written) = mpsc::sync_channel(1);
-    if queue.0.try_send(LogPart::Mark(mark)).is_ok() {
-        // Either all is written or the reader stands still.
-        let _ = written.recv_timeout(FINISH_TIME);
+    let (marker, written) = mpsc::sync_channel(1);
+    if queue.0.try_send(LogMessage::FlushMarker(marker)).is_ok() {
+        // An error means that the timeout passed because the reader has stalled.
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Starts the logger; the level comes from `RUST_LOG`, `info` without it.
-/// Starting it twice in one process is harmless.
+/// Starts the logger; `RUST_LOG` sets the level, which defaults to `info`.
+/// Calling this again in the same process has no effect.
 pub fn start() {
     let env = Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
@@ -69,31 +71,31 @@
     let _ = builder.try_init();
 }
 
-/// Takes lines and hands them to a thread that writes them.
+/// A [`Write`] target that queues each line for the writer thread.
 #[derive(Clone)]
-struct LineQueue(mpsc::SyncSender<LogPart>);
+struct LineQueue(mpsc::SyncSender<LogMessage>);
 
 impl LineQueue {
     fn spawn() -> io::Result<Self> {
-        let (queue, lines) = mpsc::sync_channel(LINES_MAX);
+        let (queue, messages) = mpsc::sync_channel(QUEUED_LINES_MAX);
         let thread = thread::Builder::new().name("log".to_owned());
-        thread.spawn(move || write_lines(&lines))?;
+        thread.spawn(move || write_lines(&messages))?;
         Ok(Self(queue))
     }
 }
 
-fn write_lines(parts: &mpsc::Receiver<LogPart>) {
+fn write_lines(messages: &mpsc::Receiver<LogMessage>) {
     let mut out = io::stdout();
-    while let Ok(part) = parts.recv() {
-        let line = match part {
-            LogPart::Line(line) => line,
-            LogPart::Mark(mark) => {
-                // Nobody waits any more where this fails.
-                let _ = mark.send(());
+    while let Ok(message) = messages.recv() {
+        let line = match message {
+            LogMessage::Line(line) => line,
+            LogMessage::FlushMarker(marker) => {
+                // Sending fails if the caller of `flush` no longer waits.
+                let _ = marker.send(());
                 continue;
             }
         };
-        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let at_ms = wall_clock::millis();
             let _ = writeln!(
@@ -101,7 +103,7 @@
                 "at_ms={at_ms} level=warn event=log-lines-dropped lines={dropped}"
             );
         }
-        // A reader that has gone is no reason to stop serving.
+        // A write error, such as a closed pipe, must not stop the process.
         let _ = out.write_all(&line);
         let _ = out.flush();
     }
@@ -109,8 +111,8 @@
 
 impl Write for LineQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.0.try_send(LogPart::Line(line.to_vec())).is_err() {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+        if self.0.try_send(LogMessage::Line(line.to_vec())).is_err() {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -120,7 +122,8 @@
     }
 }
 
-/// A value in a log line, quoted where it holds blanks or quotes.
+/// A value in a log line; quoted if it is empty or contains a quote, `=` or a
+/// character that is not printable ASCII.
 pub struct LogValue<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for LogValue<T> {
--- a/crates/wire/src/settings_file.rs
+++ b/crates/wire/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads a process's YAML settings, whole, before anything starts.
+//! Reads a process's complete YAML settings file before anything starts.
 
 use std::fs;
 use std::io;
@@ -11,26 +11,26 @@
 use crate::settings_reader::FromSettings;
 use crate::settings_reader::SettingsFault;
 
-/// Exit status for settings that cannot be used.
+/// Exit status for unusable settings and for command-line usage errors.
 pub const EXIT_USAGE: i32 = 2;
 
-/// Settings that cannot be used.
+/// A settings file that cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The I/O error.
         error: io::Error,
     },
-    /// The file has faults; all of them are listed.
+    /// The file's contents have faults; all of them are listed.
     #[error("{path}: {}", fault_lines(.faults))]
     Faulty {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Every fault.
+        /// All faults found in the file.
         faults: Vec<SettingsFault>,
     },
 }
@@ -40,8 +40,8 @@
     lines.join("; ")
 }
 
-/// Reads a program's settings, or says why not and ends the process before
-/// it has opened anything.
+/// Reads a program's settings, or prints every fault and exits the process
+/// with [`EXIT_USAGE`] before it has opened anything.
 pub fn read_or_exit<T: FromSettings>(program: &str, path: &Path) -> T {
     match read(path) {
         Ok(settings) => settings,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads settings, or says everything that is wrong with them.
+/// Reads settings, or returns every fault found in the file.
 pub fn read<T: FromSettings>(path: &Path) -> Result<T, SettingsError> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
--- a/crates/wire/src/settings_node.rs
+++ b/crates/wire/src/settings_node.rs
@@ -1,7 +1,7 @@
-//! A settings file as a tree whose every node knows its line.
+//! A settings file parsed into a tree of nodes with line numbers.
 //!
-//! The typed deserializer stops at the first fault; a tree lets the reader
-//! go on and report all of them in one run.
+//! A typed deserializer stops at the first fault; reading from a tree makes it
+//! possible to report all faults in one run.
 
 use std::fmt;
 
@@ -13,30 +13,30 @@
 use serde::de::Visitor;
 use serde_saphyr::Spanned;
 
-/// One node of the file.
+/// One node of the settings tree.
 #[derive(Clone, Debug)]
 pub struct SettingsNode {
-    /// Line where it stands, from 1; 0 where the file is empty.
+    /// Line number in the file, from 1; 0 if the file is empty.
     pub line: u64,
-    /// What it is.
+    /// Content of the node.
     pub value: SettingsValue,
 }
 
-/// What a node is.
+/// Content of a node.
 #[derive(Clone, Debug)]
 pub enum SettingsValue {
-    /// Nothing, or `null`.
+    /// No value, or `null`.
     Null,
-    /// A single value, as it is written.
+    /// A single value, spelled as in the file.
     Scalar(String),
     /// A list.
     List(Vec<SettingsNode>),
-    /// Keys with their values, in the file's order.
+    /// Keys and values, in file order.
     Map(Vec<(String, SettingsNode)>),
 }
 
 impl SettingsNode {
-    /// Parses a whole file; the error is the parser's own first line.
+    /// Parses a file; the error is the first line of the parser's message.
     pub fn parse(text: &str) -> Result<Self, String> {
         if text.trim().is_empty() {
             return Ok(Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A word for the kind of node, for faults.
+    /// Describes the kind of node in fault messages.
     pub fn kind(&self) -> &'static str {
         match self.value {
             SettingsValue::Null => "nothing",
@@ -66,12 +66,12 @@
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-/// What the YAML parser makes of a node.
+/// A node as the YAML parser returns it.
 enum RawValue {
     Null,
     Text(String),
-    /// A number or a boolean. Its spelling counts (`1.10` is a version, not
-    /// a fraction), so it is taken from the file afterwards.
+    /// A number or a boolean. [`resolve`] replaces it by its source text, so
+    /// that a version such as `1.10` does not become the number 1.1.
     Plain(String),
     List(Vec<Spanned<RawValue>>),
     Map(Vec<(String, Spanned<RawValue>)>),
@@ -79,16 +79,16 @@
 
 fn resolve(raw: Spanned<RawValue>, text: &str) -> SettingsNode {
     let line = raw.referenced.line();
-    let spelled = raw.defined.span();
+    let span = raw.defined.span();
     let value = match raw.value {
         RawValue::Null => SettingsValue::Null,
         RawValue::Text(scalar) => SettingsValue::Scalar(scalar),
         RawValue::Plain(parsed) => {
-            let start = spelled.byte_offset().unwrap_or(0) as usize;
-            let length = spelled.byte_len().unwrap_or(0) as usize;
-            let written = text.get(start..start + length).map(str::trim);
-            let written = written.filter(|written| !written.is_empty());
-            SettingsValue::Scalar(written.unwrap_or(&parsed).to_owned())
+            let start = span.byte_offset().unwrap_or(0) as usize;
+            let length = span.byte_len().unwrap_or(0) as usize;
+            let source_text = text.get(start..start + length).map(str::trim);
+            let source_text = source_text.filter(|source_text| !source_text.is_empty());
+            SettingsValue::Scalar(source_text.unwrap_or(&parsed).to_owned())
         }
         RawValue::List(items) => SettingsValue::List(
             items.into_iter().map(|item| resolve(item, text)).collect(),
--- a/crates/wire/src/settings_reader.rs
+++ b/crates/wire/src/settings_reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed settings from a file and gathers every fault on the way.
+//! Reads typed settings from a file and collects all faults in one run.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -13,19 +13,19 @@
 
 /// Settings that can be read from a group of keys.
 pub trait FromSettings: Sized {
-    /// Reads all keys; `None` where a needed one is missing or unusable,
-    /// which is then among the reader's faults.
+    /// Reads all keys; `None` if a required one is missing or unusable, in
+    /// which case the reader has recorded a fault for it.
     fn from_settings(reader: &mut SettingsReader<'_>) -> Option<Self>;
 }
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Line in the file; 0 where none can be named.
+    /// Line number in the file; 0 if unknown.
     pub line: u64,
-    /// Where in the document, such as `members[1].address`.
+    /// Path in the document, such as `members[1].address`.
     pub path: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which value is expected.
     pub problem: String,
 }
 
@@ -43,19 +43,19 @@
     }
 }
 
-/// Every fault found in one run.
+/// All faults found in one run.
 #[derive(Debug, Default)]
 pub struct FaultList(Vec<SettingsFault>);
 
-/// Reads one group of keys.
+/// Reads one group of keys and records its faults.
 pub struct SettingsReader<'a> {
     node: &'a SettingsNode,
     path: String,
-    taken: HashSet<&'a str>,
+    read_keys: HashSet<&'a str>,
     faults: &'a mut FaultList,
 }
 
-/// Reads a whole file as `T`, or says everything that is wrong with it.
+/// Reads the text of a settings file as `T`, or returns all of its faults.
 pub fn read_text<T: FromSettings>(text: &str) -> Result<T, Vec<SettingsFault>> {
     let node = SettingsNode::parse(text).map_err(|problem| {
         let path = String::new();
@@ -82,7 +82,7 @@
     let mut reader = SettingsReader {
         node,
         path,
-        taken: HashSet::new(),
+        read_keys: HashSet::new(),
         faults,
     };
     if !matches!(node.value, SettingsValue::Map(_) | SettingsValue::Null) {
@@ -115,7 +115,8 @@
         });
     }
 
-    /// Adds a fault of this group that no single key shows.
+    /// Records a fault that concerns more than the form of a single value; its
+    /// line is that of `key`, or of the group if `key` is absent.
     pub fn fault(&mut self, key: &str, problem: impl Into<String>) {
         let line = self.find(key).map_or(self.node.line, |node| node.line);
         self.fault_at(line, key, problem.into());
@@ -130,7 +131,7 @@
     }
 
     fn take(&mut self, key: &'static str) -> Option<&'a SettingsNode> {
-        self.taken.insert(key);
+        self.read_keys.insert(key);
         let node = self.find(key)?;
         match node.value {
             SettingsValue::Null => None,
@@ -138,78 +139,90 @@
         }
     }
 
-    /// A value that must be there; `right` says what would be right.
-    pub fn required<T: FromStr>(&mut self, key: &'static str, right: &str) -> Option<T> {
+    /// Reads a required value; `expected` describes a valid one in faults.
+    pub fn required<T: FromStr>(
+        &mut self,
+        key: &'static str,
+        expected: &str,
+    ) -> Option<T> {
         if self.take(key).is_none() {
-            self.fault(key, format!("is missing; write {right}"));
+            self.fault(key, format!("is missing; write {expected}"));
             return None;
         }
-        self.optional(key, right)
+        self.optional(key, expected)
     }
 
-    /// A value that may be absent.
-    pub fn optional<T: FromStr>(&mut self, key: &'static str, right: &str) -> Option<T> {
+    /// Reads a value that may be absent.
+    pub fn optional<T: FromStr>(
+        &mut self,
+        key: &'static str,
+        expected: &str,
+    ) -> Option<T> {
         let node = self.take(key)?;
-        self.scalar(node, key, right)
+        self.scalar(node, key, expected)
     }
 
     fn scalar<T: FromStr>(
         &mut self,
         node: &SettingsNode,
         key: &str,
-        right: &str,
+        expected: &str,
     ) -> Option<T> {
         let SettingsValue::Scalar(text) = &node.value else {
-            let problem = format!("is {}; write {right}", node.kind());
+            let problem = format!("is {}; write {expected}", node.kind());
             self.fault_at(node.line, key, problem);
             return None;
         };
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            let problem = format!("{text:?} is not usable; write {right}");
+            let problem = format!("{text:?} is not usable; write {expected}");
             self.fault_at(node.line, key, problem);
         }
         parsed
     }
 
-    /// A list of single values; empty where the key is absent.
-    pub fn scalars<T: FromStr>(&mut self, key: &'static str, right: &str) -> Vec<T> {
+    /// Reads a list of single values; empty if the key is absent.
+    pub fn scalars<T: FromStr>(&mut self, key: &'static str, expected: &str) -> Vec<T> {
         let mut values = Vec::new();
-        for (at, node) in self.items(key, right).iter().enumerate() {
-            values.extend(self.scalar(node, &format!("{key}[{at}]"), right));
+        for (at, node) in self.items(key, expected).iter().enumerate() {
+            values.extend(self.scalar(node, &format!("{key}[{at}]"), expected));
         }
         values
     }
 
-    /// A list of groups; empty where the key is absent.
-    pub fn groups<T: FromSettings>(&mut self, key: &'static str, right: &str) -> Vec<T> {
+    /// Reads a list of groups; empty if the key is absent.
+    pub fn groups<T: FromSettings>(
+        &mut self,
+        key: &'static str,
+        expected: &str,
+    ) -> Vec<T> {
         let mut values = Vec::new();
-        for (at, node) in self.items(key, right).iter().enumerate() {
+        for (at, node) in self.items(key, expected).iter().enumerate() {
             let path = self.child_path(&format!("{key}[{at}]"));
             values.extend(read_group(node, path, self.faults));
         }
         values
     }
 
-    fn items(&mut self, key: &'static str, right: &str) -> &'a [SettingsNode] {
+    fn items(&mut self, key: &'static str, expected: &str) -> &'a [SettingsNode] {
         let Some(node) = self.take(key) else {
             return &[];
         };
         if let SettingsValue::List(items) = &node.value {
             return items;
         }
-        let problem = format!("is {}; write a list, each {right}", node.kind());
+        let problem = format!("is {}; write a list, each {expected}", node.kind());
         self.fault_at(node.line, key, problem);
         &[]
     }
 
-    /// A group below this one; `None` where the key is absent.
+    /// Reads a nested group; `None` if the key is absent.
     pub fn group<T: FromSettings>(&mut self, key: &'static str) -> Option<T> {
         let node = self.take(key)?;
         read_group(node, self.child_path(key), self.faults)
     }
 
-    /// Groups by name, such as the services of a document.
+    /// Reads groups by name, such as the services of a document.
     pub fn named_groups<T: FromSettings>(
         &mut self,
         key: &'static str,
@@ -225,11 +238,11 @@
         values
     }
 
-    /// Single values by name, such as the defaults of a document.
+    /// Reads single values by name, such as the defaults of a document.
     pub fn named_scalars<K: FromStr, T: FromStr>(
         &mut self,
         key: &'static str,
-        right: &str,
+        expected: &str,
     ) -> Vec<(K, T)>
     where
         K::Err: fmt::Display,
@@ -244,7 +257,7 @@
                     continue;
                 }
             };
-            let Some(value) = self.scalar(node, &path, right) else {
+            let Some(value) = self.scalar(node, &path, expected) else {
                 continue;
             };
             values.push((known, value));
@@ -264,15 +277,15 @@
         &[]
     }
 
-    /// Reports the keys that nothing has asked for.
+    /// Records a fault for every key that was not read.
     fn finish(mut self) {
         let SettingsValue::Map(entries) = &self.node.value else {
             return;
         };
-        let mut known: Vec<&str> = self.taken.iter().copied().collect();
+        let mut known: Vec<&str> = self.read_keys.iter().copied().collect();
         known.sort_unstable();
         for (key, node) in entries {
-            if self.taken.contains(key.as_str()) {
+            if self.read_keys.contains(key.as_str()) {
                 continue;
             }
             let problem = format!("is unknown; known here are {}", known.join(", "));
@@ -281,28 +294,30 @@
     }
 }
 
-/// A time written with its unit, such as `750ms` or `2s`.
+/// A duration written with its unit, such as `750ms` or `2s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsDuration(pub Duration);
 
-/// A time without a unit, or with one that is not known.
+/// A duration that is not a whole number with a known unit.
 #[derive(Debug, Error)]
-#[error("a time is a whole number with its unit, such as 750ms, 2s or 10m")]
-pub struct TimeError;
+#[error("a duration is a whole number with its unit, such as 750ms, 2s or 10m")]
+pub struct DurationError;
 
 impl FromStr for SettingsDuration {
-    type Err = TimeError;
+    type Err = DurationError;
 
-    fn from_str(text: &str) -> Result<Self, TimeError> {
-        let digits = text.find(|c: char| !c.is_ascii_digit()).ok_or(TimeError)?;
+    fn from_str(text: &str) -> Result<Self, DurationError> {
+        let digits = text
+            .find(|c: char| !c.is_ascii_digit())
+            .ok_or(DurationError)?;
         let (number, unit) = text.split_at(digits);
-        let number: u32 = number.parse().map_err(|_| TimeError)?;
+        let number: u32 = number.parse().map_err(|_| DurationError)?;
         let unit = match unit.trim() {
             "ms" => Duration::from_millis(1),
             "s" => Duration::from_secs(1),
             "m" => Duration::from_secs(60),
             "h" => Duration::from_secs(3_600),
-            _ => return Err(TimeError),
+            _ => return Err(DurationError),
         };
         Ok(Self(unit * number))
     }
--- a/crates/wire/src/settings_watch.rs
+++ b/crates/wire/src/settings_watch.rs
@@ -1,8 +1,7 @@
-//! Notices that a process's settings file has changed.
+//! Watches a process's settings file for changes.
 //!
-//! The file may change with a signal or without one, so it is looked at again
-//! and again. What cannot be used is logged and changes nothing: the process
-//! goes on with what it has.
+//! The file may change with or without a signal, so it is polled. Unusable
+//! settings are logged, and the process keeps its current ones.
 
 use std::fs;
 use std::path::Path;
@@ -20,14 +19,15 @@
 use crate::settings_reader::FromSettings;
 use crate::stop_signal::StopSignals;
 
-/// Pause between two looks. A process whose seeds have all gone is without
-/// news until it has read the new ones.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between two checks of the file. A process whose configured
+/// seed addresses are all gone gets no updates until it has read the new ones.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A settings file as it was before a process read it.
+/// Contents of a settings file from before the process parsed it.
 ///
-/// Guards against a change between that and the start of the watch, which would
-/// pass for what the process has, so that it never learned of it.
+/// The watch compares the file with this text. If it read its own baseline when
+/// it started, a change made after the process had parsed the file would be
+/// part of the baseline and never be noticed.
 #[derive(Clone, Debug)]
 pub struct SettingsBaseline {
     path: PathBuf,
@@ -35,97 +35,97 @@
 }
 
 impl SettingsBaseline {
-    /// Reads the file at `path`. One that cannot be read holds nothing yet.
+    /// Reads the file at `path`; an unreadable file counts as empty.
     pub fn read(path: PathBuf) -> Self {
         let text = fs::read_to_string(&path).unwrap_or_default();
         Self { path, text }
     }
 
-    /// Where the file is.
+    /// Path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-/// A watch that is running.
+/// A running watch of a settings file.
 pub struct SettingsWatch<T> {
-    /// Settings that took the place of those before.
+    /// Receives the new settings after each change.
     pub changes: mpsc::UnboundedReceiver<T>,
-    at_once: Rc<Notify>,
+    recheck: Rc<Notify>,
 }
 
-/// Asks a watch to look now.
+/// Makes a watch check its file without waiting for the next poll.
 #[derive(Clone)]
-pub struct LookNow(Rc<Notify>);
+pub struct RecheckTrigger(Rc<Notify>);
 
-impl LookNow {
-    /// Looks at the file at once.
-    pub fn look(&self) {
+impl RecheckTrigger {
+    /// Checks the file now.
+    pub fn recheck(&self) {
         self.0.notify_one();
     }
 }
 
 impl<T: FromSettings + 'static> SettingsWatch<T> {
-    /// Watches a file for what differs from `held`.
-    pub fn spawn(held: SettingsBaseline) -> Self {
+    /// Watches a file for changes relative to `baseline`.
+    pub fn spawn(baseline: SettingsBaseline) -> Self {
         let (sender, changes) = mpsc::unbounded_channel();
-        let at_once = Rc::new(Notify::new());
-        actix_rt::spawn(watch(held, sender, Rc::clone(&at_once)));
-        Self { changes, at_once }
+        let recheck = Rc::new(Notify::new());
+        actix_rt::spawn(watch(baseline, sender, Rc::clone(&recheck)));
+        Self { changes, recheck }
     }
 
-    /// What makes it look at once.
-    pub fn look_now(&self) -> LookNow {
-        LookNow(Rc::clone(&self.at_once))
+    /// A handle that triggers an immediate check.
+    pub fn recheck_trigger(&self) -> RecheckTrigger {
+        RecheckTrigger(Rc::clone(&self.recheck))
     }
 }
 
-/// Runs a process until a planned stop is asked for; `reload` gets settings
-/// that took the place of those before.
+/// Waits until a planned stop is requested; calls `on_reload` with the new
+/// settings after each change of the file.
 pub async fn until_stopped<T: FromSettings + 'static>(
     signals: StopSignals,
-    held: SettingsBaseline,
-    mut reload: impl AsyncFnMut(T),
+    baseline: SettingsBaseline,
+    mut on_reload: impl AsyncFnMut(T),
 ) {
-    let mut watch = SettingsWatch::<T>::spawn(held);
-    let now = watch.look_now();
-    let stop = signals.wait_and(|| now.look());
+    let mut watch = SettingsWatch::<T>::spawn(baseline);
+    let trigger = watch.recheck_trigger();
+    let stop = signals.wait_for_stop(|| trigger.recheck());
     tokio::pin!(stop);
     loop {
         tokio::select! {
             () = &mut stop => return,
-            Some(changed) = watch.changes.recv() => reload(changed).await,
+            Some(changed) = watch.changes.recv() => on_reload(changed).await,
         }
     }
 }
 
 async fn watch<T: FromSettings>(
-    held: SettingsBaseline,
+    baseline: SettingsBaseline,
     changes: mpsc::UnboundedSender<T>,
-    at_once: Rc<Notify>,
+    recheck: Rc<Notify>,
 ) {
     let SettingsBaseline {
         path,
-        text: mut held,
-    } = held;
+        text: mut current,
+    } = baseline;
     while !changes.is_closed() {
-        let pause = actix_rt::time::sleep(LOOK_PAUSE);
+        let pause = actix_rt::time::sleep(POLL_INTERVAL);
         tokio::select! {
             () = pause => {}
-            () = at_once.notified() => {}
+            () = recheck.notified() => {}
         }
-        // A file that is just being replaced is there at the next look.
+        // A file that is being replaced is read at the next check.
         let Ok(text) = fs::read_to_string(&path) else {
             continue;
         };
-        if text == held {
+        if text == current {
             continue;
         }
-        held = text;
+        current = text;
         match settings_file::read(&path) {
             Ok(settings) => {
                 info!("event=settings-reloaded path={}", path.display());
-                // An error means that the process is stopping.
+                // Sending fails only if the process is stopping.
                 let _ = changes.send(settings);
             }
             Err(problem) => {
--- a/crates/wire/src/socket_read.rs
+++ b/crates/wire/src/socket_read.rs
@@ -1,8 +1,8 @@
-//! Reading with room for what is there.
+//! Socket reads into buffers of sufficient capacity.
 //!
-//! A buffer without room is given 64 bytes by the library, so that a body of
-//! a megabyte is taken in 16,384 system calls, each of which also becomes a
-//! write of its own on the way on.
+//! The library grows a full buffer by only 64 bytes, so that a body of one
+//! megabyte takes 16,384 read calls, each of which also becomes a separate
+//! write when the body is forwarded.
 
 use std::io;
 
@@ -10,28 +10,31 @@
 use tokio::net::tcp::ReadHalf;
 use tokio::task::coop;
 
-/// Room for a head: most are under a kilobyte, and a short answer fits
-/// behind it. A head that is kept pins this much for as long as its request.
+/// Capacity for reading a head: most heads are under a kilobyte, and a short
+/// response body fits behind it. A retained head keeps this much memory
+/// allocated for as long as its request.
 pub const HEAD_READ_BYTES: usize = 2 * 1024;
 
-/// Room while a body is being read: what the sockets of small instances have
-/// ready at once, and little enough that a hundred bodies hold under 2 MB.
+/// Capacity for reading a body: as much as the sockets of small instances have
+/// ready at once, and small enough that a hundred bodies take under 2 MB.
 pub const BODY_READ_BYTES: usize = 16 * 1024;
 
-/// Reads once what is there; 0 at the end.
+/// Waits until the socket is readable and reads once; returns the number of
+/// bytes, 0 at the end of the stream.
 ///
-/// Room is made only once there is something to read, so that idle
+/// The buffer is allocated only when there is data to read, so that idle
 /// connections, of which callers keep thousands, hold no buffer.
 pub async fn read_ready(
     reader: &mut ReadHalf<'_>,
     buffer: &mut BytesMut,
-    room: usize,
+    read_bytes: usize,
 ) -> io::Result<usize> {
     loop {
-        // A peer that always has more would keep the other tasks waiting.
+        // Yields now and then, so that a peer that always has data ready does
+        // not starve the other tasks.
         coop::consume_budget().await;
         reader.readable().await?;
-        make_room(buffer, room);
+        reserve_capacity(buffer, read_bytes);
         match reader.try_read_buf(buffer) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             read => return read,
@@ -39,10 +42,9 @@
     }
 }
 
-/// Sees to it that a read can take `room` bytes, where less than half of
-/// that is left.
-fn make_room(buffer: &mut BytesMut, room: usize) {
-    if buffer.capacity() - buffer.len() < room / 2 {
-        buffer.reserve(room);
+/// Reserves `read_bytes` bytes if less than half of that capacity is left.
+fn reserve_capacity(buffer: &mut BytesMut, read_bytes: usize) {
+    if buffer.capacity() - buffer.len() < read_bytes / 2 {
+        buffer.reserve(read_bytes);
     }
 }
--- a/crates/wire/src/stop_signal.rs
+++ b/crates/wire/src/stop_signal.rs
@@ -1,4 +1,4 @@
-//! Waits for the signal of a planned stop, and tells of the stop.
+//! Waits for the signal of a planned stop, and logs the stop.
 
 use std::future::Future;
 use std::io;
@@ -8,33 +8,34 @@
 use tokio::signal::unix::Signal;
 use tokio::signal::unix::SignalKind;
 
-/// The signals of operators, which end nothing by themselves any more.
+/// Handlers of SIGTERM, SIGINT and SIGHUP, which replace the default action of
+/// ending the process.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
-    hang_up: Signal,
+    hangup: Signal,
 }
 
 impl StopSignals {
-    /// Takes the signals over. A process does so before it opens anything: by
-    /// default each of them ends it, and may come while it starts.
+    /// Installs the handlers. A process does this before it opens anything,
+    /// because a signal that arrives during the start would end it.
     pub fn listen() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            hang_up: signal(SignalKind::hangup())?,
+            hangup: signal(SignalKind::hangup())?,
         })
     }
 
-    /// Returns at the first SIGTERM or SIGINT; each SIGHUP before it calls
-    /// `reload`. Signals that came since [`Self::listen`] count.
-    pub async fn wait_and(mut self, mut reload: impl FnMut()) {
+    /// Returns at the first SIGTERM or SIGINT, and calls `on_reload` at each
+    /// SIGHUP before that. Signals since [`Self::listen`] are included.
+    pub async fn wait_for_stop(mut self, mut on_reload: impl FnMut()) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
-                _ = self.hang_up.recv() => reload(),
+                _ = self.hangup.recv() => on_reload(),
             }
         }
     }
@@ -42,13 +43,14 @@
 
 /// Returns at the first SIGTERM or SIGINT.
 pub async fn wait() -> io::Result<()> {
-    StopSignals::listen()?.wait_and(|| {}).await;
+    StopSignals::listen()?.wait_for_stop(|| {}).await;
     Ok(())
 }
 
-/// Carries out the planned stop of a process of this kind, and says so.
-pub async fn stop(process: &str, instance: &str, stopping: impl Future<Output = bool>) {
+/// Waits for `shutdown` to complete and logs the start and end of the stop. The
+/// output of `shutdown` is logged as `whole`.
+pub async fn stop(process: &str, instance: &str, shutdown: impl Future<Output = bool>) {
     info!("event=stopping process={process} instance={instance}");
-    let whole = stopping.await;
+    let whole = shutdown.await;
     info!("event=stopped process={process} instance={instance} whole={whole}");
 }
--- a/crates/wire/src/wall_clock.rs
+++ b/crates/wire/src/wall_clock.rs
@@ -1,14 +1,14 @@
-//! The wall clock, for display, for numbers that grow between starts, and
-//! for moves, which outlive every process's own start.
+//! The wall clock: for display, for numbers that must increase across restarts,
+//! and for moves, which outlive the processes that run them.
 //!
-//! It may jump, so whatever ends with its process is timed by
+//! The wall clock may jump, so durations within one process are measured with
 //! [`std::time::Instant`].
 
 use std::time::Duration;
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Time since 1970; zero where the clock stands before it.
+/// Time since 1970; zero if the clock is set to an earlier time.
 pub fn since_epoch() -> Duration {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default()
