--- a/crates/wire/tests/leaving_callers.rs
+++ b/crates/wire/tests/leaving_callers.rs
@@ -1,4 +1,5 @@
-//! Callers that leave while their calls are served.
+//! Sequential connections: callers that disconnect during their calls, and
+//! pipelined requests.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,19 +18,20 @@
 use cowslip_wire::http_listener::ReplyFuture;
 use cowslip_wire::http_reply;
 
-/// Long beyond any of these tests.
-const WORK: Duration = Duration::from_secs(60);
+/// Duration of a slow call; longer than any of these tests.
+const SLOW_CALL_TIME: Duration = Duration::from_secs(60);
 
 const REQUEST: &[u8] = b"GET /quota HTTP/1.1\r\nhost: a.example\r\n\r\n";
 
-/// Works until it is given up, and counts how often it was.
+/// Takes [`SLOW_CALL_TIME`], except for `/quick`, and counts the calls that
+/// ended or were cancelled.
 struct SlowHandler {
-    given_up: Rc<Cell<u32>>,
+    cancelled: Rc<Cell<u32>>,
 }
 
-struct GivenUp(Rc<Cell<u32>>);
+struct CancelGuard(Rc<Cell<u32>>);
 
-impl Drop for GivenUp {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -37,11 +39,11 @@
 
 impl HttpHandler for SlowHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
-        let guard = GivenUp(Rc::clone(&self.given_up));
+        let guard = CancelGuard(Rc::clone(&self.cancelled));
         let quick = request.path() == "/quick";
         Box::pin(async move {
             if !quick {
-                actix_rt::time::sleep(WORK).await;
+                actix_rt::time::sleep(SLOW_CALL_TIME).await;
             }
             drop(guard);
             http_reply::text(StatusCode::OK, "done")
@@ -50,22 +52,22 @@
 }
 
 fn listener() -> (HttpListener, Rc<Cell<u32>>) {
-    let given_up = Rc::new(Cell::new(0));
+    let cancelled = Rc::new(Cell::new(0));
     let handler = SlowHandler {
-        given_up: Rc::clone(&given_up),
+        cancelled: Rc::clone(&cancelled),
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = HttpListener::bind(any, 100, Rc::new(handler));
-    (listener.expect("a free port"), given_up)
+    (listener.expect("a free port"), cancelled)
 }
 
-// Callers leave in the middle of their calls. Their work must end at once,
-// at the server as well; run on, it holds slots until deadlines that nobody
+// Callers disconnect during their calls. If the calls are not cancelled at once,
+// also at the backend server, they hold slots until deadlines that no caller
 // waits for, and new callers are refused meanwhile.
 #[test]
-fn the_work_of_a_caller_who_left_ends_at_once() {
+fn calls_of_disconnected_callers_are_cancelled() {
     System::new().block_on(async {
-        let (listener, given_up) = listener();
+        let (listener, cancelled) = listener();
         let mut callers = Vec::new();
         for _ in 0..20 {
             let mut caller = TcpStream::connect(listener.address()).await.unwrap();
@@ -76,29 +78,29 @@
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
         drop(callers);
-        let patience = Duration::from_secs(20);
+        let timeout = Duration::from_secs(20);
         let all = async {
-            while given_up.get() < 20 {
+            while cancelled.get() < 20 {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let ended = actix_rt::time::timeout(patience, all).await;
-        assert!(ended.is_ok(), "{} of 20 ended", given_up.get());
+        let ended = actix_rt::time::timeout(timeout, all).await;
+        assert!(ended.is_ok(), "{} of 20 ended", cancelled.get());
         assert_eq!(listener.in_flight(), 0);
     });
 }
 
-// A caller sends several requests without waiting and keeps its side open:
-// all answers come, in the order of the requests.
+// A caller pipelines several requests and keeps its side of the connection
+// open; all of them must be answered.
 #[test]
-fn requests_sent_ahead_are_all_answered() {
+fn pipelined_requests_are_all_answered() {
     System::new().block_on(async {
         let (listener, _) = listener();
         let mut caller = TcpStream::connect(listener.address()).await.unwrap();
         let quick = b"GET /quick HTTP/1.1\r\nhost: a.example\r\n\r\n";
         let last = b"GET /quick HTTP/1.1\r\nhost: a.example\r\nconnection: close\r\n\r\n";
-        let ahead = [&quick[..], &quick[..], &last[..]].concat();
-        caller.write_all(&ahead).await.unwrap();
+        let pipelined = [&quick[..], &quick[..], &last[..]].concat();
+        caller.write_all(&pipelined).await.unwrap();
         let mut answers = Vec::new();
         caller.read_to_end(&mut answers).await.unwrap();
         let text = String::from_utf8(answers).unwrap();
--- a/crates/wire/tests/process_start.rs
+++ b/crates/wire/tests/process_start.rs
@@ -1,4 +1,4 @@
-//! What reaches a process while it starts.
+//! Signals and settings changes that arrive while a process starts.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use cowslip_wire::settings_watch::SettingsBaseline;
 use cowslip_wire::stop_signal::StopSignals;
 
-/// Settings of one name.
+/// Settings with a single name.
 #[derive(Debug, PartialEq, Eq)]
 struct NamedSettings(String);
 
@@ -21,10 +21,14 @@
     }
 }
 
-/// Runs until the settings have been read once more, and a stop is asked for.
-async fn reloaded(signals: StopSignals, held: SettingsBaseline) -> Vec<NamedSettings> {
+/// Runs until the settings are reloaded, then requests a stop and returns the
+/// reloaded settings.
+async fn reloaded(
+    signals: StopSignals,
+    baseline: SettingsBaseline,
+) -> Vec<NamedSettings> {
     let mut seen = Vec::new();
-    let run = settings_watch::until_stopped(signals, held, async |changed| {
+    let run = settings_watch::until_stopped(signals, baseline, async |changed| {
         seen.push(changed);
         raise(Signal::SIGTERM).expect("a signal");
     });
@@ -33,19 +37,19 @@
     seen
 }
 
-// Guards against a process that ends, or keeps old settings for good, because
-// they changed while it was starting.
+// The settings file changes and SIGHUP arrives while the process starts. Without
+// early handlers and a baseline, the process ends or never reads the change.
 #[test]
-fn settings_that_change_during_a_start_are_read() {
+fn settings_that_change_during_a_start_are_reloaded() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("settings.yaml");
     std::fs::write(&path, "name: before\n").expect("a file");
     actix_rt::System::new().block_on(async {
         let signals = StopSignals::listen().expect("signals");
-        let held = SettingsBaseline::read(path.clone());
+        let baseline = SettingsBaseline::read(path.clone());
         std::fs::write(&path, "name: after\n").expect("a file");
         raise(Signal::SIGHUP).expect("a signal");
-        let seen = reloaded(signals, held).await;
+        let seen = reloaded(signals, baseline).await;
         assert_eq!(seen, [NamedSettings("after".to_owned())]);
     });
 }
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: every fault in one run, with its line.
+//! Settings files: all faults in one run, with line numbers.
 
 use std::net::SocketAddr;
 
@@ -44,16 +44,15 @@
     }
 }
 
-// An operator mends one fault, starts the process and is told of the next,
-// five times over, because the reader stops at the first. All must come in
-// one run, each with its line and path.
+// A reader that stops at the first fault makes operators restart the process
+// once per fault. All faults must be reported in one run, with line and path.
 #[test]
-fn all_faults_come_at_once() {
+fn all_faults_are_reported_in_one_run() {
     let text =
         "listen: nowhere\npause: 12\nparts:\n  - size: 3\n  - sise: 4\n  - size: x\n";
     let faults = read_text::<SampleSettings>(text).expect_err("it has faults");
-    let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    let starts = [
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let expected = [
         "line 1: name: is missing; write a name",
         "line 1: listen: \"nowhere\" is not usable; write an address and port",
         "line 2: pause: \"12\" is not usable; write a time such as 2s",
@@ -61,16 +60,16 @@
         "line 5: parts[1].sise: is unknown; known here are size",
         "line 6: parts[2].size: \"x\" is not usable",
     ];
-    assert_eq!(told.len(), starts.len(), "{told:#?}");
-    for start in starts {
+    assert_eq!(messages.len(), expected.len(), "{messages:#?}");
+    for prefix in expected {
         assert!(
-            told.iter().any(|line| line.starts_with(start)),
-            "{start}: {told:#?}"
+            messages.iter().any(|line| line.starts_with(prefix)),
+            "{prefix}: {messages:#?}"
         );
     }
 }
 
-// A version written 1.10 must not become 1.1 on its way through a number.
+// A version such as 1.10 must not be parsed as a number and become 1.1.
 #[test]
 fn a_value_keeps_its_spelling() {
     let text = "name: 1.10\nlisten: 127.0.0.1:7000\n";
@@ -79,7 +78,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_yaml_is_told() {
+fn invalid_yaml_is_a_fault() {
     let faults = read_text::<SampleSettings>("name: [").expect_err("not YAML");
     assert_eq!(faults.len(), 1);
 }
@@ -93,10 +92,10 @@
     }
 
     #[test]
-    fn a_time_is_its_number_of_units(number in 0..100_000_u32) {
-        let millis: SettingsDuration = format!("{number}ms").parse().expect("a time");
+    fn a_duration_is_its_number_of_units(number in 0..100_000_u32) {
+        let millis: SettingsDuration = format!("{number}ms").parse().expect("a duration");
         prop_assert_eq!(millis.0.as_millis(), u128::from(number));
-        let minutes: SettingsDuration = format!("{number}m").parse().expect("a time");
+        let minutes: SettingsDuration = format!("{number}m").parse().expect("a duration");
         prop_assert_eq!(minutes.0.as_secs(), u64::from(number) * 60);
         let bare: Result<SettingsDuration, _> = number.to_string().parse();
         prop_assert!(bare.is_err());
