--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -121,7 +121,7 @@
 impl LoadSender {
     fn new(plan: LoadPlan, number: u32) -> Self {
         let client = http_client::build(ClientConfig {
-            connect: CONNECT_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             idle: IDLE_TIME,
             connections: plan.under_way_max,
         });
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConfig {
     /// Timeout for establishing a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time after which an idle connection is closed.
     pub idle: Duration,
     /// Maximum number of open connections, idle ones included.
@@ -20,7 +20,7 @@
 /// retries, headers and deadlines are left to the caller.
 pub fn build(plan: ClientConfig) -> Client {
     let connector = Connector::new()
-        .timeout(plan.connect)
+        .timeout(plan.connect_timeout)
         .conn_keep_alive(plan.idle)
         .limit(plan.connections);
     Client::builder()
--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -63,7 +63,7 @@
     /// Creates a client that authenticates with `key`.
     pub fn new(key: AccessKey) -> Self {
         let client = http_client::build(ClientConfig {
-            connect: CONNECT_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             idle: IDLE_TIMEOUT,
             connections: CONNECTIONS_MAX,
         });
