--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -122,7 +122,7 @@
     fn new(plan: LoadPlan, number: u32) -> Self {
         let client = http_client::build(ClientConfig {
             connect_timeout: CONNECT_TIMEOUT,
-            idle: IDLE_TIME,
+            idle_timeout: IDLE_TIME,
             connections: plan.under_way_max,
         });
         Self {
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -11,7 +11,7 @@
     /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
     /// Time after which an idle connection is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum number of open connections, idle ones included.
     pub connections: usize,
 }
@@ -21,7 +21,7 @@
 pub fn build(plan: ClientConfig) -> Client {
     let connector = Connector::new()
         .timeout(plan.connect_timeout)
-        .conn_keep_alive(plan.idle)
+        .conn_keep_alive(plan.idle_timeout)
         .limit(plan.connections);
     Client::builder()
         .connector(connector)
--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -64,7 +64,7 @@
     pub fn new(key: AccessKey) -> Self {
         let client = http_client::build(ClientConfig {
             connect_timeout: CONNECT_TIMEOUT,
-            idle: IDLE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
             connections: CONNECTIONS_MAX,
         });
         Self { client, key }
