--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -123,7 +123,7 @@
         let client = http_client::build(ClientConfig {
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIME,
-            connections: plan.under_way_max,
+            connections_max: plan.under_way_max,
         });
         Self {
             client,
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -13,7 +13,7 @@
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
     /// Maximum number of open connections, idle ones included.
-    pub connections: usize,
+    pub connections_max: usize,
 }
 
 /// Builds a client that adds no redirects, headers or request timeouts, so that
@@ -22,7 +22,7 @@
     let connector = Connector::new()
         .timeout(plan.connect_timeout)
         .conn_keep_alive(plan.idle_timeout)
-        .limit(plan.connections);
+        .limit(plan.connections_max);
     Client::builder()
         .connector(connector)
         .disable_timeout()
--- a/crates/wire/src/peer_client.rs
+++ b/crates/wire/src/peer_client.rs
@@ -65,7 +65,7 @@
         let client = http_client::build(ClientConfig {
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            connections: CONNECTIONS_MAX,
+            connections_max: CONNECTIONS_MAX,
         });
         Self { client, key }
     }
