--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -18,11 +18,11 @@
 
 /// Builds a client that adds no redirects, headers or request timeouts, so that
 /// retries, headers and deadlines are left to the caller.
-pub fn build(plan: ClientConfig) -> Client {
+pub fn build(config: ClientConfig) -> Client {
     let connector = Connector::new()
-        .timeout(plan.connect_timeout)
-        .conn_keep_alive(plan.idle_timeout)
-        .limit(plan.connections_max);
+        .timeout(config.connect_timeout)
+        .conn_keep_alive(config.idle_timeout)
+        .limit(config.connections_max);
     Client::builder()
         .connector(connector)
         .disable_timeout()
