--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -13,8 +13,8 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use cowslip_wire::plain_client;
-use cowslip_wire::plain_client::ClientPlan;
+use cowslip_wire::http_client;
+use cowslip_wire::http_client::ClientConfig;
 
 use super::call_tally::CallEnd;
 use super::call_tally::CallTally;
@@ -120,10 +120,10 @@
 
 impl LoadSender {
     fn new(plan: LoadPlan, number: u32) -> Self {
-        let client = plain_client::build(ClientPlan {
-            connect: CONNECT_TIMEOUT,
-            idle: IDLE_TIME,
-            connections: plan.under_way_max,
+        let client = http_client::build(ClientConfig {
+            connect_timeout: CONNECT_TIMEOUT,
+            idle_timeout: IDLE_TIME,
+            connections_max: plan.under_way_max,
         });
         Self {
             client,
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -12,7 +12,7 @@
 use cowslip_wire::process_log;
 use cowslip_wire::settings_file;
 use cowslip_wire::settings_watch;
-use cowslip_wire::settings_watch::SettingsText;
+use cowslip_wire::settings_watch::SettingsBaseline;
 use cowslip_wire::stop_signal;
 use cowslip_wire::stop_signal::StopSignals;
 
@@ -32,7 +32,7 @@
 fn main() {
     let args = command_args::parse_or_exit(&control_args());
     process_log::start();
-    let text = SettingsText::hold(args.settings);
+    let text = SettingsBaseline::read(args.settings);
     let settings: ControlSettings =
         settings_file::read_or_exit("cowslip-control", text.path());
     if args.check {
@@ -40,7 +40,7 @@
         return;
     }
     let result = actix_rt::System::new().block_on(run(&settings, text));
-    process_log::finish();
+    process_log::flush();
     if let Err(error) = result {
         eprintln!("cowslip-control: {error}");
         exit(1);
@@ -49,7 +49,7 @@
 
 async fn run(
     settings: &ControlSettings,
-    text: SettingsText,
+    text: SettingsBaseline,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let signals = StopSignals::listen()?;
     let sockets = ControlSockets::bind(settings.listen, settings.admin_listen)?;
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -33,9 +33,9 @@
 
 use cowslip_core::connection_renewal::PoolGeneration;
 use cowslip_wire::boot_instant::BootInstant;
-use cowslip_wire::read_room::read_ready;
-use cowslip_wire::read_room::BODY_ROOM;
-use cowslip_wire::read_room::HEAD_ROOM;
+use cowslip_wire::socket_read::read_ready;
+use cowslip_wire::socket_read::BODY_READ_BYTES;
+use cowslip_wire::socket_read::HEAD_READ_BYTES;
 
 use crate::call_forward::CallBody;
 use crate::hop::hop_request::HopRequest;
@@ -235,7 +235,7 @@
                 }
             }
             let (mut reader, _) = self.stream.split();
-            let read = read_ready(&mut reader, &mut self.received, BODY_ROOM).await;
+            let read = read_ready(&mut reader, &mut self.received, BODY_READ_BYTES).await;
             if read.map_err(PayloadError::Io)? > 0 {
                 continue;
             }
@@ -381,7 +381,7 @@
         if let Some(head) = decoded {
             return Ok(head);
         }
-        read_more(reader, received, HEAD_ROOM).await?;
+        read_more(reader, received, HEAD_READ_BYTES).await?;
     }
 }
 
@@ -414,7 +414,7 @@
         match decoded {
             Some(None) => break,
             Some(Some(_)) => {}
-            None => read_more(reader, received, BODY_ROOM).await?,
+            None => read_more(reader, received, BODY_READ_BYTES).await?,
         }
     }
     *codec = payload.into_message_codec();
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use cowslip_core::document::FleetDocument;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 
 use crate::server_check::ConfiguredServer;
 
@@ -18,7 +18,7 @@
     /// The backend server that the settings name.
     pub server: ConfiguredServer,
     /// Timeouts of the callers' listener.
-    pub listener_times: watch::Sender<ListenerTimes>,
+    pub listener_times: watch::Sender<ListenerTimeouts>,
 }
 
 impl InstallHooks {
@@ -27,9 +27,9 @@
         if !self.configured.replace(true) {
             self.server.request_check(document);
         }
-        let defaults = ListenerTimes::default();
+        let defaults = ListenerTimeouts::default();
         let millis = |set: Option<u64>| set.map(Duration::from_millis);
-        let times = ListenerTimes {
+        let times = ListenerTimeouts {
             head: millis(document.limits.head_ms).unwrap_or(defaults.head),
             idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -15,12 +15,12 @@
 use tokio::sync::watch;
 
 use cowslip_core::entry_router::CallOrigin;
-use cowslip_wire::admin_page::AdminPage;
-use cowslip_wire::admin_page::ADMIN_CONNECTIONS_MAX;
+use cowslip_wire::admin_handler::AdminHandler;
+use cowslip_wire::admin_handler::ADMIN_CONNECTIONS_MAX;
 use cowslip_wire::boot_instant::BootInstant;
 use cowslip_wire::http_listener::HttpHandler;
 use cowslip_wire::http_listener::HttpListener;
-use cowslip_wire::http_listener::ListenerTimes;
+use cowslip_wire::http_listener::ListenerTimeouts;
 use cowslip_wire::peer_client::PeerClient;
 
 use crate::call_dialect::CallDialect;
@@ -210,7 +210,7 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (listener_times, watched_times) = watch::channel(ListenerTimes::default());
+        let (listener_times, watched_times) = watch::channel(ListenerTimeouts::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
@@ -280,11 +280,11 @@
             EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
         let local = Rc::new(LocalHandler::new(gate.clone(), desk));
         let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
-        let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let page = (middleware.admin)(status, Rc::new(page));
         let listen = HttpListener::spawn;
         let daemon = Self {
-            callers: HttpListener::spawn_ahead(
+            callers: HttpListener::spawn_pipelined(
                 sockets.callers,
                 CALLER_CONNECTIONS_MAX,
                 Rc::new(callers),
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -1,4 +1,4 @@
-//! The receiving side of messages: checks the key, reads and decodes, and
+//! Server side of messages: checks the key, reads and decodes the message, and
 //! encodes the answer.
 
 use actix_http::header::HeaderValue;
@@ -14,14 +14,14 @@
 use crate::http_reply::HttpReply;
 use crate::messages::WireCall;
 
-/// Checks the key before anything of the body is read, then reads and
-/// decodes the message.
+/// Checks the key before reading the body, then reads and decodes the message.
+/// The error is the response to send: status 401, 413 or 400.
 pub async fn read<C: WireCall>(
     request: &mut Request,
     key: &AccessKey,
 ) -> Result<C, HttpReply> {
     let offered = http_reply::header(request, KEY_HEADER).unwrap_or_default();
-    if !key.admits(offered.as_bytes()) {
+    if !key.matches(offered.as_bytes()) {
         let status = StatusCode::UNAUTHORIZED;
         return Err(http_reply::text(status, "the key is missing or wrong"));
     }
@@ -33,18 +33,18 @@
         .map_err(|fault| http_reply::text(StatusCode::BAD_REQUEST, fault.to_string()))
 }
 
-/// An answer, encoded.
+/// Builds a response with the encoded answer.
 pub fn encoded<T: Serialize>(answer: &T) -> HttpReply {
     match codec::encode(answer) {
-        Ok(bytes) => message(bytes.into()),
+        Ok(bytes) => from_encoded(bytes.into()),
         Err(fault) => {
             http_reply::text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string())
         }
     }
 }
 
-/// An answer that is encoded already.
-pub fn message(bytes: Bytes) -> HttpReply {
-    let kind = HeaderValue::from_static(codec::CONTENT_TYPE);
-    http_reply::with_type(StatusCode::OK, kind, bytes)
+/// Builds a response from an already encoded answer.
+pub fn from_encoded(bytes: Bytes) -> HttpReply {
+    let content_type = HeaderValue::from_static(codec::CONTENT_TYPE);
+    http_reply::with_content_type(StatusCode::OK, content_type, bytes)
 }
