--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -93,12 +93,12 @@
         settings: &ControlSettings,
         sockets: ControlSockets,
     ) -> Result<Self, ControlError> {
-        Self::spawn_with_handler(settings, sockets, |_, handler| handler)
+        Self::spawn_with_middleware(settings, sockets, |_, handler| handler)
     }
 
     /// Like [`Self::spawn`], but serves the handler that `wrap` returns
     /// for the operator API and the standard handler.
-    pub fn spawn_with_handler(
+    pub fn spawn_with_middleware(
         settings: &ControlSettings,
         sockets: ControlSockets,
         wrap: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
