--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -143,7 +143,7 @@
 
     /// Reports that the run takes no more work, and waits until the gate has
     /// applied it. `born_ms` is the start of the run, if known.
-    pub async fn run_left(&self, run: Arc<str>, born_ms: Option<u64>) {
+    pub async fn deregister_run(&self, run: Arc<str>, born_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
         // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
