--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -140,10 +140,10 @@
             }
         }
         self.advance_steps(SETTLE_STEPS);
-        let held = self.leader.current().version;
+        let version = self.leader.current().version;
         for relay in &self.relays {
             for node in &relay.nodes {
-                assert_eq!(node.versions.held(), held);
+                assert_eq!(node.versions.held(), version);
             }
         }
         self.leader_cost = RoleCost::default();
@@ -233,14 +233,14 @@
                 relay
                     .follower
                     .handle_answer(now, answer, leader, &mut fetched);
-            let news = LeaderUpdate {
+            let update = LeaderUpdate {
                 sent_at: now,
                 source,
                 snapshot,
                 endpoints,
                 run: 1,
             };
-            relay.source.install(now, news);
+            relay.source.install(now, update);
         });
         self.leader_cost.sent += fetched;
     }
@@ -319,8 +319,8 @@
         fleet.advance();
         fleet.advance();
     }
-    let held = fleet.leader.current().version;
-    let progress = fleet.leader.board().progress(held);
+    let version = fleet.leader.current().version;
+    let progress = fleet.leader.board().progress(version);
     assert_eq!(progress.nodes_applied as usize, nodes);
     let changes = CHANGES as usize;
     let relays = changes * fleet.relays.len();
--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -101,7 +101,7 @@
     pub fn spawn_with_middleware(
         settings: &ControlSettings,
         sockets: ControlSockets,
-        wrap: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
+        middleware: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
     ) -> Result<Self, ControlError> {
         let mut registry = Registry::default();
         let fanout = fanout_task::spawn(
@@ -152,7 +152,7 @@
             fanout,
             rollouts,
         );
-        let handler = wrap(api, Rc::new(handler));
+        let handler = middleware(api, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let admin =
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -254,15 +254,15 @@
     }
 
     fn moves(&self, changes: Vec<AcceptedChange>) -> Vec<MoveLine> {
-        let board = self.source.board();
+        let tracker = self.source.board();
         let mut lines = Vec::with_capacity(changes.len());
         for change in changes {
-            let done_after = board.done_after(change.version);
+            let done_after = tracker.done_after(change.version);
             lines.push(MoveLine {
                 version: change.version,
                 summary: change.summary,
                 at_ms: change.at_ms,
-                progress: board.progress(change.version),
+                progress: tracker.progress(change.version),
                 done_after_ms: done_after.map(|after| after.as_millis() as u64),
             });
         }
@@ -270,10 +270,10 @@
     }
 
     fn progress(&self, version: ConfigVersion) -> VersionProgress {
-        let board = self.source.board();
-        let done_after = board.done_after(version);
+        let tracker = self.source.board();
+        let done_after = tracker.done_after(version);
         VersionProgress {
-            progress: board.progress(version),
+            progress: tracker.progress(version),
             done_after_ms: done_after.map(|after| after.as_millis() as u64),
         }
     }
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -165,8 +165,8 @@
         for name in [IDENTITY_FILE, LOG_FILE, SNAPSHOT_FILE] {
             let file = path.join(name);
             match fs::rename(&file, path.join(format!("{name}.spoilt"))) {
-                Err(failure) if failure.kind() != io::ErrorKind::NotFound => {
-                    return Err(failure.into());
+                Err(error) if error.kind() != io::ErrorKind::NotFound => {
+                    return Err(error.into());
                 }
                 _ => File::open(path)?.sync_all()?,
             }
@@ -210,7 +210,7 @@
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => Err(StoreError::InUse(path.to_owned())),
-        Err(TryLockError::Error(failure)) => Err(failure.into()),
+        Err(TryLockError::Error(error)) => Err(error.into()),
     }
 }
 
--- a/crates/control/src/member_store/atomic_file.rs
+++ b/crates/control/src/member_store/atomic_file.rs
@@ -45,8 +45,8 @@
 ) -> Result<Option<T>, StoreError> {
     let bytes = match fs::read(folder.join(name)) {
         Ok(bytes) => bytes,
-        Err(failure) if failure.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(failure) => return Err(failure.into()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error.into()),
     };
     let damaged = StoreError::Damaged { file: name, at: 0 };
     let Ok((bodies, end)) = record_frame::scan(&bytes) else {
--- a/crates/control/src/member_store/log_file.rs
+++ b/crates/control/src/member_store/log_file.rs
@@ -78,11 +78,11 @@
     ) -> Result<(Self, SavedState), StoreError> {
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
-            Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 let problem = "log file is missing";
                 return Err(StoreError::Inconsistent { problem });
             }
-            Err(failure) => return Err(failure.into()),
+            Err(error) => return Err(error.into()),
         };
         let (saved, end) = read_log(&bytes, folder, snapshot)?;
         let mut file = OpenOptions::new().write(true).open(path.join(LOG_FILE))?;
@@ -99,10 +99,8 @@
     pub fn holds_entries(path: &Path) -> Result<bool, StoreError> {
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
-            Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
-                return Ok(false)
-            }
-            Err(failure) => return Err(failure.into()),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
+            Err(error) => return Err(error.into()),
         };
         let Ok((bodies, _)) = record_frame::scan(&bytes) else {
             return Ok(true);
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -270,19 +270,19 @@
     request: &RevisionRequest,
     current: &CurrentRevision,
 ) -> Result<NumberedRevision, Vec<DocumentFault>> {
-    let held = &current.snapshot;
-    let target = merge_revision(&held.document, &request.document);
-    let faults = validate_edit(&held.document, &target);
+    let snapshot = &current.snapshot;
+    let target = merge_revision(&snapshot.document, &request.document);
+    let faults = validate_edit(&snapshot.document, &target);
     if !faults.is_empty() {
         return Err(faults);
     }
     let target = ConfigSnapshot {
-        version: held.version,
+        version: snapshot.version,
         document: Arc::new(target),
     };
     // No digest is needed: the number identifies the revision that the delta
     // applies to.
-    let delta = ConfigDelta::between(held, &target, ConfigDigest::default());
+    let delta = ConfigDelta::between(snapshot, &target, ConfigDigest::default());
     let delta = delta.ok_or_else(|| {
         vec![DocumentFault {
             path: "(document)".to_owned(),
--- a/crates/control/src/peer_sender.rs
+++ b/crates/control/src/peer_sender.rs
@@ -88,10 +88,10 @@
             let call = AgreeCall {
                 messages: std::mem::take(&mut gathered),
             };
-            if let Err(failure) = client.send(address, &call, timeout).await {
+            if let Err(error) = client.send(address, &call, timeout).await {
                 debug!(
                     "event=agree-failed process=control to={address} error={}",
-                    LogValue(failure)
+                    LogValue(error)
                 );
             }
         }
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -118,10 +118,12 @@
         };
         let mut lines = Vec::new();
         for record in records {
-            let rollout_matches =
-                call.rollout.is_none_or(|wanted| wanted == record.rollout);
+            let rollout_matches = call
+                .rollout
+                .is_none_or(|requested| requested == record.rollout);
             let service = call.service.as_ref();
-            let service_matches = service.is_none_or(|wanted| *wanted == record.service);
+            let service_matches =
+                service.is_none_or(|requested| *requested == record.service);
             if rollout_matches && service_matches {
                 lines.push(self.line(record, call.course).await?);
             }
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -173,9 +173,9 @@
     }
 
     fn queue_report(&mut self, report: EvidenceReport) {
-        let held = self.pending_reports.get(&report.node);
+        let pending = self.pending_reports.get(&report.node);
         let order = (report.incarnation, report.sequence);
-        if held.is_none_or(|held| (held.incarnation, held.sequence) < order) {
+        if pending.is_none_or(|pending| (pending.incarnation, pending.sequence) < order) {
             self.pending_reports
                 .insert(Arc::clone(&report.node), report);
         }
@@ -203,10 +203,10 @@
         let call = EvidenceCall { reports };
         let client = self.client.clone();
         actix_rt::spawn(async move {
-            if let Err(failure) = client.send(address, &call, FORWARD_TIMEOUT).await {
+            if let Err(error) = client.send(address, &call, FORWARD_TIMEOUT).await {
                 warn!(
                     "event=evidence-failed process=control leader={address} error={}",
-                    LogValue(failure)
+                    LogValue(error)
                 );
             }
         });
@@ -276,7 +276,7 @@
     }
 
     fn forget_ended(&mut self, records: &[RolloutRecord]) {
-        let running = |rollout| records.iter().any(|held| held.rollout == rollout);
+        let running = |rollout| records.iter().any(|record| record.rollout == rollout);
         self.drivers.retain(|rollout, _| running(*rollout));
         let before = wall_clock::since_epoch().saturating_sub(REPORT_RETENTION);
         self.totals.retain(before, running);
--- a/crates/control/src/roster_task.rs
+++ b/crates/control/src/roster_task.rs
@@ -44,9 +44,9 @@
         if snapshot.document.services.is_empty() {
             continue;
         }
-        let held = &snapshot.document.holders;
-        let wanted = planner.plan(started.elapsed(), held, &records);
-        if let Some(roster) = wanted {
+        let current = &snapshot.document.holders;
+        let planned = planner.plan(started.elapsed(), current, &records);
+        if let Some(roster) = planned {
             propose(&agreement, snapshot.version, roster).await;
         }
     }
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -60,13 +60,13 @@
             gathered.push(batch);
         }
         let last = gathered.last().map_or(0, |batch| batch.sequence);
-        if let Err(failure) = store.write(gathered) {
+        if let Err(error) = store.write(gathered) {
             // A failed sync must not be retried: the kernel may have dropped
             // the pages that it could not write, so a retry could succeed
             // although data is lost.
             error!(
                 "event=disk-failed process=control error={}",
-                LogValue(failure)
+                LogValue(error)
             );
             let _ = reports.send(ReplicaEvent::DiskFailed);
             return;
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -60,13 +60,13 @@
     instance: Arc<str>,
     leader: LeaderWatch,
     client: PeerClient,
-    task: mpsc::Sender<FanoutMessage>,
+    fanout: mpsc::Sender<FanoutMessage>,
 ) {
     let mut follower = LeaderFollower {
         instance,
         client,
-        task,
-        follower: VersionFollower::new(Duration::ZERO),
+        fanout,
+        versions: VersionFollower::new(Duration::ZERO),
         waited: false,
         directory: DirectoryFollower::default(),
         started: BootInstant::now(),
@@ -85,9 +85,9 @@
         match follower.poll(address).await {
             Ok(true) => continue,
             Ok(false) => return,
-            Err(failure) => warn!(
+            Err(error) => warn!(
                 "event=follow-failed process=control error={}",
-                LogValue(failure)
+                LogValue(error)
             ),
         }
         actix_rt::time::sleep(RETRY_PAUSE).await;
@@ -97,8 +97,8 @@
 struct LeaderFollower {
     instance: Arc<str>,
     client: PeerClient,
-    task: mpsc::Sender<FanoutMessage>,
-    follower: VersionFollower,
+    fanout: mpsc::Sender<FanoutMessage>,
+    versions: VersionFollower,
     waited: bool,
     directory: DirectoryFollower,
     started: BootInstant,
@@ -110,7 +110,7 @@
     async fn poll(&mut self, address: SocketAddr) -> Result<bool, PeerError> {
         let (reply, state) = oneshot::channel();
         if self
-            .task
+            .fanout
             .send(FanoutMessage::UplinkState(reply))
             .await
             .is_err()
@@ -125,12 +125,12 @@
         } else {
             FOLLOW_WAIT
         };
-        self.follower.adopt(state.snapshot);
+        self.versions.adopt(state.snapshot);
         let call = FollowCall {
             follower: Arc::clone(&self.instance),
-            held: self.follower.held(),
-            refused: self.follower.refused(),
-            whole: self.follower.needs_snapshot(),
+            held: self.versions.held(),
+            refused: self.versions.refused(),
+            whole: self.versions.needs_snapshot(),
             waited: self.waited,
             directory: self.directory.request(),
             wait_ms: wait.as_millis() as u64,
@@ -148,7 +148,7 @@
         };
         self.waited = false;
         let source = answer.source.clone();
-        let step = self.follower.handle_update(
+        let step = self.versions.handle_update(
             self.started.elapsed(),
             answer.source,
             answer.acknowledged,
@@ -164,7 +164,7 @@
             run: self.directory.place().run,
         };
         let sent = self
-            .task
+            .fanout
             .send(FanoutMessage::Install(Box::new(update)))
             .await;
         Ok(sent.is_ok())
@@ -181,27 +181,27 @@
     ) -> Result<Option<ConfigSnapshot>, PeerError> {
         if let (FollowStep::Fetch { at: 0, .. }, Some(chunk)) = (&step, first_chunk) {
             let now = self.started.elapsed();
-            step = self.follower.chunk(now, Some(&chunk));
+            step = self.versions.chunk(now, Some(&chunk));
         }
         while let FollowStep::Fetch { version, at } = step {
             let call = ChunkCall { version, at };
             let answer = self.client.send(address, &call, CALL_TIMEOUT).await?;
             let now = self.started.elapsed();
-            step = self.follower.chunk(now, answer.chunk.as_deref());
+            step = self.versions.chunk(now, answer.chunk.as_deref());
         }
         let FollowStep::Offer(snapshot) = step else {
             return Ok(None);
         };
         if validate(&snapshot.document).is_empty() {
-            self.follower.record_outcome(snapshot.version, None);
+            self.versions.record_outcome(snapshot.version, None);
             return Ok(Some(snapshot));
         }
         warn!(
             "event=version-refused process=control instance={} version={}",
             self.instance, snapshot.version
         );
-        let held = self.follower.held();
-        self.follower.record_outcome(held, Some(snapshot.version));
+        let held = self.versions.held();
+        self.versions.record_outcome(held, Some(snapshot.version));
         Ok(None)
     }
 }
@@ -211,7 +211,7 @@
 pub async fn send_reports(
     leader: LeaderWatch,
     client: PeerClient,
-    task: mpsc::Sender<FanoutMessage>,
+    fanout: mpsc::Sender<FanoutMessage>,
 ) {
     loop {
         actix_rt::time::sleep(REPORT_INTERVAL).await;
@@ -219,7 +219,7 @@
             continue;
         };
         let (reply, batch) = oneshot::channel();
-        let sent = task.send(FanoutMessage::TakeReports(reply)).await;
+        let sent = fanout.send(FanoutMessage::TakeReports(reply)).await;
         let Ok(batch) = batch.await else {
             return;
         };
@@ -230,15 +230,15 @@
             continue;
         }
         let call = ReportCall { batch };
-        let Err(failure) = client.send(address, &call, CALL_TIMEOUT).await else {
+        let Err(error) = client.send(address, &call, CALL_TIMEOUT).await else {
             continue;
         };
         warn!(
             "event=report-failed process=control error={}",
-            LogValue(failure)
+            LogValue(error)
         );
         // Fails only at shutdown, when both tasks end.
-        let _ = task.send(FanoutMessage::ReturnReports(call.batch)).await;
+        let _ = fanout.send(FanoutMessage::ReturnReports(call.batch)).await;
         actix_rt::time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/control/tests/member_store.rs
+++ b/crates/control/tests/member_store.rs
@@ -125,20 +125,20 @@
         let log = folder.path().join("log");
         let mut opened = FolderStore::open(folder.path(), INSTANCE).expect("it opens");
         let mut model = SavedState::default();
-        let mut held = vec![(fs::read(&log).expect("a log").len(), model.clone())];
+        let mut states = vec![(fs::read(&log).expect("a log").len(), model.clone())];
         for (number, write) in writes.iter().enumerate() {
             let batch = apply_write(&mut model, number as u64, write);
             if batch.is_empty() {
                 continue;
             }
             opened.store.write(vec![batch]).expect("the write succeeds");
-            held.push((fs::read(&log).expect("a log").len(), model.clone()));
+            states.push((fs::read(&log).expect("a log").len(), model.clone()));
         }
         drop(opened);
         let whole = fs::read(&log).expect("a log");
-        for end in held[0].0..=whole.len() {
+        for end in states[0].0..=whole.len() {
             fs::write(&log, &whole[..end]).expect("a torn log");
-            let synced = held.iter().rev().find(|(length, _)| *length <= end);
+            let synced = states.iter().rev().find(|(length, _)| *length <= end);
             let saved = open(folder.path()).expect("a torn log opens");
             prop_assert_eq!(&saved, &synced.expect("the head").1);
             let cut = fs::read(&log).expect("a log").len();
--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -120,7 +120,7 @@
         rest: Payload,
     },
     /// A stream that has already been sent.
-    Spent,
+    Consumed,
 }
 
 impl CallBody {
@@ -163,7 +163,7 @@
         match self {
             Self::Buffered(bytes) => bytes,
             Self::Stream { first, .. } => first,
-            Self::Spent => &[],
+            Self::Consumed => &[],
         }
     }
 }
--- a/crates/node/src/claim_client.rs
+++ b/crates/node/src/claim_client.rs
@@ -147,7 +147,7 @@
         // after their own start, so restarted holders would vote on a key whose
         // state they have lost.
         let latest = (wall_clock::since_epoch() + CLOCK_SKEW).as_millis() as u64;
-        if call.key.created_ms.is_some_and(|born| born > latest) {
+        if call.key.created_ms.is_some_and(|created| created > latest) {
             return Err(refused(RefusalReason::BadHeader, CallVerdict::NotRun));
         }
         let mut claim = self.prepare(call, ClaimProposal::claim).await;
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -79,7 +79,7 @@
     /// Access key that nodes send to each other.
     pub system_key: AccessKey,
     /// Current state of the gate in front of this node's backend server.
-    pub view: GateStatus,
+    pub gate_status: GateStatus,
     /// Channel to the routing task.
     pub entry: mpsc::Sender<EntryMessage>,
     /// Claims the keys of calls that carry an idempotency key.
@@ -194,7 +194,7 @@
                 CallOrigin::Outside if !self.dialect.servers_use_caller_listener => {
                     RepeatProbability::FIRST
                 }
-                _ => self.view.repeat_probability(),
+                _ => self.gate_status.repeat_probability(),
             },
         };
         let parts = CallParts::of(&request, &self.dialect);
@@ -231,7 +231,8 @@
         }
         let (reply, answer) = oneshot::channel();
         let message = EntryMessage::Admit(head, reply);
-        self.ask_router(message, answer, CallVerdict::NotRun).await
+        self.ask_entry_task(message, answer, CallVerdict::NotRun)
+            .await
     }
 
     /// Returns the reply to a refused call: the stored answer if a call with
@@ -333,7 +334,7 @@
             let so_far = planned.plan.verdict.max(failure.verdict);
             let failed = EntryMessage::Failed(Box::new(planned), failure, reply);
             planned = match (
-                self.ask_router(failed, answer, so_far).await,
+                self.ask_entry_task(failed, answer, so_far).await,
                 failed_answer.take(),
             ) {
                 (Ok(next), previous) => {
@@ -359,7 +360,7 @@
     /// has ended, the call is refused with `so_far`, the verdict of its attempts:
     /// "not run" after a broken attempt would make the caller repeat a
     /// non-idempotent call that may have run.
-    async fn ask_router(
+    async fn ask_entry_task(
         &self,
         message: EntryMessage,
         answer: oneshot::Receiver<RoutingResult>,
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -42,7 +42,7 @@
 
 /// Capacity of the task's channel. When it is full, senders wait, and with them
 /// the calls on their connections.
-const MESSAGES_MAX: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// Interval of the expiry checks for calls that wait for the first
 /// configuration; a tenth of the shortest deadline that callers send.
@@ -165,7 +165,7 @@
     hooks: InstallHooks,
     seed: u64,
 ) -> mpsc::Sender<EntryMessage> {
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let task = EntryTask {
         incarnation: wall_clock::millis(),
         router: EntryRouter::new(Arc::clone(&failure_domain), seed),
--- a/crates/node/src/evidence_task.rs
+++ b/crates/node/src/evidence_task.rs
@@ -78,10 +78,10 @@
             reports: vec![report],
         };
         let sent = client.send(address, &call, REPORT_TIMEOUT).await;
-        if let Err(failure) = sent {
+        if let Err(error) = sent {
             warn!(
                 "event=evidence-failed process=node control={address} error={}",
-                LogValue(failure)
+                LogValue(error)
             );
         }
     }
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -9,7 +9,7 @@
 /// Counters of a follower, updated from the follower's own counts.
 #[derive(Clone)]
 pub struct FollowMetrics {
-    last_counts: FollowCounts,
+    previous: FollowCounts,
     stale: Counter,
     damaged: Counter,
     refused: Counter,
@@ -23,7 +23,7 @@
     pub fn new(registry: &mut Registry) -> Self {
         let registry = registry.sub_registry_with_prefix("cowslip_follow");
         Self {
-            last_counts: FollowCounts::default(),
+            previous: FollowCounts::default(),
             stale: metric_start::counter(
                 registry,
                 "stale",
@@ -59,14 +59,12 @@
 
     /// Adds what the follower counted since the last update.
     pub fn update(&mut self, counts: FollowCounts) {
-        self.stale.inc_by(counts.stale - self.last_counts.stale);
-        self.damaged
-            .inc_by(counts.damaged - self.last_counts.damaged);
-        self.refused
-            .inc_by(counts.refused - self.last_counts.refused);
+        self.stale.inc_by(counts.stale - self.previous.stale);
+        self.damaged.inc_by(counts.damaged - self.previous.damaged);
+        self.refused.inc_by(counts.refused - self.previous.refused);
         self.unconfirmed
-            .inc_by(counts.unconfirmed - self.last_counts.unconfirmed);
-        self.last_counts = counts;
+            .inc_by(counts.unconfirmed - self.previous.unconfirmed);
+        self.previous = counts;
     }
 
     /// Counts a poll that got no answer.
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -175,12 +175,12 @@
                     self.backoff.reset();
                     self.timing.wait / 2
                 }
-                Err(failure) => {
+                Err(error) => {
                     self.options.metrics.count_failure();
                     warn!(
                         "event=follow-failed process=node control={} error={}",
                         self.ring.current(),
-                        LogValue(failure)
+                        LogValue(error)
                     );
                     self.switch_source()
                 }
@@ -276,8 +276,8 @@
         }
         for record in &changed {
             if record.instance == self.options.instance {
-                let seen = Box::new(record.clone());
-                let _ = self.options.gate.send(GateMessage::Reconcile(seen));
+                let current = Box::new(record.clone());
+                let _ = self.options.gate.send(GateMessage::Reconcile(current));
             }
         }
         if changed.is_empty() {
@@ -349,12 +349,12 @@
             };
             let address = *control.borrow();
             let call = ReportCall { batch };
-            let Err(failure) = client.send(address, &call, REQUEST_TIMEOUT).await else {
+            let Err(error) = client.send(address, &call, REQUEST_TIMEOUT).await else {
                 break;
             };
             warn!(
                 "event=report-failed process=node control={address} error={}",
-                LogValue(failure)
+                LogValue(error)
             );
             actix_rt::time::sleep(backoff.next_wait()).await;
         }
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -91,7 +91,7 @@
     RunFound(Arc<str>, AnnouncedServer, SocketAddr),
     /// The run takes no more work. The time is its start in milliseconds, if
     /// known; answered once the gate has applied it.
-    RunLeft(Arc<str>, Option<u64>, oneshot::Sender<()>),
+    DeregisterRun(Arc<str>, Option<u64>, oneshot::Sender<()>),
     /// The backend server shuts down: drain it.
     Drain,
     /// The node shuts down.
@@ -232,8 +232,8 @@
                     self.begin_run(&run, server, address);
                 }
             }
-            GateMessage::RunLeft(run, born_ms, reply) => {
-                if self.runs.deregister(&run, born_ms) {
+            GateMessage::DeregisterRun(run, started_ms, reply) => {
+                if self.runs.deregister(&run, started_ms) {
                     self.presence.drain(now);
                     self.withdraw("left");
                 }
@@ -262,8 +262,8 @@
                 let actions = self.gate.end(now, ticket, outcome);
                 self.apply(actions);
             }
-            GateMessage::Reconcile(seen) => {
-                let record = self.announcer.reconcile(&seen);
+            GateMessage::Reconcile(current) => {
+                let record = self.announcer.reconcile(&current);
                 self.send(record);
             }
             GateMessage::Republish => {
@@ -352,11 +352,11 @@
     /// Applies a report of the current run: the server is reachable again, or
     /// its service, version or slots changed.
     fn continue_run(&mut self, server: AnnouncedServer) {
-        let back = self.presence.mark_reachable();
-        if !back && self.gate.announced() == Some(&server) {
+        let reachable_again = self.presence.mark_reachable();
+        if !reachable_again && self.gate.announced() == Some(&server) {
             return;
         }
-        if self.gate.is_draining() && !back {
+        if self.gate.is_draining() && !reachable_again {
             return;
         }
         self.gate.announce(server);
--- a/crates/node/src/holder_task.rs
+++ b/crates/node/src/holder_task.rs
@@ -14,7 +14,7 @@
 
 /// Capacity of the task's channel. When it is full, senders wait, and with them
 /// the claimants' connections.
-const MESSAGES_MAX: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 
 /// A claimant's request and the channel for its reply.
 pub struct HolderMessage {
@@ -26,7 +26,7 @@
 
 /// Starts the task without any claims and returns the channel to it.
 pub fn spawn() -> mpsc::Sender<HolderMessage> {
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     actix_rt::spawn(run(receiver));
     sender
 }
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -301,7 +301,7 @@
         first,
         length,
         rest,
-    } = std::mem::replace(body, CallBody::Spent)
+    } = std::mem::replace(body, CallBody::Consumed)
     else {
         return Ok(());
     };
@@ -429,7 +429,7 @@
             Self::Stream { length, .. } => {
                 length.map_or(BodySize::Stream, BodySize::Sized)
             }
-            Self::Spent => BodySize::None,
+            Self::Consumed => BodySize::None,
         }
     }
 }
--- a/crates/node/src/local_handler.rs
+++ b/crates/node/src/local_handler.rs
@@ -100,14 +100,14 @@
 ) -> HttpReply {
     let body = match http_reply::read_body(&mut request, ANNOUNCE_BYTES_MAX).await {
         Ok(body) => body,
-        Err(fault) => {
-            return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
+        Err(error) => {
+            return http_reply::text(StatusCode::BAD_REQUEST, error.to_string())
         }
     };
     let announcement: AnnounceBody = match serde_json::from_slice(&body) {
         Ok(announcement) => announcement,
-        Err(fault) => {
-            return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
+        Err(error) => {
+            return http_reply::text(StatusCode::BAD_REQUEST, error.to_string())
         }
     };
     if announcement.slots == 0
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -32,27 +32,27 @@
 fn main() {
     let args = command_args::parse_or_exit(&node_args());
     process_log::start();
-    let held = SettingsText::hold(args.settings);
-    let settings: NodeSettings = settings_file::read_or_exit("cowslip-node", held.path());
+    let text = SettingsText::hold(args.settings);
+    let settings: NodeSettings = settings_file::read_or_exit("cowslip-node", text.path());
     if args.check {
-        println!("{}: usable", held.path().display());
+        println!("{}: usable", text.path().display());
         return;
     }
-    let ended = actix_rt::System::new().block_on(run(&settings, held));
+    let result = actix_rt::System::new().block_on(run(&settings, text));
     process_log::finish();
-    if let Err(problem) = ended {
-        eprintln!("cowslip-node: {problem}");
+    if let Err(error) = result {
+        eprintln!("cowslip-node: {error}");
         exit(1);
     }
 }
 
-async fn run(settings: &NodeSettings, held: SettingsText) -> std::io::Result<()> {
+async fn run(settings: &NodeSettings, text: SettingsText) -> std::io::Result<()> {
     let signals = StopSignals::listen()?;
     let sockets = NodeSockets::bind(settings)?;
     let seed = rand::random();
     let daemon = NodeDaemon::spawn(settings, sockets, seed)?;
     let reload = async |changed: NodeSettings| daemon.reload(&changed);
-    settings_watch::until_stopped(signals, held, reload).await;
+    settings_watch::until_stopped(signals, text, reload).await;
     stop_signal::stop("node", &settings.instance, daemon.stop()).await;
     Ok(())
 }
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -142,11 +142,13 @@
     }
 
     /// Reports that the run takes no more work, and waits until the gate has
-    /// applied it. `born_ms` is the start of the run, if known.
-    pub async fn deregister_run(&self, run: Arc<str>, born_ms: Option<u64>) {
+    /// applied it. `started_ms` is the start of the run, if known.
+    pub async fn deregister_run(&self, run: Arc<str>, started_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
         // The gate task ends only with the node.
-        let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
+        let _ = self
+            .gate
+            .send(GateMessage::DeregisterRun(run, started_ms, reply));
         let _ = done.await;
     }
 }
@@ -253,21 +255,21 @@
             requested_checks,
             gate.clone(),
         ));
-        let desk = Rc::new(EntryProxy {
+        let entry_proxy = Rc::new(EntryProxy {
             pools: Rc::clone(&pools),
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
             system_key: settings.system_key.clone(),
-            view: gate_status.clone(),
+            gate_status: gate_status.clone(),
             entry,
             claims,
             metrics: entry_metrics,
             log: CallLog::new("entry"),
         });
-        let peer_desk = PeerProxy {
+        let peer_proxy = PeerProxy {
             pools,
             dialect,
-            view: gate_status,
+            gate_status,
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
@@ -276,9 +278,12 @@
             log: CallLog::new("server"),
         };
         let stage = Rc::clone(&status.stage);
-        let callers =
-            EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
-        let local = Rc::new(LocalHandler::new(gate.clone(), desk));
+        let callers = EntryHandler::new(
+            Rc::clone(&entry_proxy),
+            CallOrigin::Outside,
+            Rc::clone(&stage),
+        );
+        let local = Rc::new(LocalHandler::new(gate.clone(), entry_proxy));
         let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
         let page = AdminPage::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let page = (middleware.admin)(status, Rc::new(page));
@@ -294,7 +299,7 @@
             peer: listen(
                 sockets.peer,
                 CONNECTIONS_MAX,
-                Rc::new(PeerHandler::new(peer_desk)),
+                Rc::new(PeerHandler::new(peer_proxy)),
             )?,
             admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, page)?,
             gate,
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -63,7 +63,7 @@
     /// Access key that nodes send to each other.
     pub system_key: AccessKey,
     /// Current state of the gate.
-    pub view: GateStatus,
+    pub gate_status: GateStatus,
     /// Channel to the gate's task.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// Channel to the task that holds claims for other nodes.
@@ -131,9 +131,10 @@
                 refusal_reply(refusal, &self.dialect, None)
             }
         };
-        let wait_ms = self.view.expected_wait().as_millis().to_string();
+        let wait_ms = self.gate_status.expected_wait().as_millis().to_string();
         http_reply::set_header(&mut reply, call_headers::WAIT_MS, &wait_ms);
-        if let Some(work) = route.and_then(|route| self.view.service_time(&route)) {
+        if let Some(work) = route.and_then(|route| self.gate_status.service_time(&route))
+        {
             let work_ms = work.as_millis().to_string();
             http_reply::set_header(&mut reply, call_headers::WORK_MS, &work_ms);
         }
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -61,13 +61,13 @@
 /// and with a queue for `queue_calls` calls.
 fn spawn_node(server: SocketAddr, queue_calls: usize) -> HttpListener {
     let (records, _) = mpsc::unbounded_channel();
-    let place = GateEndpoint {
+    let endpoint = GateEndpoint {
         instance: "records-1".into(),
         failure_domain: "voss".into(),
         address: loopback(),
         server: None,
     };
-    let gate = gate_task::spawn(place, records);
+    let gate = gate_task::spawn(endpoint, records);
     let announced = AnnouncedServer {
         service: "records".into(),
         version: "v1".into(),
@@ -86,7 +86,7 @@
     let proxy = PeerProxy {
         pools: CallPools::new(),
         dialect: Rc::default(),
-        view: GateStatus::default(),
+        gate_status: GateStatus::default(),
         system_key: AccessKey::new(KEY),
         gate,
         holder: holder_task::spawn(),
