--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -1,4 +1,4 @@
-//! The task that runs this instance's agreement member.
+//! Task that runs this instance's agreement member.
 //!
 //! It owns the replicated state machine, passes it incoming events and
 //! executes the actions that it returns: the store thread writes batches,
--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -96,8 +96,8 @@
         Self::spawn_with_middleware(settings, sockets, |_, handler| handler)
     }
 
-    /// Like [`Self::spawn`], but serves the handler that `wrap` returns
-    /// for the operator API and the standard handler.
+    /// Starts an instance whose handler is wrapped by `middleware`, which also
+    /// gets the operator API.
     pub fn spawn_with_middleware(
         settings: &ControlSettings,
         sockets: ControlSockets,
--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP handler of a control instance: decodes POST requests, passes them
+//! HTTP handler of a control instance: decodes POST requests, passes them
 //! to the tasks as messages and encodes their answers.
 
 use std::rc::Rc;
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -1,4 +1,4 @@
-//! The task that sends updates to followers: nodes, and control instances that
+//! Task that sends updates to followers: nodes, and control instances that
 //! follow this one.
 //!
 //! It owns the [`UpdateSource`], which decides what each follower gets. The
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -41,7 +41,7 @@
     /// Opens the folder. The store of an earlier opening must have been dropped.
     fn open(&self) -> Result<FolderOpening, StoreError>;
 
-    /// True if an unusable folder is replaced by an empty one.
+    /// Returns true if an unusable folder is replaced by an empty one.
     fn replaces_unusable(&self) -> bool;
 }
 
--- a/crates/control/src/leader_view.rs
+++ b/crates/control/src/leader_view.rs
@@ -16,7 +16,7 @@
 }
 
 impl LeaderView {
-    /// True if this instance leads and its answers are current.
+    /// Returns true if this instance leads and its answers are current.
     ///
     /// The expiry of the lease is checked on every call. If the process was
     /// suspended or its agreement task is late, the view still says that this
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The I/O layer of `cowslip-control`: sockets, files and timers around the
+//! I/O layer of `cowslip-control`: sockets, files and timers around the
 //! state machines of `cowslip-core`.
 
 pub mod agreement_metrics;
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -75,7 +75,7 @@
 }
 
 impl StoreError {
-    /// True if the folder's contents are permanently unusable.
+    /// Returns true if the folder's contents are permanently unusable.
     pub fn is_unusable(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::Inconsistent { .. } | Self::RolledBack => true,
--- a/crates/control/src/member_store/log_file.rs
+++ b/crates/control/src/member_store/log_file.rs
@@ -95,7 +95,8 @@
         Ok((Self { file }, saved))
     }
 
-    /// True if the folder's log file holds anything beyond an empty header.
+    /// Returns true if the folder's log file holds anything beyond an empty
+    /// header.
     pub fn holds_entries(path: &Path) -> Result<bool, StoreError> {
         let bytes = match fs::read(path.join(LOG_FILE)) {
             Ok(bytes) => bytes,
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operations of an operator interface: numbered revisions of the whole
+//! Operations of an operator interface: numbered revisions of the whole
 //! document, and moves of backend server versions.
 //!
 //! Only the leader decides. Every request may be repeated: a revision that was
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -76,9 +76,9 @@
         Ok(())
     }
 
-    /// True if a change with this request ID was accepted before. A resend must
-    /// get the first answer, which is in the log, even if the directory has
-    /// changed since and the check would now fail.
+    /// Returns true if a change with this request ID was accepted before. A
+    /// resend must get the first answer, which is in the log, even if the
+    /// directory has changed since and the check would now fail.
     async fn is_resend(&self, request_id: &str) -> bool {
         let (reply, answer) = oneshot::channel();
         let message = AgreementMessage::History(reply);
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -1,4 +1,4 @@
-//! The task that moves services to new backend server versions.
+//! Task that moves services to new backend server versions.
 //!
 //! On the leader it collects the nodes' counts, lets a [`RolloutDriver`] decide
 //! on each move and proposes the resulting changes to the agreement. On other
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs the data folder, so that no other code waits
+//! Thread that writes and syncs the data folder, so that no other code waits
 //! for the disk.
 //!
 //! Load pattern: bursts of changes on a disk whose sync takes milliseconds. All
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -1,4 +1,4 @@
-//! The tasks that connect a control instance to the leader while another instance
+//! Tasks that connect a control instance to the leader while another instance
 //! leads: they follow the leader's updates and send reports to it.
 
 use std::net::SocketAddr;
@@ -35,9 +35,9 @@
 /// a second.
 const FOLLOW_WAIT: Duration = Duration::from_millis(500);
 
-/// The same while starting nodes wait for a confirmation. The shorter wait lets
-/// them start sooner; many nodes starting at once cost the leader 20 requests a
-/// second from each instance.
+/// Replaces [`FOLLOW_WAIT`] while starting nodes wait for a confirmation. The
+/// shorter wait lets them start sooner; many nodes starting at once cost the
+/// leader 20 requests a second from each instance.
 const CONFIRM_WAIT: Duration = Duration::from_millis(50);
 
 /// Timeout of a call to the leader: four times [`FOLLOW_WAIT`].
--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -45,8 +45,8 @@
 /// run can be retried. Larger bodies are streamed and get one attempt.
 pub const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
-/// Largest request body of a stated length, in bytes. Export papers have a few
-/// megabytes.
+/// Largest request body of a stated length, in bytes. Export documents have
+/// a few megabytes.
 const BODY_BYTES_MAX: u64 = 64 * 1024 * 1024;
 
 /// Timeout for the next chunk of a request body, so that a stalled sender does
--- a/crates/node/src/call_log.rs
+++ b/crates/node/src/call_log.rs
@@ -1,10 +1,10 @@
 //! Log lines about individual calls, so that operators can look up a failed call
 //! by its request id.
 //!
-//! Load pattern: thousands of refusals a second. Logging each would cost more CPU
-//! time than the refusals themselves, at a time when there is none to spare. Lines
-//! are therefore limited per second and reason; suppressed lines are counted and
-//! their number is logged.
+//! Load pattern: thousands of refusals a second. Logging each would cost more
+//! CPU time than the refusals themselves, at a time when there is none to spare.
+//! Lines are therefore limited per second and reason; suppressed lines are
+//! counted and their number is logged.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Logs a failed attempt of a call that is tried again.
+    /// Logs a failed attempt of a call that is retried.
     pub fn retried(&self, id: &LoggedId, server: &str, failure: TryFailure) {
         if self.admit_line(failure.reason) {
             info!(
--- a/crates/node/src/claim_client.rs
+++ b/crates/node/src/claim_client.rs
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Asks the routing task for the key's holders; none if it has ended.
+    /// Asks the entry task for the key's holders; none if it has ended.
     async fn holders(&self, key: KeyDigest) -> KeyHolders {
         let (reply, answer) = oneshot::channel();
         let query = EntryMessage::Holders(key, reply);
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -80,7 +80,7 @@
     pub system_key: AccessKey,
     /// Current state of the gate in front of this node's backend server.
     pub gate_status: GateStatus,
-    /// Channel to the routing task.
+    /// Channel to the entry task.
     pub entry: mpsc::Sender<EntryMessage>,
     /// Claims the keys of calls that carry an idempotency key.
     pub claims: Rc<ClaimClient>,
@@ -224,7 +224,7 @@
         }))
     }
 
-    /// Asks the routing task for the first attempt's server.
+    /// Asks the entry task for the first attempt's server.
     async fn admit(&self, head: OwnedHead, stage: NodeStage) -> RoutingResult {
         if !stage.accepts(head.deadline) {
             return Err(not_run(RefusalReason::Stopping));
@@ -264,7 +264,7 @@
         let claim = match self.claims.open(call).await {
             Ok(claim) => claim,
             Err(denial) => {
-                // Reports the planned attempt to the routing task as abandoned.
+                // Reports the planned attempt to the entry task as abandoned.
                 drop(TryGuard::new(self.entry.clone(), &planned));
                 return match denial {
                     ClaimDenial::Answered(answer) => Ok(keyed_call::replay(&answer)),
@@ -356,7 +356,7 @@
         }
     }
 
-    /// Sends `message` to the routing task and waits for `answer`. If the task
+    /// Sends `message` to the entry task and waits for `answer`. If the task
     /// has ended, the call is refused with `so_far`, the verdict of its attempts:
     /// "not run" after a broken attempt would make the caller repeat a
     /// non-idempotent call that may have run.
@@ -483,7 +483,7 @@
 
     /// Returns whether the backend server beside this node is the last one of
     /// the old version of a service under a move, so that the move still needs
-    /// it. False if the routing task has ended.
+    /// it. False if the entry task has ended.
     pub async fn is_last_old_server(&self) -> bool {
         let (reply, answer) = oneshot::channel();
         let asked = self.entry.send(EntryMessage::IsLastOldServer(reply)).await;
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -1,4 +1,4 @@
-//! Drop guard that reports the end of an attempt to the routing task.
+//! Drop guard that reports the end of an attempt to the entry task.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use super::ended_try;
 use super::reported_load;
 
-/// Reports the end of an attempt to the routing task on drop, so that every
+/// Reports the end of an attempt to the entry task on drop, so that every
 /// path out of a call reports it.
 pub(super) struct TryGuard {
     entry: mpsc::Sender<EntryMessage>,
@@ -79,7 +79,7 @@
         self.abandoned = None;
     }
 
-    /// Sends `message` to the routing task, in a new task if the channel is
+    /// Sends `message` to the entry task, in a new task if the channel is
     /// full.
     fn notify(&self, message: EntryMessage) {
         if let Err(mpsc::error::TrySendError::Full(message)) =
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -1,4 +1,4 @@
-//! Task that owns the routing state of the entry side.
+//! Task that owns the routing state of the entry side: the entry task.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,15 +40,15 @@
 use crate::install_hooks::InstallHooks;
 use crate::startup_queue::StartupQueue;
 
-/// Capacity of the task's channel. When it is full, senders wait, and with them
-/// the calls on their connections.
+/// Capacity of the task's queue. While it is full, senders wait, which applies
+/// backpressure to the calls on their connections.
 const QUEUE_CAPACITY: usize = 4_096;
 
 /// Interval of the expiry checks for calls that wait for the first
 /// configuration; a tenth of the shortest deadline that callers send.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Owned form of [`CallHead`], as sent to the routing task.
+/// Owned form of [`CallHead`], as sent to the entry task.
 #[derive(Clone, Debug)]
 pub struct OwnedHead {
     /// Requested host, without a port.
@@ -99,10 +99,10 @@
     pub verdict: CallVerdict,
 }
 
-/// Decision of the routing task: the next attempt, or a refusal.
+/// Decision of the entry task: the next attempt, or a refusal.
 pub type RoutingResult = Result<PlannedTry, CallRefusal>;
 
-/// Message to the routing task.
+/// A message to the entry task.
 #[derive(Debug)]
 pub enum EntryMessage {
     /// Routes a new call.
@@ -156,7 +156,7 @@
     incarnation: u64,
 }
 
-/// Starts the routing task and returns the channel to it. `seed` is for its
+/// Starts the entry task and returns the channel to it. `seed` is for its
 /// random choices.
 pub fn spawn(
     instance: Arc<str>,
@@ -443,7 +443,7 @@
         for service in self.router.services() {
             bounds.insert(Arc::clone(service), self.router.queue_bounds(service));
         }
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::Configure(bounds));
     }
 
--- a/crates/node/src/follow_metrics.rs
+++ b/crates/node/src/follow_metrics.rs
@@ -6,7 +6,7 @@
 use cowslip_core::version_follower::FollowCounts;
 use cowslip_wire::metric_start;
 
-/// Counters of a follower, updated from the follower's own counts.
+/// Counters of a follower, derived from the follower's own counts.
 #[derive(Clone)]
 pub struct FollowMetrics {
     previous: FollowCounts,
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -191,8 +191,8 @@
 
     /// Applies changed addresses.
     ///
-    /// Guards against a node whose control instances were all replaced while
-    /// it waited: it would poll addresses that nobody serves any more forever.
+    /// Guards against a node whose control instances were all replaced while it
+    /// waited: it would keep polling addresses that no instance serves any more.
     fn update_controls(&mut self) {
         // An error means that the sender is gone and the addresses are final.
         if !self.options.controls.has_changed().unwrap_or(false) {
--- a/crates/node/src/gate_task.rs
+++ b/crates/node/src/gate_task.rs
@@ -80,7 +80,7 @@
 /// Result of a request for a slot.
 pub type SlotAnswer = Result<SlotGrant, RefusalReason>;
 
-/// Messages to the gate task.
+/// A message to the gate task.
 #[derive(Debug)]
 pub enum GateMessage {
     /// The backend server at this address announced itself.
--- a/crates/node/src/holder_task.rs
+++ b/crates/node/src/holder_task.rs
@@ -12,8 +12,8 @@
 use cowslip_core::claim::ClaimRequest;
 use cowslip_wire::wall_clock;
 
-/// Capacity of the task's channel. When it is full, senders wait, and with them
-/// the claimants' connections.
+/// Capacity of the task's queue. While it is full, senders wait, which applies
+/// backpressure to the claimants' connections.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// A claimant's request and the channel for its reply.
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -136,15 +136,15 @@
         self.expires_at
     }
 
-    /// True if neither bytes nor a close arrived since the last response.
+    /// Returns true if neither bytes nor a close arrived since the last response.
     pub fn has_no_input(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// True if the response was read to its end and the connection may carry
-    /// another request.
+    /// Returns true if the response was read to its end and the connection may
+    /// carry another request.
     pub fn is_reusable(&self) -> bool {
         let idle = matches!(self.read_state, ReadState::Idle(_));
         self.reusable && idle && self.received.is_empty()
@@ -264,7 +264,7 @@
     }
 }
 
-/// True for a response whose body has no stated length and ends when the
+/// Returns true for a response whose body has no stated length and ends when the
 /// connection closes, whatever the codec reports for it.
 fn is_close_delimited(head: &ResponseHead, request: &HopRequest) -> bool {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
--- a/crates/node/src/hop/response_body.rs
+++ b/crates/node/src/hop/response_body.rs
@@ -65,7 +65,7 @@
         Ok(false)
     }
 
-    /// True if nothing is left to read from the connection.
+    /// Returns true if nothing is left to read from the connection.
     pub fn is_complete(&self) -> bool {
         self.connection.is_none()
     }
--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -1,4 +1,4 @@
-//! Parts of a node besides routing that depend on the configuration in force.
+//! Hooks that apply a new configuration to the parts of a node outside routing.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! I/O layer of `cowslip-node`: sockets, files and timers around the core.
+//! I/O layer of `cowslip-node`: sockets, files and timers around the state
+//! machines of `cowslip-core`.
 
 pub mod call_dialect;
 pub mod call_forward;
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -161,8 +161,8 @@
 }
 
 impl NodeStatus {
-    /// True if callers may send calls: the node has a configuration and is not
-    /// leaving.
+    /// Returns true if callers may send calls: the node has a configuration and
+    /// is not leaving.
     pub fn is_ready(&self) -> bool {
         self.configured.get() && self.stage.get() == NodeStage::Serving
     }
@@ -372,7 +372,7 @@
     /// Load pattern: a fleet is restarted node by node. Callers learn of a stop
     /// from the readiness page within about two seconds, and the backend server
     /// stays up. If the node refused calls from the start, each caller would
-    /// need a second try, and the server's slots would be idle for the whole
+    /// have to retry, and the server's slots would be idle for the whole
     /// stop; with four of nine nodes stopping, that is nearly half of the
     /// capacity. The node therefore serves all calls during the drain notice,
     /// and afterwards only those that can end before the process does. Work in
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -19,8 +19,8 @@
 }
 
 impl NodeStage {
-    /// True if a call is accepted. `left` is the time until its deadline, if the
-    /// caller states one.
+    /// Returns true if a call is accepted. `left` is the time until its
+    /// deadline, if the caller states one.
     ///
     /// Guards against calls that the end of the process cuts off: calls that
     /// may last longer are refused while their verdict is still "not run".
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -64,7 +64,7 @@
     pub system_key: AccessKey,
     /// Current state of the gate.
     pub gate_status: GateStatus,
-    /// Channel to the gate's task.
+    /// Channel to the gate task.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// Channel to the task that holds claims for other nodes.
     pub holder: mpsc::Sender<HolderMessage>,
@@ -175,7 +175,7 @@
                 RefusalReason::ConnectionBroken,
             ];
             if lost.contains(&failure.reason) {
-                // The gate's task ends only with the node.
+                // The gate task ends only with the node.
                 let _ = self.gate.send(GateMessage::Unreachable);
             }
         })?;
@@ -251,7 +251,7 @@
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
         let (reply, answer) = oneshot::channel();
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self
             .gate
             .send(GateMessage::AcquireSlot(ticket, call, reply));
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -34,7 +34,8 @@
 /// its own report follows soon.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Slots assumed for a server until it reports. No user's server has so few.
+/// Slots assumed for a server until it reports; fewer than any user's server
+/// has.
 const PROVISIONAL_SLOTS: u32 = 4;
 
 /// Bytes of the health page that are read so that the connection can be reused.
--- a/crates/node/src/startup_queue.rs
+++ b/crates/node/src/startup_queue.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// True for a refusal that a later configuration or directory may resolve.
+/// Returns true for a refusal that a later configuration or directory may
+/// resolve.
 fn is_temporary(refusal: CallRefusal) -> bool {
     matches!(
         refusal.reason,
@@ -53,7 +54,7 @@
 }
 
 impl StartupQueue {
-    /// True if no call waits.
+    /// Returns true if no call waits.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -68,7 +69,7 @@
     ) {
         let expires_at = startup_wait::wait_until(now, head.deadline, self.calls.len());
         let Some(expires_at) = expires_at.filter(|_| is_temporary(refusal)) else {
-            // Sending fails only if the caller has left.
+            // Sending fails only if the caller has disconnected.
             let _ = reply.send(Err(refusal));
             return;
         };
@@ -81,7 +82,7 @@
         });
     }
 
-    /// Removes and returns all calls, to be tried again.
+    /// Removes and returns all calls, to be routed again.
     pub fn take(&mut self) -> Vec<QueuedCall> {
         std::mem::take(&mut self.calls)
     }
@@ -96,7 +97,7 @@
     }
 
     /// Refuses the calls whose wait has expired, and drops those whose caller has
-    /// left.
+    /// disconnected.
     pub fn refuse_expired(&mut self, now: Duration) {
         for call in self.take() {
             if call.reply.is_closed() {
