--- a/crates/control/tests/example_settings.rs
+++ b/crates/control/tests/example_settings.rs
@@ -10,6 +10,7 @@
     root.join("../../settings").join(deployment).join(file)
 }
 
+// Guards against an example that cowslip-control refuses.
 #[test]
 fn control_examples_are_valid() {
     for deployment in ["sidertre", "colmenares"] {
--- a/crates/control/tests/member_store.rs
+++ b/crates/control/tests/member_store.rs
@@ -1,5 +1,5 @@
-//! The data folder: compared with an in-memory model, truncated at every byte, and
-//! damaged.
+//! The data folder: compared with an in-memory model, truncated at every byte,
+//! and damaged.
 
 use std::fs;
 use std::path::Path;
--- a/crates/node/tests/decoders.rs
+++ b/crates/node/tests/decoders.rs
@@ -38,16 +38,16 @@
 }
 
 proptest! {
-    // Anyone who can connect to a listener can send any bytes. A panic would end
-    // all calls in flight on the node.
+    // Guards against a panic on arbitrary bytes, which anyone who can connect to
+    // a listener can send. A panic would end all calls in flight on the node.
     #[test]
     fn any_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         decode_all(&bytes);
     }
 
-    // Truncated or altered messages get further into the decoders than random
-    // bytes. A valid message is cut off at a position, or has its byte changed
-    // there.
+    // Guards against a panic on truncated or altered messages, which get further
+    // into the decoders than random bytes. A valid message is cut off at a
+    // position, or has its byte changed there.
     #[test]
     fn broken_messages_decode_or_fail(at in 0..200_usize, byte in any::<u8>()) {
         let call = MovesCall { version: None };
--- a/crates/node/tests/example_settings.rs
+++ b/crates/node/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The example settings under settings/ are valid as they are.
+//! Checks that the example settings under `settings/` are valid as they are.
 
 use std::path::PathBuf;
 
@@ -10,8 +10,9 @@
     root.join("../../settings").join(deployment).join(file)
 }
 
+// Guards against an example that cowslip-node refuses.
 #[test]
-fn node_examples_are_usable() {
+fn node_examples_are_valid() {
     for (deployment, file) in [
         ("sidertre", "node-contract-1.yaml"),
         ("colmenares", "node-ledger-1.yaml"),
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -136,7 +136,7 @@
 // Guards against passing on a late second response to an earlier request: the
 // caller of the next request on the connection would get somebody else's data.
 #[test]
-fn a_second_answer_to_an_earlier_request_is_dropped() {
+fn a_late_second_response_is_dropped() {
     System::new().block_on(async {
         let late = answer("1", "stranger") + &answer("2", "own");
         let script = vec![(answer("1", "first"), false), (late, false)];
@@ -153,7 +153,7 @@
 // Guards against reusing a connection on which the server sent bytes after a
 // complete response. They belong to no request.
 #[test]
-fn bytes_behind_an_answer_end_the_connection() {
+fn a_connection_with_extra_bytes_is_not_reused() {
     System::new().block_on(async {
         let script = vec![(answer("1", "first") + "and some more", false)];
         let server = ScriptedServer::spawn(script).await;
@@ -169,7 +169,7 @@
 // Guards against treating a response without a stated length as one without a
 // body: the caller would get an empty response that looks complete.
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_is_read_until_close() {
     System::new().block_on(async {
         let unframed = "HTTP/1.1 200 OK\r\ncowslip-request-id: 1\r\n\r\nto the end";
         let server = ScriptedServer::spawn(vec![(unframed.to_owned(), true)]).await;
@@ -179,10 +179,10 @@
     });
 }
 
-// Guards against a truncated response that passes for a complete one, after a
-// server died in the middle of it.
+// Guards against treating a truncated response as complete after the server died
+// while it was sending it.
 #[test]
-fn an_answer_cut_short_is_no_whole_answer() {
+fn a_truncated_response_is_an_error() {
     System::new().block_on(async {
         let cut = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\na part";
         let server = ScriptedServer::spawn(vec![(cut.to_owned(), true)]).await;
@@ -197,7 +197,7 @@
 // Guards against reusing a connection after a server responded before it had
 // read a long body: it would read the next request as the rest of that body.
 #[test]
-fn an_early_answer_ends_the_connection() {
+fn a_connection_is_not_reused_after_an_early_response() {
     System::new().block_on(async {
         let server = ScriptedServer::spawn(vec![(answer("1", "too long"), false)]).await;
         let pools = CallPools::new();
@@ -215,7 +215,7 @@
 // Guards against losing a request on an idle connection that the server has
 // closed.
 #[test]
-fn a_closed_connection_is_not_used_again() {
+fn a_closed_connection_is_not_reused() {
     System::new().block_on(async {
         let server = ScriptedServer::spawn(vec![(answer("1", "first"), true)]).await;
         let pools = CallPools::new();
@@ -231,7 +231,7 @@
 // Guards against a wrong verdict. If nothing listens, the request cannot have
 // run; a server that closes the connection without a response may have run it.
 #[test]
-fn only_a_request_that_was_not_sent_has_not_run() {
+fn only_an_unsent_request_is_reported_as_not_run() {
     System::new().block_on(async {
         let pools = CallPools::new();
         let unused = {
@@ -259,7 +259,7 @@
 // still in the directory. Nothing answers there, not even with a refusal, and
 // another server could answer the call meanwhile.
 #[test]
-fn a_machine_that_answers_nothing_is_given_up_soon() {
+fn connecting_to_an_unresponsive_machine_fails_soon() {
     System::new().block_on(async {
         // A listener with a full accept queue drops new connections, as a machine
         // without power does.
--- a/crates/node/tests/server_queue.rs
+++ b/crates/node/tests/server_queue.rs
@@ -131,7 +131,7 @@
 // slot and a queue for one call: while one runs and one waits, the third is
 // refused at once. The other two then get complete answers.
 #[test]
-fn call_beyond_full_queue_is_refused_at_once() {
+fn a_call_beyond_a_full_queue_is_refused_at_once() {
     actix_rt::System::new().block_on(async {
         let started = Rc::new(Semaphore::new(0));
         let permits = Rc::new(Semaphore::new(0));
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -137,12 +137,11 @@
     });
 }
 
-// Guards against calls that wait in vain when no control instance comes back. A
-// waiting call is refused after part of its deadline, early enough to try
-// elsewhere; a call whose caller left is dropped; and no call waits any more once
-// the node has been up for a while.
+// Guards against calls that wait in vain while no control instance is reachable.
+// A waiting call is refused after part of its deadline, early enough to try
+// elsewhere; a call whose caller disconnected is dropped.
 #[test]
-fn a_call_is_refused_where_no_configuration_comes() {
+fn a_waiting_call_is_refused_if_no_configuration_arrives() {
     run(async {
         let entry = entry();
         let started = std::time::Instant::now();
@@ -156,8 +155,10 @@
     });
 }
 
+// Guards against calls that wait for a configuration for too much of their
+// deadline, in unlimited number, or once the node has been up for a while.
 #[test]
-fn waiting_is_bounded_in_time_and_number() {
+fn waiting_calls_are_limited_in_time_and_number() {
     let ms = Duration::from_millis;
     let until = startup_wait::wait_until;
     assert_eq!(until(ms(100), Some(ms(800)), 0), Some(ms(300)));
