--- a/crates/node/src/call_forward.rs
+++ b/crates/node/src/call_forward.rs
@@ -1,4 +1,4 @@
-//! Forwards calls to the next hop and streams the answers back.
+//! Forwards calls to the next hop and streams the responses back.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -173,16 +173,16 @@
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Converts the next hop's answer to a reply that streams its body. `on_end` is
+/// Converts the next hop's response to a reply that streams its body. `on_end` is
 /// dropped when the body has been forwarded or abandoned. A body that is not
 /// complete at `give_up_at` is cut off.
-pub fn forward_answer<G: 'static>(
-    answer: HopResponse,
+pub fn forward_response<G: 'static>(
+    response: HopResponse,
     method: &Method,
     give_up_at: BootInstant,
     on_end: G,
 ) -> HttpReply {
-    let HopResponse { head, body } = answer;
+    let HopResponse { head, body } = response;
     let mut reply = Response::new(head.status);
     for (name, value) in &head.headers {
         if call_headers::is_forwarded(name) {
@@ -205,7 +205,7 @@
     })
 }
 
-/// Body of the next hop's answer, forwarded as it arrives.
+/// Body of the next hop's response, forwarded as it arrives.
 struct ForwardedBody<G> {
     body: ResponseBody,
     give_up_at: BootInstant,
@@ -226,7 +226,7 @@
     }
 }
 
-/// Body of an answer to HEAD: empty, with the stated length.
+/// Body of a response to HEAD: empty, with the stated length.
 struct HeadBody(Option<u64>);
 
 impl MessageBody for HeadBody {
--- a/crates/node/src/call_pools.rs
+++ b/crates/node/src/call_pools.rs
@@ -42,11 +42,11 @@
         })
     }
 
-    /// Sends one attempt and waits for the answer's head, for up to `left`.
+    /// Sends one attempt and waits for the response's head, for up to `left`.
     ///
     /// # Errors
     ///
-    /// Fails if the connection cannot be opened, breaks, or has no answer in
+    /// Fails if the connection cannot be opened, breaks, or has no response in
     /// time.
     pub async fn send(
         &self,
@@ -85,7 +85,7 @@
 }
 
 /// Retires the connections of a server if an attempt used up its time without
-/// receiving a byte of an answer.
+/// receiving a byte of a response.
 ///
 /// The attempt may be dropped just before its own timer fires: the upstream node
 /// gives up a moment earlier and closes its connection. The silence of the
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -1,5 +1,5 @@
 //! Entry side of a node: handles callers' requests, sends each to a server's
-//! node and returns the answer.
+//! node and returns the response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -63,10 +63,10 @@
 
 mod try_guard;
 
-/// Bytes of an answer that are buffered before any is forwarded. Lookups
+/// Bytes of a response that are buffered before any is forwarded. Lookups
 /// answer with a few kilobytes. Each of nine nodes with 110 MB of memory holds 50
-/// answers of this size.
-const BUFFERED_ANSWER_MAX: usize = 128 * 1024;
+/// responses of this size.
+const BUFFERED_RESPONSE_MAX: usize = 128 * 1024;
 
 /// Proxies callers' requests to the backend servers' nodes, with retries.
 pub struct EntryProxy {
@@ -295,9 +295,9 @@
         parts: &CallParts,
         body: &mut CallBody,
     ) -> Result<HttpReply, CallRefusal> {
-        // A server's error answer while the call is retried elsewhere. The
+        // A server's error response while the call is retried elsewhere. The
         // caller gets it unchanged if no further attempt is possible.
-        let mut failed_answer: Option<HopResponse> = None;
+        let mut failed_response: Option<HopResponse> = None;
         loop {
             let mut guard = TryGuard::new(self.entry.clone(), &planned);
             let started = BootInstant::now();
@@ -305,23 +305,23 @@
             self.record_evidence(&planned, started.elapsed(), &tried)
                 .await;
             let failure = match tried {
-                Ok(answer) if may_retry_elsewhere(&answer, &planned, body) => {
-                    failed_answer = Some(answer);
+                Ok(response) if may_retry_elsewhere(&response, &planned, body) => {
+                    failed_response = Some(response);
                     TryFailure {
                         verdict: CallVerdict::Ran,
                         reason: RefusalReason::ServerFailed,
                     }
                 }
-                Ok(answer) => {
+                Ok(response) => {
                     let target = planned.target_left;
                     if target.is_some_and(|target| started.elapsed() > target) {
                         let server = &planned.server.instance;
                         self.log
                             .late(id, server, started.elapsed() + planned.waited);
                     }
-                    guard.set_answered(&planned.plan, &answer, started.elapsed());
+                    guard.set_answered(&planned.plan, &response, started.elapsed());
                     let give_up_at = started + planned.left;
-                    return Ok(caller_reply(answer, parts, give_up_at, guard));
+                    return Ok(caller_reply(response, parts, give_up_at, guard));
                 }
                 Err(failure) => failure,
             };
@@ -335,15 +335,15 @@
             let failed = EntryMessage::Failed(Box::new(planned), failure, reply);
             planned = match (
                 self.ask_entry_task(failed, answer, so_far).await,
-                failed_answer.take(),
+                failed_response.take(),
             ) {
                 (Ok(next), previous) => {
-                    failed_answer = previous;
+                    failed_response = previous;
                     next
                 }
-                (Err(_), Some(answer)) => {
-                    // The answer is completely buffered and needs no more time.
-                    return Ok(caller_reply(answer, parts, BootInstant::now(), ()));
+                (Err(_), Some(response)) => {
+                    // The response is completely buffered and needs no more time.
+                    return Ok(caller_reply(response, parts, BootInstant::now(), ()));
                 }
                 (Err(refusal), None) => return Err(refusal),
             };
@@ -376,11 +376,11 @@
         answer.await.unwrap_or(Err(stopping))
     }
 
-    /// Sends one attempt and buffers the start of its answer.
+    /// Sends one attempt and buffers the start of its response.
     ///
     /// # Errors
     ///
-    /// Fails if the answer does not arrive in time, breaks off while it is
+    /// Fails if the response does not arrive in time, breaks off while it is
     /// buffered, or is a refusal by the server's node.
     async fn attempt(
         &self,
@@ -395,19 +395,19 @@
         let address = planned.server.address;
         let give_up_at = BootInstant::now() + planned.left;
         let sending = self.pools.send(address, &request, body, planned.left);
-        let mut answer = sending.await?;
-        planned.reported_load = reported_load(&answer);
-        // A short answer is buffered completely before it is forwarded, so that
-        // an idempotent call can still be retried if the answer breaks off.
+        let mut response = sending.await?;
+        planned.reported_load = reported_load(&response);
+        // A short response is buffered completely before it is forwarded, so that
+        // an idempotent call can still be retried if the response breaks off.
         let left = give_up_at.saturating_duration_since(BootInstant::now());
-        let buffering = answer.body.buffer(BUFFERED_ANSWER_MAX);
+        let buffering = response.body.buffer(BUFFERED_RESPONSE_MAX);
         let buffered = actix_rt::time::timeout(left, buffering).await;
         let broken = match buffered {
             Ok(Ok(_)) => None,
             Ok(Err(_)) => Some(RefusalReason::ConnectionBroken),
             Err(_) => Some(RefusalReason::DeadlinePassed),
         };
-        if let Some(failure) = refused_by_peer(&answer) {
+        if let Some(failure) = refused_by_peer(&response) {
             return Err(failure);
         }
         match broken {
@@ -415,7 +415,7 @@
                 verdict: CallVerdict::MayHaveRun,
                 reason,
             }),
-            None => Ok(answer),
+            None => Ok(response),
         }
     }
 
@@ -468,9 +468,9 @@
             return;
         }
         let (end, warm) = match tried {
-            Ok(answer) => {
-                let warm = answer.head.headers().get(call_headers::WARM);
-                let status = answer.head.status.as_u16();
+            Ok(response) => {
+                let warm = response.head.headers().get(call_headers::WARM);
+                let status = response.head.status.as_u16();
                 let warm = warm.is_some_and(|value| value == "1");
                 (TryOutcome::from_status(status), warm)
             }
@@ -514,11 +514,11 @@
     name.to_ascii_lowercase()
 }
 
-/// Returns whether a server's error answer may be retried on another server:
+/// Returns whether a server's error response may be retried on another server:
 /// the call comes from outside and is idempotent, and both its body and the
-/// answer are buffered completely.
+/// response are buffered completely.
 fn may_retry_elsewhere(
-    answer: &HopResponse,
+    response: &HopResponse,
     planned: &PlannedTry,
     body: &CallBody,
 ) -> bool {
@@ -527,46 +527,46 @@
         StatusCode::BAD_GATEWAY,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    failed.contains(&answer.head.status)
+    failed.contains(&response.head.status)
         && planned.plan.is_idempotent()
         && planned.plan.origin == CallOrigin::Outside
         && body.is_buffered()
-        && answer.body.is_complete()
+        && response.body.is_complete()
 }
 
-/// Converts a backend server's answer to the caller's reply.
+/// Converts a backend server's response to the caller's reply.
 fn caller_reply<G: 'static>(
-    answer: HopResponse,
+    response: HopResponse,
     parts: &CallParts,
     give_up_at: BootInstant,
     guard: G,
 ) -> HttpReply {
     let mut reply =
-        call_forward::forward_answer(answer, &parts.method, give_up_at, guard);
+        call_forward::forward_response(response, &parts.method, give_up_at, guard);
     let verdict = CallVerdict::Ran.as_str();
     http_reply::set_header(&mut reply, call_headers::VERDICT, verdict);
     reply
 }
 
-/// Returns the load that the server's node reports in the answer's headers.
-fn reported_load(answer: &HopResponse) -> Option<ReportedLoad> {
+/// Returns the load that the server's node reports in the response's headers.
+fn reported_load(response: &HopResponse) -> Option<ReportedLoad> {
     Some(ReportedLoad {
-        wait: header_millis(answer, call_headers::WAIT_MS)?,
-        work: header_millis(answer, call_headers::WORK_MS),
+        wait: header_millis(response, call_headers::WAIT_MS)?,
+        work: header_millis(response, call_headers::WORK_MS),
     })
 }
 
 /// Returns a header's value, in milliseconds, as a duration.
-fn header_millis(answer: &HopResponse, name: &str) -> Option<Duration> {
-    let value = answer.head.headers().get(name)?;
+fn header_millis(response: &HopResponse, name: &str) -> Option<Duration> {
+    let value = response.head.headers().get(name)?;
     let millis = value.to_str().ok()?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
 /// Returns the failure that the server's node reports if the backend server
 /// did not answer.
-fn refused_by_peer(answer: &HopResponse) -> Option<TryFailure> {
-    let text = |name: &str| answer.head.headers().get(name)?.to_str().ok();
+fn refused_by_peer(response: &HopResponse) -> Option<TryFailure> {
+    let text = |name: &str| response.head.headers().get(name)?.to_str().ok();
     let verdict = CallVerdict::parse(text(call_headers::VERDICT)?)?;
     if verdict == CallVerdict::Ran {
         return None;
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -31,7 +31,7 @@
 }
 
 impl TryGuard {
-    /// Creates a guard of an attempt that has no answer yet.
+    /// Creates a guard of an attempt that has no response yet.
     pub(super) fn new(entry: mpsc::Sender<EntryMessage>, planned: &PlannedTry) -> Self {
         let instance = Arc::clone(&planned.server.instance);
         let abandoned = MeasuredTry {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Records that the answer's head arrived, `taken` after the attempt's
+    /// Records that the response's head arrived, `taken` after the attempt's
     /// start.
     pub(super) fn set_answered(
         &mut self,
         plan: &CallPlan,
-        answer: &HopResponse,
+        response: &HopResponse,
         taken: Duration,
     ) {
         let Some(EntryMessage::Abandoned(instance)) = self.message.take() else {
@@ -63,12 +63,12 @@
             route: Arc::clone(&plan.route),
             customer: Arc::clone(&plan.customer),
             priority: plan.priority,
-            status: answer.head.status.as_u16(),
+            status: response.head.status.as_u16(),
             taken,
-            bytes: call_forward::stated_length(answer.head.headers())
-                .or(Some(answer.body.buffered().len() as u64)),
+            bytes: call_forward::stated_length(response.head.headers())
+                .or(Some(response.body.buffered().len() as u64)),
         };
-        self.message = Some(EntryMessage::Ended(report, reported_load(answer)));
+        self.message = Some(EntryMessage::Ended(report, reported_load(response)));
         self.abandoned = None;
     }
 
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -81,7 +81,7 @@
     pub waited: Duration,
     /// Time left until the route's target latency has passed.
     pub target_left: Option<Duration>,
-    /// Load that the server's node reported with its answer.
+    /// Load that the server's node reported with its response.
     pub reported_load: Option<ReportedLoad>,
     /// Reason for the retry; `None` for the first attempt.
     pub retry: Option<RetryReason>,
@@ -109,10 +109,10 @@
     Admit(OwnedHead, oneshot::Sender<RoutingResult>),
     /// An attempt failed; asks for a retry or a refusal.
     Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<RoutingResult>),
-    /// The answer of an attempt was forwarded completely or abandoned, with
+    /// The response to an attempt was forwarded completely or abandoned, with
     /// the load that the server's node reported in it.
     Ended(TryReport, Option<ReportedLoad>),
-    /// An attempt at this instance was abandoned before any answer.
+    /// An attempt at this instance was abandoned before any response.
     Abandoned(Arc<str>),
     /// Outcome of an attempt of a service under a move.
     Measured(EndedTry),
--- a/crates/node/src/hop/hop_client.rs
+++ b/crates/node/src/hop/hop_client.rs
@@ -66,7 +66,7 @@
         let mut stage = SendStage::Connecting;
         let sending = self.send_untimed(address, generation, request, body, &mut stage);
         match actix_rt::time::timeout(limit, sending).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => Err(stage.timeout_failure()),
         }
     }
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -65,9 +65,9 @@
 /// request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Part of a bounded stop that is reserved for the last answers to reach their
+/// Part of a bounded stop that is reserved for the last responses to reach their
 /// callers after the backend server has finished its work.
-const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(200);
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// Listening sockets of a node, bound before it starts.
 pub struct NodeSockets {
@@ -389,7 +389,7 @@
         // on the callers' listener.
         let mut drained = self
             .peer
-            .stop(left().saturating_sub(ANSWER_FLUSH_TIME))
+            .stop(left().saturating_sub(RESPONSE_FLUSH_TIME))
             .await;
         self.stage.set(NodeStage::Stopping);
         drained &= self.callers.stop(left()).await;
--- a/crates/node/src/peer_handler.rs
+++ b/crates/node/src/peer_handler.rs
@@ -142,7 +142,7 @@
     }
 
     /// Waits for a slot of the backend server, sends the call and forwards the
-    /// answer.
+    /// response.
     ///
     /// # Errors
     ///
@@ -169,7 +169,7 @@
             self.server_headers(left, &grant, caller.as_deref()),
         );
         let sending = self.pools.send(grant.server, &request, &mut body, left);
-        let mut answer = sending.await.inspect_err(|failure| {
+        let mut response = sending.await.inspect_err(|failure| {
             let lost = [
                 RefusalReason::ConnectFailed,
                 RefusalReason::ConnectionBroken,
@@ -179,21 +179,21 @@
                 let _ = self.gate.send(GateMessage::Unreachable);
             }
         })?;
-        slot.outcome = match answer.head.status {
+        slot.outcome = match response.head.status {
             StatusCode::SERVICE_UNAVAILABLE => SlotOutcome::Shed,
             status if status.is_server_error() => SlotOutcome::Abandoned,
             _ => SlotOutcome::Answered(sent.elapsed()),
         };
-        if self.is_not_run(&answer) {
+        if self.is_not_run(&response) {
             slot.outcome = SlotOutcome::Shed;
             // Read to its end, so that the connection can be reused.
-            let whole = answer.body.buffer(REFUSAL_BYTES_MAX).await;
+            let whole = response.body.buffer(REFUSAL_BYTES_MAX).await;
             debug!("event=server-refused process=node whole={whole:?}");
             return Err(not_run(RefusalReason::ServerRefused));
         }
         let give_up_at = sent + left;
         let mut reply =
-            call_forward::forward_answer(answer, &parts.method, give_up_at, slot);
+            call_forward::forward_response(response, &parts.method, give_up_at, slot);
         let verdict = CallVerdict::Ran.as_str();
         http_reply::set_header(&mut reply, call_headers::VERDICT, verdict);
         let warm = u8::from(grant.warm).to_string();
@@ -221,8 +221,8 @@
     }
 
     /// Returns whether the server answered that it has not run the request.
-    fn is_not_run(&self, answer: &HopResponse) -> bool {
-        let head = &answer.head;
+    fn is_not_run(&self, response: &HopResponse) -> bool {
+        let head = &response.head;
         let flagged = head.headers().contains_key(&self.dialect.not_run);
         flagged || head.status == StatusCode::MISDIRECTED_REQUEST
     }
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -135,12 +135,12 @@
     };
     let mut body = CallBody::Buffered(Bytes::new());
     let sending = pools.send(check.address, &request, &mut body, CHECK_TIMEOUT);
-    let mut answer = sending.await.ok()?;
-    if answer.head.status != StatusCode::OK {
+    let mut response = sending.await.ok()?;
+    if response.head.status != StatusCode::OK {
         return None;
     }
-    let run = answer.head.headers().get(&dialect.health_page_run)?;
+    let run = response.head.headers().get(&dialect.health_page_run)?;
     let run = Arc::from(run.to_str().ok()?);
-    answer.body.buffer(PAGE_BYTES_MAX).await.ok()?;
+    response.body.buffer(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
 }
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -73,7 +73,7 @@
 }
 
 async fn serve(mut stream: TcpStream, script: Script, log: Rc<RefCell<ServerLog>>) {
-    for (answer, closes) in script {
+    for (response, closes) in script {
         let mut head = Vec::new();
         while !head.windows(4).any(|end| end == b"\r\n\r\n") {
             match stream.read_buf(&mut head).await {
@@ -82,14 +82,14 @@
             }
         }
         log.borrow_mut().received.extend_from_slice(&head);
-        if stream.write_all(answer.as_bytes()).await.is_err() || closes {
+        if stream.write_all(response.as_bytes()).await.is_err() || closes {
             return;
         }
     }
     let _ = stream.read_u8().await;
 }
 
-fn answer(id: &str, body: &str) -> String {
+fn response(id: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncowslip-request-id: {id}\r\ncontent-length: {length}\r\n\r\n{body}")
 }
@@ -120,17 +120,17 @@
         .await
 }
 
-async fn read_all(answer: Result<HopResponse, TryFailure>) -> String {
-    let Ok(mut answer) = answer else {
-        panic!("no answer");
+async fn read_all(response: Result<HopResponse, TryFailure>) -> String {
+    let Ok(mut response) = response else {
+        panic!("no response");
     };
-    let complete = answer
+    let complete = response
         .body
         .buffer(1_000_000)
         .await
         .expect("a complete body");
     assert!(complete);
-    String::from_utf8(answer.body.buffered().to_vec()).expect("text")
+    String::from_utf8(response.body.buffered().to_vec()).expect("text")
 }
 
 // Guards against passing on a late second response to an earlier request: the
@@ -138,8 +138,8 @@
 #[test]
 fn a_late_second_response_is_dropped() {
     System::new().block_on(async {
-        let late = answer("1", "stranger") + &answer("2", "own");
-        let script = vec![(answer("1", "first"), false), (late, false)];
+        let late = response("1", "stranger") + &response("2", "own");
+        let script = vec![(response("1", "first"), false), (late, false)];
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
@@ -155,7 +155,7 @@
 #[test]
 fn a_connection_with_extra_bytes_is_not_reused() {
     System::new().block_on(async {
-        let script = vec![(answer("1", "first") + "and some more", false)];
+        let script = vec![(response("1", "first") + "and some more", false)];
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
@@ -187,10 +187,10 @@
         let cut = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\na part";
         let server = ScriptedServer::spawn(vec![(cut.to_owned(), true)]).await;
         let pools = CallPools::new();
-        let Ok(mut answer) = send(&pools, server.address, "1").await else {
+        let Ok(mut response) = send(&pools, server.address, "1").await else {
             panic!("no response head");
         };
-        assert!(answer.body.buffer(1_000).await.is_err());
+        assert!(response.body.buffer(1_000).await.is_err());
     });
 }
 
@@ -199,7 +199,8 @@
 #[test]
 fn a_connection_is_not_reused_after_an_early_response() {
     System::new().block_on(async {
-        let server = ScriptedServer::spawn(vec![(answer("1", "too long"), false)]).await;
+        let server =
+            ScriptedServer::spawn(vec![(response("1", "too long"), false)]).await;
         let pools = CallPools::new();
         let mut body = CallBody::Buffered(Bytes::from(vec![b'x'; 32 * 1024 * 1024]));
         let mut long = request("1");
@@ -217,7 +218,7 @@
 #[test]
 fn a_closed_connection_is_not_reused() {
     System::new().block_on(async {
-        let server = ScriptedServer::spawn(vec![(answer("1", "first"), true)]).await;
+        let server = ScriptedServer::spawn(vec![(response("1", "first"), true)]).await;
         let pools = CallPools::new();
         for _ in 0..5 {
             let answered = send(&pools, server.address, "1").await;
@@ -280,7 +281,7 @@
         }
         let pools = CallPools::new();
         let began = Instant::now();
-        let refused = send(&pools, address, "1").await.err().expect("no answer");
+        let refused = send(&pools, address, "1").await.err().expect("no response");
         assert_eq!(refused.reason, RefusalReason::ConnectFailed);
         assert_eq!(refused.verdict, CallVerdict::NotRun);
         let took = began.elapsed();
