--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -63,7 +63,7 @@
 /// Interval of tick events; a sixth of the heartbeat interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Most messages handled at once, so that they share one disk sync.
+/// Maximum number of messages handled at once, so that they share one disk sync.
 const BATCH_MAX: usize = 256;
 
 /// A message to the agreement task.
@@ -114,7 +114,7 @@
     pub leader: LeaderWatch,
 }
 
-/// The reason why the agreement member cannot start.
+/// Reason why the agreement member cannot start.
 #[derive(Debug, Error)]
 pub enum AgreementError {
     /// The data folder cannot be used.
--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -48,7 +48,7 @@
 /// Longest time that a stop waits for another instance to become leader.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The reason why a control instance cannot start.
+/// Reason why a control instance cannot start.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// The agreement member cannot start.
@@ -59,7 +59,7 @@
     Listen(#[from] io::Error),
 }
 
-/// The sockets of a control instance, bound before it runs.
+/// Listening sockets of a control instance, bound before it starts.
 pub struct ControlSockets {
     main: TcpListener,
     admin: TcpListener,
--- a/crates/control/src/control_settings.rs
+++ b/crates/control/src/control_settings.rs
@@ -21,11 +21,11 @@
 pub struct ControlSettings {
     /// Name of this instance; one of `members` unless `joining` is set.
     pub instance: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub failure_domain: Arc<str>,
-    /// Address where operators and other processes reach this instance.
+    /// Listen address for operators and other processes.
     pub listen: SocketAddr,
-    /// Address where metrics and health are served.
+    /// Listen address of the metrics and health pages.
     pub admin_listen: SocketAddr,
     /// Folder for the change log; created if it does not exist.
     pub data_folder: PathBuf,
@@ -38,9 +38,9 @@
     /// How long a node counts as live after it was last heard from. Set if
     /// nodes ask more often than every four seconds, to six times their wait.
     pub node_live: Option<Duration>,
-    /// Access key of operators.
+    /// Key that authenticates operators.
     pub operator_key: AccessKey,
-    /// Access key of the system's own processes.
+    /// Key that authenticates the system's processes to each other.
     pub system_key: AccessKey,
 }
 
@@ -61,9 +61,9 @@
 pub struct MemberAddress {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Its `listen` address.
+    /// Address of the main listener, the `listen` setting of that instance.
     pub address: SocketAddr,
-    /// Whether it votes; the others only relay updates.
+    /// Whether the instance votes; the others only relay updates.
     pub vote: bool,
 }
 
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -55,7 +55,7 @@
     Publish(ConfigSnapshot),
     /// Returns the configuration in force.
     Snapshot(oneshot::Sender<ConfigSnapshot>),
-    /// Returns the state needed for the next request to the leader.
+    /// Returns the state needed for the next poll of the leader.
     UplinkState(oneshot::Sender<UplinkState>),
     /// Returns how far each of these changes has reached the nodes.
     Moves(Vec<AcceptedChange>, oneshot::Sender<Vec<MoveLine>>),
@@ -94,7 +94,7 @@
     pub done_after_ms: Option<u64>,
 }
 
-/// State needed for the next request to the leader.
+/// State needed for the next poll of the leader.
 #[derive(Debug)]
 pub struct UplinkState {
     /// The configuration in force at this instance.
@@ -106,7 +106,7 @@
 /// An update that came from the leader.
 #[derive(Debug)]
 pub struct InstalledUpdate {
-    /// When the request was sent.
+    /// When the poll was sent that this update answers.
     pub sent_at: BootInstant,
     /// Proof of the source's version and freshness.
     pub source: SourceProof,
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -26,7 +26,7 @@
 /// Pause before each attempt to reopen the folder.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Contents and store of a folder that has just been opened.
+/// A data folder that a [`FolderSource`] has opened for an agreement member.
 pub struct FolderOpening {
     /// Contents of the folder.
     pub folder: ReopenedFolder,
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `cowslip-control`: a control instance.
+//! `cowslip-control`: runs a control instance.
 
 use std::path::PathBuf;
 use std::process::exit;
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -32,7 +32,7 @@
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
 
-/// The reason why a data folder cannot be used, or can no longer be used.
+/// Reason why a data folder cannot be used, or can no longer be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The disk failed; it is unknown how much of the last write it holds.
@@ -97,7 +97,7 @@
     fn write(&mut self, batches: Vec<WriteBatch>) -> Result<(), StoreError>;
 }
 
-/// Contents and store of an opened data folder.
+/// Contents and store of a data folder, as opened by [`FolderStore::open`].
 #[derive(Debug)]
 pub struct OpenedFolder {
     /// Random ID of the folder.
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -37,7 +37,7 @@
 
 /// How long after the start of an ended move a repeated request counts as a
 /// resend. Operators' programs resend for some seconds. A later request is a new
-/// move to the same version, made after somebody has repaired the version.
+/// move to the same version, made after the version has been repaired.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
 /// A request to put an operator's whole document in force under a number.
--- a/crates/control/src/peer_sender.rs
+++ b/crates/control/src/peer_sender.rs
@@ -25,11 +25,11 @@
 /// in a second.
 const QUEUE_CAPACITY: usize = 256;
 
-/// Most messages in one POST request. Each holds at most a megabyte of entries,
-/// and large ones are rare.
+/// Maximum number of messages in one POST request. Each holds at most a megabyte
+/// of entries, and large ones are rare.
 const POST_MESSAGES_MAX: usize = 8;
 
-/// Most instances with queues; a fleet has at most 18 instances.
+/// Maximum number of instances with queues; a fleet has at most 18 instances.
 const PEERS_MAX: usize = 64;
 
 /// Timeout of a POST request; about the length of the lease, after which the
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -18,7 +18,8 @@
 
 use crate::member_store::MemberStore;
 
-/// Most batches written with one sync, which bounds the size of a record.
+/// Maximum number of batches written with one sync, which bounds the size of a
+/// record.
 const BATCH_MAX: usize = 256;
 
 /// Channel to the store thread; the thread ends when the handle is dropped.
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -29,15 +29,15 @@
 use crate::fanout_task::InstalledUpdate;
 use crate::leader_view::LeaderWatch;
 
-/// How long the leader may hold a request while it has no updates. Each answer
+/// How long the leader may hold a poll while it has no updates. Each answer
 /// renews the proof that this instance is up to date, and a starting node waits
-/// for the next answer. With this value, 17 instances send the leader 34 requests
+/// for the next answer. With this value, 17 instances send the leader 34 polls
 /// a second.
 const FOLLOW_WAIT: Duration = Duration::from_millis(500);
 
 /// Replaces [`FOLLOW_WAIT`] while starting nodes wait for a confirmation. The
 /// shorter wait lets them start sooner; many nodes starting at once cost the
-/// leader 20 requests a second from each instance.
+/// leader 20 polls a second from each instance.
 const CONFIRM_WAIT: Duration = Duration::from_millis(50);
 
 /// Timeout of a call to the leader: four times [`FOLLOW_WAIT`].
@@ -105,8 +105,8 @@
 }
 
 impl LeaderFollower {
-    /// Sends one request and installs its answer; false once the fan-out task has
-    /// ended.
+    /// Polls the leader once and installs its answer. Returns false once the
+    /// fan-out task has ended.
     async fn poll(&mut self, address: SocketAddr) -> Result<bool, PeerError> {
         let (reply, state) = oneshot::channel();
         if self
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -91,9 +91,10 @@
     pub wait: Duration,
     /// Client for the control instances.
     pub client: PeerClient,
-    /// Receives updates.
+    /// Channel to the entry task, which gets the updates.
     pub entry: mpsc::Sender<EntryMessage>,
-    /// Receives the directory's records of the node's own endpoint.
+    /// Channel to the gate task, which gets the directory's records of the node's
+    /// own endpoint.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// Counters of skipped updates and failed polls.
     pub metrics: FollowMetrics,
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -54,7 +54,7 @@
 /// server has about 100 connections; nodes may have ten times as many.
 const CONNECTIONS_MAX: usize = 1_024;
 
-/// Connection limit of the callers' listener. Refused callers come back on new
+/// Connection limit of the callers' listener. Refused callers open new
 /// connections and leave the old ones open until they time out: 40 a second
 /// held for 75 s filled a limit of 1,024, and all other callers waited six
 /// seconds to be accepted. This limit and all others fit in 4,096 file
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -9,7 +9,8 @@
 pub enum NodeStage {
     /// The node accepts all calls.
     Serving,
-    /// The node accepts all calls, and its readiness page says that it leaves.
+    /// The node accepts all calls, and its readiness page says that it is
+    /// leaving.
     Leaving,
     /// The node accepts only calls whose deadline is before this instant; calls
     /// in flight finish.
