--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -48,7 +48,7 @@
 /// Longest time that a stop waits for another instance to become leader.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The reason why a control instance cannot start.
+/// Reason why a control instance cannot start.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// The agreement member cannot start.
@@ -59,7 +59,7 @@
     Listen(#[from] io::Error),
 }
 
-/// The sockets of a control instance, bound before it runs.
+/// Listening sockets of a control instance, bound before it starts.
 pub struct ControlSockets {
     main: TcpListener,
     admin: TcpListener,
@@ -93,15 +93,15 @@
         settings: &ControlSettings,
         sockets: ControlSockets,
     ) -> Result<Self, ControlError> {
-        Self::spawn_with_handler(settings, sockets, |_, handler| handler)
+        Self::spawn_with_middleware(settings, sockets, |_, handler| handler)
     }
 
-    /// Like [`Self::spawn`], but serves the handler that `wrap` returns
-    /// for the operator API and the standard handler.
-    pub fn spawn_with_handler(
+    /// Starts an instance whose handler is wrapped by `middleware`, which also
+    /// gets the operator API.
+    pub fn spawn_with_middleware(
         settings: &ControlSettings,
         sockets: ControlSockets,
-        wrap: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
+        middleware: impl FnOnce(OperatorApi, Rc<dyn HttpHandler>) -> Rc<dyn HttpHandler>,
     ) -> Result<Self, ControlError> {
         let mut registry = Registry::default();
         let fanout = fanout_task::spawn(
@@ -152,7 +152,7 @@
             fanout,
             rollouts,
         );
-        let handler = wrap(api, Rc::new(handler));
+        let handler = middleware(api, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
         let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let admin =
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -1,4 +1,4 @@
-//! The task that sends updates to followers: nodes, and control instances that
+//! Task that sends updates to followers: nodes, and control instances that
 //! follow this one.
 //!
 //! It owns the [`UpdateSource`], which decides what each follower gets. The
@@ -55,7 +55,7 @@
     Publish(ConfigSnapshot),
     /// Returns the configuration in force.
     Snapshot(oneshot::Sender<ConfigSnapshot>),
-    /// Returns the state needed for the next request to the leader.
+    /// Returns the state needed for the next poll of the leader.
     UplinkState(oneshot::Sender<UplinkState>),
     /// Returns how far each of these changes has reached the nodes.
     Moves(Vec<AcceptedChange>, oneshot::Sender<Vec<MoveLine>>),
@@ -94,7 +94,7 @@
     pub done_after_ms: Option<u64>,
 }
 
-/// State needed for the next request to the leader.
+/// State needed for the next poll of the leader.
 #[derive(Debug)]
 pub struct UplinkState {
     /// The configuration in force at this instance.
@@ -106,7 +106,7 @@
 /// An update that came from the leader.
 #[derive(Debug)]
 pub struct InstalledUpdate {
-    /// When the request was sent.
+    /// When the poll was sent that this update answers.
     pub sent_at: BootInstant,
     /// Proof of the source's version and freshness.
     pub source: SourceProof,
@@ -254,15 +254,15 @@
     }
 
     fn moves(&self, changes: Vec<AcceptedChange>) -> Vec<MoveLine> {
-        let board = self.source.board();
+        let tracker = self.source.board();
         let mut lines = Vec::with_capacity(changes.len());
         for change in changes {
-            let done_after = board.done_after(change.version);
+            let done_after = tracker.done_after(change.version);
             lines.push(MoveLine {
                 version: change.version,
                 summary: change.summary,
                 at_ms: change.at_ms,
-                progress: board.progress(change.version),
+                progress: tracker.progress(change.version),
                 done_after_ms: done_after.map(|after| after.as_millis() as u64),
             });
         }
@@ -270,10 +270,10 @@
     }
 
     fn progress(&self, version: ConfigVersion) -> VersionProgress {
-        let board = self.source.board();
-        let done_after = board.done_after(version);
+        let tracker = self.source.board();
+        let done_after = tracker.done_after(version);
         VersionProgress {
-            progress: board.progress(version),
+            progress: tracker.progress(version),
             done_after_ms: done_after.map(|after| after.as_millis() as u64),
         }
     }
--- a/crates/control/src/folder_opener.rs
+++ b/crates/control/src/folder_opener.rs
@@ -26,7 +26,7 @@
 /// Pause before each attempt to reopen the folder.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Contents and store of a folder that has just been opened.
+/// A data folder that a [`FolderSource`] has opened for an agreement member.
 pub struct FolderOpening {
     /// Contents of the folder.
     pub folder: ReopenedFolder,
@@ -41,7 +41,7 @@
     /// Opens the folder. The store of an earlier opening must have been dropped.
     fn open(&self) -> Result<FolderOpening, StoreError>;
 
-    /// True if an unusable folder is replaced by an empty one.
+    /// Returns true if an unusable folder is replaced by an empty one.
     fn replaces_unusable(&self) -> bool;
 }
 
--- a/crates/control/src/member_store.rs
+++ b/crates/control/src/member_store.rs
@@ -32,7 +32,7 @@
 const LOG_FILE: &str = "log";
 const SNAPSHOT_FILE: &str = "snapshot";
 
-/// The reason why a data folder cannot be used, or can no longer be used.
+/// Reason why a data folder cannot be used, or can no longer be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The disk failed; it is unknown how much of the last write it holds.
@@ -75,7 +75,7 @@
 }
 
 impl StoreError {
-    /// True if the folder's contents are permanently unusable.
+    /// Returns true if the folder's contents are permanently unusable.
     pub fn is_unusable(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::Inconsistent { .. } | Self::RolledBack => true,
@@ -97,7 +97,7 @@
     fn write(&mut self, batches: Vec<WriteBatch>) -> Result<(), StoreError>;
 }
 
-/// Contents and store of an opened data folder.
+/// Contents and store of a data folder, as opened by [`FolderStore::open`].
 #[derive(Debug)]
 pub struct OpenedFolder {
     /// Random ID of the folder.
@@ -165,8 +165,8 @@
         for name in [IDENTITY_FILE, LOG_FILE, SNAPSHOT_FILE] {
             let file = path.join(name);
             match fs::rename(&file, path.join(format!("{name}.spoilt"))) {
-                Err(failure) if failure.kind() != io::ErrorKind::NotFound => {
-                    return Err(failure.into());
+                Err(error) if error.kind() != io::ErrorKind::NotFound => {
+                    return Err(error.into());
                 }
                 _ => File::open(path)?.sync_all()?,
             }
@@ -210,7 +210,7 @@
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => Err(StoreError::InUse(path.to_owned())),
-        Err(TryLockError::Error(failure)) => Err(failure.into()),
+        Err(TryLockError::Error(error)) => Err(error.into()),
     }
 }
 
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operations of an operator interface: numbered revisions of the whole
+//! Operations of an operator interface: numbered revisions of the whole
 //! document, and moves of backend server versions.
 //!
 //! Only the leader decides. Every request may be repeated: a revision that was
@@ -37,7 +37,7 @@
 
 /// How long after the start of an ended move a repeated request counts as a
 /// resend. Operators' programs resend for some seconds. A later request is a new
-/// move to the same version, made after somebody has repaired the version.
+/// move to the same version, made after the version has been repaired.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
 /// A request to put an operator's whole document in force under a number.
@@ -270,19 +270,19 @@
     request: &RevisionRequest,
     current: &CurrentRevision,
 ) -> Result<NumberedRevision, Vec<DocumentFault>> {
-    let held = &current.snapshot;
-    let target = merge_revision(&held.document, &request.document);
-    let faults = validate_edit(&held.document, &target);
+    let snapshot = &current.snapshot;
+    let target = merge_revision(&snapshot.document, &request.document);
+    let faults = validate_edit(&snapshot.document, &target);
     if !faults.is_empty() {
         return Err(faults);
     }
     let target = ConfigSnapshot {
-        version: held.version,
+        version: snapshot.version,
         document: Arc::new(target),
     };
     // No digest is needed: the number identifies the revision that the delta
     // applies to.
-    let delta = ConfigDelta::between(held, &target, ConfigDigest::default());
+    let delta = ConfigDelta::between(snapshot, &target, ConfigDigest::default());
     let delta = delta.ok_or_else(|| {
         vec![DocumentFault {
             path: "(document)".to_owned(),
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -76,9 +76,9 @@
         Ok(())
     }
 
-    /// True if a change with this request ID was accepted before. A resend must
-    /// get the first answer, which is in the log, even if the directory has
-    /// changed since and the check would now fail.
+    /// Returns true if a change with this request ID was accepted before. A
+    /// resend must get the first answer, which is in the log, even if the
+    /// directory has changed since and the check would now fail.
     async fn is_resend(&self, request_id: &str) -> bool {
         let (reply, answer) = oneshot::channel();
         let message = AgreementMessage::History(reply);
@@ -118,10 +118,12 @@
         };
         let mut lines = Vec::new();
         for record in records {
-            let rollout_matches =
-                call.rollout.is_none_or(|wanted| wanted == record.rollout);
+            let rollout_matches = call
+                .rollout
+                .is_none_or(|requested| requested == record.rollout);
             let service = call.service.as_ref();
-            let service_matches = service.is_none_or(|wanted| *wanted == record.service);
+            let service_matches =
+                service.is_none_or(|requested| *requested == record.service);
             if rollout_matches && service_matches {
                 lines.push(self.line(record, call.course).await?);
             }
--- a/crates/control/src/store_thread.rs
+++ b/crates/control/src/store_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs the data folder, so that no other code waits
+//! Thread that writes and syncs the data folder, so that no other code waits
 //! for the disk.
 //!
 //! Load pattern: bursts of changes on a disk whose sync takes milliseconds. All
@@ -18,7 +18,8 @@
 
 use crate::member_store::MemberStore;
 
-/// Most batches written with one sync, which bounds the size of a record.
+/// Maximum number of batches written with one sync, which bounds the size of a
+/// record.
 const BATCH_MAX: usize = 256;
 
 /// Channel to the store thread; the thread ends when the handle is dropped.
@@ -60,13 +61,13 @@
             gathered.push(batch);
         }
         let last = gathered.last().map_or(0, |batch| batch.sequence);
-        if let Err(failure) = store.write(gathered) {
+        if let Err(error) = store.write(gathered) {
             // A failed sync must not be retried: the kernel may have dropped
             // the pages that it could not write, so a retry could succeed
             // although data is lost.
             error!(
                 "event=disk-failed process=control error={}",
-                LogValue(failure)
+                LogValue(error)
             );
             let _ = reports.send(ReplicaEvent::DiskFailed);
             return;
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -1,4 +1,4 @@
-//! Task that owns the routing state of the entry side.
+//! Task that owns the routing state of the entry side: the entry task.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,15 +40,15 @@
 use crate::install_hooks::InstallHooks;
 use crate::startup_queue::StartupQueue;
 
-/// Capacity of the task's channel. When it is full, senders wait, and with them
-/// the calls on their connections.
-const MESSAGES_MAX: usize = 4_096;
+/// Capacity of the task's queue. While it is full, senders wait, which applies
+/// backpressure to the calls on their connections.
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// Interval of the expiry checks for calls that wait for the first
 /// configuration; a tenth of the shortest deadline that callers send.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Owned form of [`CallHead`], as sent to the routing task.
+/// Owned form of [`CallHead`], as sent to the entry task.
 #[derive(Clone, Debug)]
 pub struct OwnedHead {
     /// Requested host, without a port.
@@ -81,7 +81,7 @@
     pub waited: Duration,
     /// Time left until the route's target latency has passed.
     pub target_left: Option<Duration>,
-    /// Load that the server's node reported with its answer.
+    /// Load that the server's node reported with its response.
     pub reported_load: Option<ReportedLoad>,
     /// Reason for the retry; `None` for the first attempt.
     pub retry: Option<RetryReason>,
@@ -99,20 +99,20 @@
     pub verdict: CallVerdict,
 }
 
-/// Decision of the routing task: the next attempt, or a refusal.
+/// Decision of the entry task: the next attempt, or a refusal.
 pub type RoutingResult = Result<PlannedTry, CallRefusal>;
 
-/// Message to the routing task.
+/// A message to the entry task.
 #[derive(Debug)]
 pub enum EntryMessage {
     /// Routes a new call.
     Admit(OwnedHead, oneshot::Sender<RoutingResult>),
     /// An attempt failed; asks for a retry or a refusal.
     Failed(Box<PlannedTry>, TryFailure, oneshot::Sender<RoutingResult>),
-    /// The answer of an attempt was forwarded completely or abandoned, with
+    /// The response to an attempt was forwarded completely or abandoned, with
     /// the load that the server's node reported in it.
     Ended(TryReport, Option<ReportedLoad>),
-    /// An attempt at this instance was abandoned before any answer.
+    /// An attempt at this instance was abandoned before any response.
     Abandoned(Arc<str>),
     /// Outcome of an attempt of a service under a move.
     Measured(EndedTry),
@@ -156,7 +156,7 @@
     incarnation: u64,
 }
 
-/// Starts the routing task and returns the channel to it. `seed` is for its
+/// Starts the entry task and returns the channel to it. `seed` is for its
 /// random choices.
 pub fn spawn(
     instance: Arc<str>,
@@ -165,7 +165,7 @@
     hooks: InstallHooks,
     seed: u64,
 ) -> mpsc::Sender<EntryMessage> {
-    let (sender, receiver) = mpsc::channel(MESSAGES_MAX);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let task = EntryTask {
         incarnation: wall_clock::millis(),
         router: EntryRouter::new(Arc::clone(&failure_domain), seed),
@@ -443,7 +443,7 @@
         for service in self.router.services() {
             bounds.insert(Arc::clone(service), self.router.queue_bounds(service));
         }
-        // The gate's task ends only with the node.
+        // The gate task ends only with the node.
         let _ = self.gate.send(GateMessage::Configure(bounds));
     }
 
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -91,9 +91,10 @@
     pub wait: Duration,
     /// Client for the control instances.
     pub client: PeerClient,
-    /// Receives updates.
+    /// Channel to the entry task, which gets the updates.
     pub entry: mpsc::Sender<EntryMessage>,
-    /// Receives the directory's records of the node's own endpoint.
+    /// Channel to the gate task, which gets the directory's records of the node's
+    /// own endpoint.
     pub gate: mpsc::UnboundedSender<GateMessage>,
     /// Counters of skipped updates and failed polls.
     pub metrics: FollowMetrics,
@@ -175,12 +176,12 @@
                     self.backoff.reset();
                     self.timing.wait / 2
                 }
-                Err(failure) => {
+                Err(error) => {
                     self.options.metrics.count_failure();
                     warn!(
                         "event=follow-failed process=node control={} error={}",
                         self.ring.current(),
-                        LogValue(failure)
+                        LogValue(error)
                     );
                     self.switch_source()
                 }
@@ -191,8 +192,8 @@
 
     /// Applies changed addresses.
     ///
-    /// Guards against a node whose control instances were all replaced while
-    /// it waited: it would poll addresses that nobody serves any more forever.
+    /// Guards against a node whose control instances were all replaced while it
+    /// waited: it would keep polling addresses that no instance serves any more.
     fn update_controls(&mut self) {
         // An error means that the sender is gone and the addresses are final.
         if !self.options.controls.has_changed().unwrap_or(false) {
@@ -276,8 +277,8 @@
         }
         for record in &changed {
             if record.instance == self.options.instance {
-                let seen = Box::new(record.clone());
-                let _ = self.options.gate.send(GateMessage::Reconcile(seen));
+                let current = Box::new(record.clone());
+                let _ = self.options.gate.send(GateMessage::Reconcile(current));
             }
         }
         if changed.is_empty() {
@@ -349,12 +350,12 @@
             };
             let address = *control.borrow();
             let call = ReportCall { batch };
-            let Err(failure) = client.send(address, &call, REQUEST_TIMEOUT).await else {
+            let Err(error) = client.send(address, &call, REQUEST_TIMEOUT).await else {
                 break;
             };
             warn!(
                 "event=report-failed process=node control={address} error={}",
-                LogValue(failure)
+                LogValue(error)
             );
             actix_rt::time::sleep(backoff.next_wait()).await;
         }
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -54,7 +54,7 @@
 /// server has about 100 connections; nodes may have ten times as many.
 const CONNECTIONS_MAX: usize = 1_024;
 
-/// Connection limit of the callers' listener. Refused callers come back on new
+/// Connection limit of the callers' listener. Refused callers open new
 /// connections and leave the old ones open until they time out: 40 a second
 /// held for 75 s filled a limit of 1,024, and all other callers waited six
 /// seconds to be accepted. This limit and all others fit in 4,096 file
@@ -65,9 +65,9 @@
 /// request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Part of a bounded stop that is reserved for the last answers to reach their
+/// Part of a bounded stop that is reserved for the last responses to reach their
 /// callers after the backend server has finished its work.
-const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(200);
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// Listening sockets of a node, bound before it starts.
 pub struct NodeSockets {
@@ -142,11 +142,13 @@
     }
 
     /// Reports that the run takes no more work, and waits until the gate has
-    /// applied it. `born_ms` is the start of the run, if known.
-    pub async fn run_left(&self, run: Arc<str>, born_ms: Option<u64>) {
+    /// applied it. `started_ms` is the start of the run, if known.
+    pub async fn deregister_run(&self, run: Arc<str>, started_ms: Option<u64>) {
         let (reply, done) = oneshot::channel();
         // The gate task ends only with the node.
-        let _ = self.gate.send(GateMessage::RunLeft(run, born_ms, reply));
+        let _ = self
+            .gate
+            .send(GateMessage::DeregisterRun(run, started_ms, reply));
         let _ = done.await;
     }
 }
@@ -159,8 +161,8 @@
 }
 
 impl NodeStatus {
-    /// True if callers may send calls: the node has a configuration and is not
-    /// leaving.
+    /// Returns true if callers may send calls: the node has a configuration and
+    /// is not leaving.
     pub fn is_ready(&self) -> bool {
         self.configured.get() && self.stage.get() == NodeStage::Serving
     }
@@ -253,21 +255,21 @@
             requested_checks,
             gate.clone(),
         ));
-        let desk = Rc::new(EntryProxy {
+        let entry_proxy = Rc::new(EntryProxy {
             pools: Rc::clone(&pools),
             dialect: Rc::clone(&dialect),
             service: settings.service.clone(),
             system_key: settings.system_key.clone(),
-            view: gate_status.clone(),
+            gate_status: gate_status.clone(),
             entry,
             claims,
             metrics: entry_metrics,
             log: CallLog::new("entry"),
         });
-        let peer_desk = PeerProxy {
+        let peer_proxy = PeerProxy {
             pools,
             dialect,
-            view: gate_status,
+            gate_status,
             system_key: settings.system_key.clone(),
             gate: gate.clone(),
             holder: holder_task::spawn(),
@@ -276,9 +278,12 @@
             log: CallLog::new("server"),
         };
         let stage = Rc::clone(&status.stage);
-        let callers =
-            EntryHandler::new(Rc::clone(&desk), CallOrigin::Outside, Rc::clone(&stage));
-        let local = Rc::new(LocalHandler::new(gate.clone(), desk));
+        let callers = EntryHandler::new(
+            Rc::clone(&entry_proxy),
+            CallOrigin::Outside,
+            Rc::clone(&stage),
+        );
+        let local = Rc::new(LocalHandler::new(gate.clone(), entry_proxy));
         let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
         let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
         let page = (middleware.admin)(status, Rc::new(page));
@@ -294,7 +299,7 @@
             peer: listen(
                 sockets.peer,
                 CONNECTIONS_MAX,
-                Rc::new(PeerHandler::new(peer_desk)),
+                Rc::new(PeerHandler::new(peer_proxy)),
             )?,
             admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, page)?,
             gate,
@@ -367,7 +372,7 @@
     /// Load pattern: a fleet is restarted node by node. Callers learn of a stop
     /// from the readiness page within about two seconds, and the backend server
     /// stays up. If the node refused calls from the start, each caller would
-    /// need a second try, and the server's slots would be idle for the whole
+    /// have to retry, and the server's slots would be idle for the whole
     /// stop; with four of nine nodes stopping, that is nearly half of the
     /// capacity. The node therefore serves all calls during the drain notice,
     /// and afterwards only those that can end before the process does. Work in
@@ -384,7 +389,7 @@
         // on the callers' listener.
         let mut drained = self
             .peer
-            .stop(left().saturating_sub(ANSWER_FLUSH_TIME))
+            .stop(left().saturating_sub(RESPONSE_FLUSH_TIME))
             .await;
         self.stage.set(NodeStage::Stopping);
         drained &= self.callers.stop(left()).await;
--- a/crates/node/src/node_stage.rs
+++ b/crates/node/src/node_stage.rs
@@ -9,7 +9,8 @@
 pub enum NodeStage {
     /// The node accepts all calls.
     Serving,
-    /// The node accepts all calls, and its readiness page says that it leaves.
+    /// The node accepts all calls, and its readiness page says that it is
+    /// leaving.
     Leaving,
     /// The node accepts only calls whose deadline is before this instant; calls
     /// in flight finish.
@@ -19,8 +20,8 @@
 }
 
 impl NodeStage {
-    /// True if a call is accepted. `left` is the time until its deadline, if the
-    /// caller states one.
+    /// Returns true if a call is accepted. `left` is the time until its
+    /// deadline, if the caller states one.
     ///
     /// Guards against calls that the end of the process cuts off: calls that
     /// may last longer are refused while their verdict is still "not run".
--- a/crates/node/src/server_check.rs
+++ b/crates/node/src/server_check.rs
@@ -34,7 +34,8 @@
 /// its own report follows soon.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Slots assumed for a server until it reports. No user's server has so few.
+/// Slots assumed for a server until it reports; fewer than any user's server
+/// has.
 const PROVISIONAL_SLOTS: u32 = 4;
 
 /// Bytes of the health page that are read so that the connection can be reused.
@@ -134,12 +135,12 @@
     };
     let mut body = CallBody::Buffered(Bytes::new());
     let sending = pools.send(check.address, &request, &mut body, CHECK_TIMEOUT);
-    let mut answer = sending.await.ok()?;
-    if answer.head.status != StatusCode::OK {
+    let mut response = sending.await.ok()?;
+    if response.head.status != StatusCode::OK {
         return None;
     }
-    let run = answer.head.headers().get(&dialect.health_page_run)?;
+    let run = response.head.headers().get(&dialect.health_page_run)?;
     let run = Arc::from(run.to_str().ok()?);
-    answer.body.buffer(PAGE_BYTES_MAX).await.ok()?;
+    response.body.buffer(PAGE_BYTES_MAX).await.ok()?;
     Some(run)
 }
--- a/crates/node/tests/hop.rs
+++ b/crates/node/tests/hop.rs
@@ -73,7 +73,7 @@
 }
 
 async fn serve(mut stream: TcpStream, script: Script, log: Rc<RefCell<ServerLog>>) {
-    for (answer, closes) in script {
+    for (response, closes) in script {
         let mut head = Vec::new();
         while !head.windows(4).any(|end| end == b"\r\n\r\n") {
             match stream.read_buf(&mut head).await {
@@ -82,14 +82,14 @@
             }
         }
         log.borrow_mut().received.extend_from_slice(&head);
-        if stream.write_all(answer.as_bytes()).await.is_err() || closes {
+        if stream.write_all(response.as_bytes()).await.is_err() || closes {
             return;
         }
     }
     let _ = stream.read_u8().await;
 }
 
-fn answer(id: &str, body: &str) -> String {
+fn response(id: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncowslip-request-id: {id}\r\ncontent-length: {length}\r\n\r\n{body}")
 }
@@ -120,26 +120,26 @@
         .await
 }
 
-async fn read_all(answer: Result<HopResponse, TryFailure>) -> String {
-    let Ok(mut answer) = answer else {
-        panic!("no answer");
+async fn read_all(response: Result<HopResponse, TryFailure>) -> String {
+    let Ok(mut response) = response else {
+        panic!("no response");
     };
-    let complete = answer
+    let complete = response
         .body
         .buffer(1_000_000)
         .await
         .expect("a complete body");
     assert!(complete);
-    String::from_utf8(answer.body.buffered().to_vec()).expect("text")
+    String::from_utf8(response.body.buffered().to_vec()).expect("text")
 }
 
 // Guards against passing on a late second response to an earlier request: the
 // caller of the next request on the connection would get somebody else's data.
 #[test]
-fn a_second_answer_to_an_earlier_request_is_dropped() {
+fn a_late_second_response_is_dropped() {
     System::new().block_on(async {
-        let late = answer("1", "stranger") + &answer("2", "own");
-        let script = vec![(answer("1", "first"), false), (late, false)];
+        let late = response("1", "stranger") + &response("2", "own");
+        let script = vec![(response("1", "first"), false), (late, false)];
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
@@ -153,9 +153,9 @@
 // Guards against reusing a connection on which the server sent bytes after a
 // complete response. They belong to no request.
 #[test]
-fn bytes_behind_an_answer_end_the_connection() {
+fn a_connection_with_extra_bytes_is_not_reused() {
     System::new().block_on(async {
-        let script = vec![(answer("1", "first") + "and some more", false)];
+        let script = vec![(response("1", "first") + "and some more", false)];
         let server = ScriptedServer::spawn(script).await;
         let pools = CallPools::new();
         let first = send(&pools, server.address, "1").await;
@@ -169,7 +169,7 @@
 // Guards against treating a response without a stated length as one without a
 // body: the caller would get an empty response that looks complete.
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_is_read_until_close() {
     System::new().block_on(async {
         let unframed = "HTTP/1.1 200 OK\r\ncowslip-request-id: 1\r\n\r\nto the end";
         let server = ScriptedServer::spawn(vec![(unframed.to_owned(), true)]).await;
@@ -179,27 +179,28 @@
     });
 }
 
-// Guards against a truncated response that passes for a complete one, after a
-// server died in the middle of it.
+// Guards against treating a truncated response as complete after the server died
+// while it was sending it.
 #[test]
-fn an_answer_cut_short_is_no_whole_answer() {
+fn a_truncated_response_is_an_error() {
     System::new().block_on(async {
         let cut = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\na part";
         let server = ScriptedServer::spawn(vec![(cut.to_owned(), true)]).await;
         let pools = CallPools::new();
-        let Ok(mut answer) = send(&pools, server.address, "1").await else {
+        let Ok(mut response) = send(&pools, server.address, "1").await else {
             panic!("no response head");
         };
-        assert!(answer.body.buffer(1_000).await.is_err());
+        assert!(response.body.buffer(1_000).await.is_err());
     });
 }
 
 // Guards against reusing a connection after a server responded before it had
 // read a long body: it would read the next request as the rest of that body.
 #[test]
-fn an_early_answer_ends_the_connection() {
+fn a_connection_is_not_reused_after_an_early_response() {
     System::new().block_on(async {
-        let server = ScriptedServer::spawn(vec![(answer("1", "too long"), false)]).await;
+        let server =
+            ScriptedServer::spawn(vec![(response("1", "too long"), false)]).await;
         let pools = CallPools::new();
         let mut body = CallBody::Buffered(Bytes::from(vec![b'x'; 32 * 1024 * 1024]));
         let mut long = request("1");
@@ -215,9 +216,9 @@
 // Guards against losing a request on an idle connection that the server has
 // closed.
 #[test]
-fn a_closed_connection_is_not_used_again() {
+fn a_closed_connection_is_not_reused() {
     System::new().block_on(async {
-        let server = ScriptedServer::spawn(vec![(answer("1", "first"), true)]).await;
+        let server = ScriptedServer::spawn(vec![(response("1", "first"), true)]).await;
         let pools = CallPools::new();
         for _ in 0..5 {
             let answered = send(&pools, server.address, "1").await;
@@ -231,7 +232,7 @@
 // Guards against a wrong verdict. If nothing listens, the request cannot have
 // run; a server that closes the connection without a response may have run it.
 #[test]
-fn only_a_request_that_was_not_sent_has_not_run() {
+fn only_an_unsent_request_is_reported_as_not_run() {
     System::new().block_on(async {
         let pools = CallPools::new();
         let unused = {
@@ -259,7 +260,7 @@
 // still in the directory. Nothing answers there, not even with a refusal, and
 // another server could answer the call meanwhile.
 #[test]
-fn a_machine_that_answers_nothing_is_given_up_soon() {
+fn connecting_to_an_unresponsive_machine_fails_soon() {
     System::new().block_on(async {
         // A listener with a full accept queue drops new connections, as a machine
         // without power does.
@@ -280,7 +281,7 @@
         }
         let pools = CallPools::new();
         let began = Instant::now();
-        let refused = send(&pools, address, "1").await.err().expect("no answer");
+        let refused = send(&pools, address, "1").await.err().expect("no response");
         assert_eq!(refused.reason, RefusalReason::ConnectFailed);
         assert_eq!(refused.verdict, CallVerdict::NotRun);
         let took = began.elapsed();
