--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that write down what reaches them.
+//! Backend servers that record the requests that reach them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,75 +24,76 @@
 use cowslip_wire::http_reply;
 use cowslip_wire::http_reply::HttpReply;
 
-use crate::sightings::Sightings;
+use crate::observations::Observations;
 
-/// The service that all of them run.
+/// Service of all backend servers.
 pub const SERVICE: &str = "records";
 
-/// The version that they run.
+/// Version of all backend servers.
 pub const VERSION: &str = "v1";
 
-/// Slots of each, far more than the callers use.
+/// Slots of each server, far more than the callers use.
 const SLOTS: u32 = 50;
 
-/// Connections that each takes.
+/// Most connections that each server accepts.
 const CONNECTIONS_MAX: usize = 400;
 
-/// Longest work of a request, in milliseconds.
+/// Upper bound of the simulated work of a request, in milliseconds.
 const WORK_MS_MAX: u64 = 60;
 
-/// Longest body taken, in bytes.
+/// Largest request body accepted, in bytes.
 const BODY_BYTES_MAX: usize = 1024 * 1024;
 
-/// Time after an acknowledged drain in which requests may still arrive: a
-/// node hears of it within two of its waits for news.
-const DRAIN_BOUND: Duration = Duration::from_secs(3);
+/// Time after an acknowledged drain in which requests may still arrive. Nodes
+/// learn of a drain within two of their waits for updates.
+const DRAIN_GRACE: Duration = Duration::from_secs(3);
 
 /// Pause between tries to announce a server to its node.
 const ANNOUNCE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Wait for an answer of the node.
-const NODE_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a request to the node.
+const NODE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running backend server.
-pub struct WatchedServer {
+pub struct RecordingServer {
     listener: HttpListener,
     state: Rc<ServerState>,
 }
 
-/// What is shared with its handler.
+/// State that a server shares with its request handler.
 struct ServerState {
     number: usize,
     started: Instant,
-    sightings: Rc<RefCell<Sightings>>,
+    observations: Rc<RefCell<Observations>>,
     drained_at: Cell<Option<Duration>>,
 }
 
-impl WatchedServer {
-    /// Starts server `number` at `listen`; times count from `started`.
+impl RecordingServer {
+    /// Starts server `number` at `listen`. Recorded times count from `started`.
     pub fn bind(
         number: usize,
         listen: SocketAddr,
         started: Instant,
-        sightings: Rc<RefCell<Sightings>>,
+        observations: Rc<RefCell<Observations>>,
     ) -> io::Result<Self> {
         let state = Rc::new(ServerState {
             number,
             started,
-            sightings,
+            observations,
             drained_at: Cell::new(None),
         });
-        let handler = Rc::new(WatchedHandler(Rc::clone(&state)));
+        let handler = Rc::new(RecordingHandler(Rc::clone(&state)));
         let listener = HttpListener::bind(listen, CONNECTIONS_MAX, handler)?;
         Ok(Self { listener, state })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Announces it at `address` to its node until the node takes it.
+    /// Announces the server at `address` to its node, and retries until the node
+    /// accepts it.
     pub async fn announce(&self, node: SocketAddr, address: SocketAddr) {
         let body = AnnounceBody {
             service: SERVICE.into(),
@@ -101,9 +102,10 @@
             slots: SLOTS,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let client = Client::builder().timeout(NODE_PATIENCE).finish();
+        let client = Client::builder().timeout(NODE_TIMEOUT).finish();
         loop {
-            // Work may come from the moment at which the node reads this.
+            // Requests may arrive as soon as the node has read the announcement,
+            // before its answer.
             self.state.drained_at.set(None);
             let sent = client.post(format!("http://{node}/announce"));
             let answer = sent.send_body(body.clone()).await;
@@ -114,24 +116,24 @@
         }
     }
 
-    /// Tells its node that it leaves; true where the node took it.
+    /// Asks the node to drain the server; returns whether the node accepted.
     pub async fn drain(&self, node: SocketAddr) -> bool {
-        let client = Client::builder().timeout(NODE_PATIENCE).finish();
+        let client = Client::builder().timeout(NODE_TIMEOUT).finish();
         let sent = client.post(format!("http://{node}/drain?anyway"));
         let answer = sent.send().await;
-        let taken = answer.is_ok_and(|answer| answer.status() == StatusCode::OK);
-        if taken {
+        let accepted = answer.is_ok_and(|answer| answer.status() == StatusCode::OK);
+        if accepted {
             self.state
                 .drained_at
                 .set(Some(self.state.started.elapsed()));
         }
-        taken
+        accepted
     }
 }
 
-struct WatchedHandler(Rc<ServerState>);
+struct RecordingHandler(Rc<ServerState>);
 
-impl HttpHandler for WatchedHandler {
+impl HttpHandler for RecordingHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
         let state = Rc::clone(&self.0);
         Box::pin(async move { serve(&state, request).await })
@@ -142,7 +144,7 @@
     let id: Arc<str> = http_reply::header(&request, REQUEST_ID)
         .unwrap_or_default()
         .into();
-    state.note(&id);
+    state.record_request(&id);
     let body = match http_reply::read_body(&mut request, BODY_BYTES_MAX).await {
         Ok(body) => body,
         Err(fault) => {
@@ -161,15 +163,15 @@
 }
 
 impl ServerState {
-    fn note(&self, id: &Arc<str>) {
+    fn record_request(&self, id: &Arc<str>) {
         let now = self.started.elapsed();
-        let mut sightings = self.sightings.borrow_mut();
-        let begun = sightings.begun.entry(Arc::clone(id));
-        begun.or_default().push(now);
-        let left = self.drained_at.get();
-        if left.is_some_and(|at| now > at + DRAIN_BOUND) {
-            let seen = (self.number, Arc::clone(id), now);
-            sightings.after_drain.push(seen);
+        let mut observations = self.observations.borrow_mut();
+        let executions = observations.executions.entry(Arc::clone(id));
+        executions.or_default().push(now);
+        let drained_at = self.drained_at.get();
+        if drained_at.is_some_and(|at| now > at + DRAIN_GRACE) {
+            let late_request = (self.number, Arc::clone(id), now);
+            observations.after_drain.push(late_request);
         }
     }
 }
--- a/soak/src/bin/cowslip-soak.rs
+++ b/soak/src/bin/cowslip-soak.rs
@@ -1,4 +1,4 @@
-//! `cowslip-soak`: plays seeds of the fault soak and says what broke.
+//! `cowslip-soak`: runs seeds of the soak test and prints violated invariants.
 
 use std::future::Future;
 use std::path::Path;
@@ -15,25 +15,26 @@
 use cowslip_soak::soak_run::SoakReport;
 use cowslip_wire::stop_signal;
 
-const USAGE: &str = "Plays random faults on real processes and checks what callers see";
+const USAGE: &str =
+    "Injects random faults into real processes and checks what callers observe";
 
-/// Broken promises of a seed that are printed; one cause breaks many.
-const BROKEN_SHOWN: usize = 12;
+/// Most violations of a seed that are printed; one cause leads to many.
+const VIOLATIONS_SHOWN: usize = 12;
 
-/// Options of the soak.
+/// Command line options of the soak.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, descr(USAGE))]
 struct SoakArgs {
-    /// First seed; drawn where absent
+    /// First seed; random if absent
     #[bpaf(argument("SEED"))]
     seed: Option<u64>,
-    /// Number of seeds, one after the other
+    /// Number of consecutive seeds to run
     #[bpaf(argument("COUNT"), fallback(1))]
     seeds: u64,
-    /// Time of faults of each seed, in seconds
+    /// Time in which each seed injects faults, in seconds
     #[bpaf(argument("SECONDS"), fallback(20))]
     seconds: u64,
-    /// Folder for the files of the runs, kept; one is made where absent
+    /// Folder for the files of the runs, which is kept; a new one if absent
     #[bpaf(argument("FOLDER"))]
     folder: Option<PathBuf>,
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// True where every promise held.
+/// Runs all seeds; returns whether every invariant held.
 fn run(args: &SoakArgs) -> Result<bool, SoakError> {
     let programs = std::env::current_exe()?;
     let programs = programs.parent().unwrap_or(Path::new("."));
@@ -61,32 +62,33 @@
     };
     let first = args.seed.unwrap_or_else(rand::random);
     let time = Duration::from_secs(args.seconds);
-    let mut held = true;
+    let mut all_held = true;
     for number in 0..args.seeds {
         let seed = first.wrapping_add(number);
         let files = folder.join(format!("seed-{seed}"));
         std::fs::create_dir_all(&files)?;
-        let played = soak_run::play(seed, time, programs, &files);
-        let report = actix_rt::System::new().block_on(until_asked(played))?;
+        let seed_run = soak_run::run_seed(seed, time, programs, &files);
+        let report = actix_rt::System::new().block_on(run_until_signal(seed_run))?;
         print(seed, args.seconds, &report);
-        if report.broken.is_empty() {
+        if report.violations.is_empty() {
             std::fs::remove_dir_all(&files)?;
         } else {
-            held = false;
+            all_held = false;
             println!("  logs: {}", files.display());
         }
     }
-    Ok(held)
+    Ok(all_held)
 }
 
-/// Plays until the end or a signal. Without this the processes of a soak that
-/// is stopped would run on: they end where their handles are dropped.
-async fn until_asked(
-    played: impl Future<Output = Result<SoakReport, SoakError>>,
+/// Runs a seed until its end or a signal. A signal that ended the soak at once
+/// would leave its processes running, as they are killed when their handles are
+/// dropped.
+async fn run_until_signal(
+    seed_run: impl Future<Output = Result<SoakReport, SoakError>>,
 ) -> Result<SoakReport, SoakError> {
     let mut hangup = signal(SignalKind::hangup())?;
     tokio::select! {
-        report = played => report,
+        report = seed_run => report,
         asked = stop_signal::wait() => Err(asked.map_or_else(
             SoakError::from,
             |()| SoakError::Interrupted,
@@ -102,12 +104,12 @@
         report.calls,
         report.answered,
         report.accepted,
-        report.broken.len()
+        report.violations.len()
     );
-    for broken in report.broken.iter().take(BROKEN_SHOWN) {
-        println!("  {broken}");
+    for violation in report.violations.iter().take(VIOLATIONS_SHOWN) {
+        println!("  {violation}");
     }
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         println!("  again: cowslip-soak --seed {seed} --seconds {seconds}");
     }
 }
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that write down what became of each request.
+//! Callers that send requests and record the outcome of each.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -17,55 +17,55 @@
 
 use cowslip_node::call_headers;
 
-use crate::sightings::Outcome;
-use crate::sightings::SentCall;
-use crate::sightings::Sightings;
+use crate::observations::CallOutcome;
+use crate::observations::Observations;
+use crate::observations::SentCall;
 
-/// Path of the work that the backend servers do.
+/// Path of the requests that make up most of the traffic.
 pub const WORK_PATH: &str = "/work";
 
-/// Time that callers give, in milliseconds.
+/// Deadline that callers send with each request, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
 
-/// Time after which they give up by themselves, well beyond it.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Client-side timeout of a request, well beyond its deadline.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Longest pause between two requests of a caller, in milliseconds.
 const PAUSE_MS_MAX: u64 = 120;
 
-/// One request of so many asks for one of the operator's routes.
+/// Average number of requests per probe of one of the operator's routes.
 const PROBE_EVERY: u32 = 3;
 
-/// What all callers share.
-pub struct CallerPlan {
-    /// Where the nodes take calls.
+/// State that all callers share.
+pub struct CallerContext {
+    /// Addresses at which the nodes accept calls.
     pub nodes: Vec<SocketAddr>,
-    /// Routes added so far.
+    /// Number of routes that the operator has added so far.
     pub routes: Rc<Cell<u64>>,
-    /// Set once no more calls are to be made.
-    pub over: Rc<Cell<bool>>,
-    /// Times count from here.
+    /// Set once no more requests are to be sent.
+    pub finished: Rc<Cell<bool>>,
+    /// Start of the run, from which all times count.
     pub started: Instant,
-    /// Where outcomes go.
-    pub sightings: Rc<RefCell<Sightings>>,
+    /// Record of the outcomes.
+    pub observations: Rc<RefCell<Observations>>,
 }
 
-/// One caller's requests, one after the other, until the run is over. Its
-/// connections stay open until the other side closes them.
-pub async fn call_on(plan: Rc<CallerPlan>, seed: u64) {
-    let client = Client::builder().timeout(PATIENCE).finish();
+/// Sends one caller's requests, one after the other, until the run is finished.
+/// Its connections stay open until the other side closes them.
+pub async fn run_caller(context: Rc<CallerContext>, seed: u64) {
+    let client = Client::builder().timeout(CALL_TIMEOUT).finish();
     let mut random = SmallRng::seed_from_u64(seed);
-    while !plan.over.get() {
-        let call = draw(&plan, &mut random);
-        let sent = plan.started.elapsed();
-        let outcome = send(&client, &plan, &call).await;
-        plan.sightings.borrow_mut().calls.push(SentCall {
+    while !context.finished.get() {
+        let call = draw_call(&context, &mut random);
+        let sent = context.started.elapsed();
+        let outcome = send(&client, &context, &call).await;
+        context.observations.borrow_mut().calls.push(SentCall {
             id: call.id,
             node: call.node,
-            once: call.once,
+            at_most_once: call.at_most_once,
             probe: call.probe,
             sent,
-            ended: plan.started.elapsed(),
+            ended: context.started.elapsed(),
             outcome,
         });
         let pause = random.random_range(1..PAUSE_MS_MAX);
@@ -76,33 +76,33 @@
 struct DrawnCall {
     id: Arc<str>,
     node: usize,
-    once: bool,
+    at_most_once: bool,
     probe: Option<u64>,
     body: String,
 }
 
-fn draw(plan: &CallerPlan, random: &mut SmallRng) -> DrawnCall {
+fn draw_call(context: &CallerContext, random: &mut SmallRng) -> DrawnCall {
     let id: u64 = random.random();
-    let routes = plan.routes.get();
-    let probing = routes > 0 && random.random_ratio(1, PROBE_EVERY);
-    // Mostly the newest: those are what a node may not know yet.
-    let newest = random.random_range(0..3.min(routes.max(1)));
+    let routes = context.routes.get();
+    let is_probe = routes > 0 && random.random_ratio(1, PROBE_EVERY);
+    // Probes the three newest routes, as a node may not know these yet.
+    let age = random.random_range(0..3.min(routes.max(1)));
     DrawnCall {
         id: format!("{id:016x}").into(),
-        node: random.random_range(0..plan.nodes.len()),
-        once: !probing && random.random_bool(0.5),
-        probe: probing.then_some(routes.saturating_sub(newest)),
+        node: random.random_range(0..context.nodes.len()),
+        at_most_once: !is_probe && random.random_bool(0.5),
+        probe: is_probe.then_some(routes.saturating_sub(age)),
         body: "x".repeat(random.random_range(0..4_000)),
     }
 }
 
-async fn send(client: &Client, plan: &CallerPlan, call: &DrawnCall) -> Outcome {
-    let node = plan.nodes[call.node];
+async fn send(client: &Client, context: &CallerContext, call: &DrawnCall) -> CallOutcome {
+    let node = context.nodes[call.node];
     let url = match call.probe {
         Some(route) => format!("http://{node}/route-{route}"),
         None => format!("http://{node}{WORK_PATH}"),
     };
-    let request = if call.once {
+    let request = if call.at_most_once {
         client.post(url)
     } else {
         client.get(url)
@@ -110,30 +110,39 @@
     let request = request
         .insert_header((call_headers::REQUEST_ID, call.id.to_string()))
         .insert_header((call_headers::DEADLINE_MS, DEADLINE_MS.to_string()));
-    let body = if call.once { call.body.as_str() } else { "" };
+    let body = if call.at_most_once {
+        call.body.as_str()
+    } else {
+        ""
+    };
     match request.send_body(body.to_owned()).await {
         Ok(mut response) => {
             let answer = AnswerHead {
                 status: response.status().as_u16(),
                 headers: response.headers().clone(),
             };
-            let got = response.body().await.ok();
-            outcome(&answer, got.as_deref(), &format!("{} {body}\n", call.id))
+            let answer_body = response.body().await.ok();
+            classify(
+                &answer,
+                answer_body.as_deref(),
+                &format!("{} {body}\n", call.id),
+            )
         }
-        Err(SendRequestError::Connect(_)) => Outcome::NoConnection,
-        Err(_) => Outcome::NoAnswer,
+        Err(SendRequestError::Connect(_)) => CallOutcome::NoConnection,
+        Err(_) => CallOutcome::NoAnswer,
     }
 }
 
-/// The outcome of an answer of which the head came.
-fn outcome(answer: &AnswerHead, body: Option<&[u8]>, expected: &str) -> Outcome {
+/// Returns the outcome of a request whose answer's head was received; `body` is
+/// `None` if the answer broke off.
+fn classify(answer: &AnswerHead, body: Option<&[u8]>, expected: &str) -> CallOutcome {
     let Some(body) = body else {
-        return Outcome::Cut;
+        return CallOutcome::Cut;
     };
     if answer.status == 200 {
-        return Outcome::Answered(body == expected.as_bytes());
+        return CallOutcome::Answered(body == expected.as_bytes());
     }
-    Outcome::Refused {
+    CallOutcome::Refused {
         status: answer.status,
         verdict: answer.text(call_headers::VERDICT),
         reason: answer.text(call_headers::REASON),
--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -1,9 +1,9 @@
-//! Which faults a seed brings, and when.
+//! Generates the schedule of faults of a seed.
 //!
-//! Faults come alone, in series and overlapping. Two bounds keep the promises
-//! checkable: at most one control instance of three is away or damaged at a
-//! time, so that a majority always holds what was acknowledged, and all faults
-//! are over some seconds before the end.
+//! Faults occur singly, in sequence and overlapping. Two limits keep the
+//! invariants checkable. At most one control instance of three is down or
+//! damaged at a time, so that a majority always has every acknowledged change.
+//! All faults are over some seconds before the end of the run.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-/// Control instances of the fleet; one may be lost.
+/// Number of control instances of the fleet; one may be lost.
 pub const CONTROLS: usize = 3;
 
-/// Nodes of the fleet, each with a backend server.
+/// Number of nodes of the fleet, each with a backend server.
 pub const NODES: usize = 6;
 
-/// A process of the fleet.
+/// Identifies a process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
-    /// Control instance of this number.
+pub enum ProcessId {
+    /// Control instance with this index.
     Control(usize),
-    /// Node of this number.
+    /// Node with this index.
     Node(usize),
 }
 
-/// How a link through a proxy behaves.
+/// Behaviour of a link through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Passes everything on.
+    /// Forwards everything.
     Pass,
-    /// Passes everything on late.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// Resets connections, old and new.
+    /// Resets open and new connections.
     Reset,
-    /// Takes connections and bytes and passes on none.
+    /// Accepts connections and reads from them, but forwards nothing.
     Silent,
-    /// Passes on what the connecting side sends, and nothing back.
+    /// Forwards what the connecting side sends, but no answers.
     OneWay,
 }
 
@@ -50,49 +50,49 @@
     ToServer(usize),
 }
 
-/// One fault.
+/// A fault to inject. The duration is the time until it is undone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Stopped for a while and continued.
-    Pause(Place, Duration),
-    /// Killed, and started again after a while.
-    Kill(Place, Duration),
-    /// A control instance killed in the middle of a write, which leaves a
-    /// torn record; started again after a while.
+    /// Pauses a process with SIGSTOP and continues it.
+    Pause(ProcessId, Duration),
+    /// Kills a process and restarts it.
+    Kill(ProcessId, Duration),
+    /// Kills a control instance, leaves a torn record at the end of its log, as
+    /// a crash during a write does, and restarts it.
     TornWrite(usize, Duration),
-    /// A control instance killed, and started again with an empty folder.
+    /// Kills a control instance and restarts it with an empty data folder.
     Wipe(usize, Duration),
-    /// A control instance killed for good; another one starts after a while, at
-    /// another address and with an empty folder.
+    /// Kills a control instance and starts a successor at another address, with
+    /// an empty data folder.
     Replace(usize, Duration),
-    /// The same, and once the successor has started all processes are killed
-    /// and started again.
+    /// Replaces a control instance and, once the successor has started, kills
+    /// and restarts all processes.
     ReplaceAndKillAll(usize, Duration),
-    /// Asked to stop, and started again a while after its end.
-    Stop(Place, Duration),
-    /// Told to read its settings again.
-    Reload(Place),
-    /// A link misbehaves for a while.
+    /// Stops a process with SIGTERM and restarts it this long after its exit.
+    Stop(ProcessId, Duration),
+    /// Makes a process reload its settings.
+    Reload(ProcessId),
+    /// Changes the behaviour of a link.
     Link(Link, LinkMode, Duration),
-    /// A backend server says that it leaves, and announces itself again.
+    /// Drains a backend server and announces it again.
     Drain(usize, Duration),
-    /// All processes killed at once, and started again.
+    /// Kills all processes at once and restarts them.
     KillAll(Duration),
 }
 
-/// A fault and when it begins, from the start of traffic.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedFault {
-    /// When it begins.
+    /// Time from the start of the schedule.
     pub at: Duration,
-    /// What happens.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
 impl Fault {
-    /// When what it does is over, from its beginning. An ended process may
-    /// take the longest planned stop until it is started again.
-    pub fn time(&self) -> Duration {
+    /// Returns the time from the injection until the fault is undone. For a
+    /// planned stop this includes the longest time that the stop may take.
+    pub fn duration(&self) -> Duration {
         match self {
             Self::Pause(_, time)
             | Self::Kill(_, time)
@@ -108,11 +108,13 @@
         }
     }
 
-    fn control(&self) -> Option<usize> {
+    /// Returns the control instance that the fault takes down or damages; `None`
+    /// for `KillAll`, which takes down all of them.
+    fn affected_control(&self) -> Option<usize> {
         match self {
-            Self::Pause(Place::Control(at), _)
-            | Self::Kill(Place::Control(at), _)
-            | Self::Stop(Place::Control(at), _)
+            Self::Pause(ProcessId::Control(at), _)
+            | Self::Kill(ProcessId::Control(at), _)
+            | Self::Stop(ProcessId::Control(at), _)
             | Self::TornWrite(at, _)
             | Self::Wipe(at, _)
             | Self::Replace(at, _)
@@ -122,17 +124,17 @@
     }
 }
 
-/// Longest time that a planned stop takes.
+/// Longest time that a planned stop may take.
 pub const PLANNED_STOP_MAX: Duration = Duration::from_secs(8);
 
-/// Rest between two losses of control instances: the time in which one that
-/// came back or took another's place catches up.
-const CONTROL_REST: Duration = Duration::from_secs(4);
+/// Pause between two losses of control instances, in which an instance that was
+/// restarted or replaced catches up.
+const CONTROL_CATCH_UP: Duration = Duration::from_secs(4);
 
-/// Faults a second of the run; half of them overlap another one.
+/// Faults per second of the run; half of them overlap another one.
 const FAULTS_PER_SECOND: f64 = 0.8;
 
-/// The faults of a run of `time`, by their beginning.
+/// Returns the faults of a run of length `time`, ordered by time.
 pub fn faults(seed: u64, time: Duration) -> Vec<TimedFault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = (time.as_secs_f64() * FAULTS_PER_SECOND).ceil() as usize;
@@ -144,45 +146,45 @@
     let mut faults = Vec::with_capacity(count);
     let mut control_free = Duration::ZERO;
     for at in starts {
-        let fault = draw(&mut random);
+        let fault = draw_fault(&mut random);
         let all = matches!(fault, Fault::KillAll(_));
-        if fault.control().is_some() || all {
+        if fault.affected_control().is_some() || all {
             if at < control_free {
                 continue;
             }
-            control_free = at + fault.time() + CONTROL_REST;
+            control_free = at + fault.duration() + CONTROL_CATCH_UP;
         }
         faults.push(TimedFault { at, fault });
     }
     faults
 }
 
-fn draw(random: &mut SmallRng) -> Fault {
-    let away = Duration::from_millis(random.random_range(200..2_500));
+fn draw_fault(random: &mut SmallRng) -> Fault {
+    let duration = Duration::from_millis(random.random_range(200..2_500));
     let control = random.random_range(0..CONTROLS);
     let node = random.random_range(0..NODES);
-    let place = if random.random_bool(0.4) {
-        Place::Control(control)
+    let id = if random.random_bool(0.4) {
+        ProcessId::Control(control)
     } else {
-        Place::Node(node)
+        ProcessId::Node(node)
     };
     match random.random_range(0..25) {
-        0..=3 => Fault::Pause(place, away),
-        4..=6 => Fault::Kill(place, away),
-        7 => Fault::TornWrite(control, away),
-        8..=9 => Fault::Stop(place, away),
-        10 => Fault::Reload(place),
-        11..=13 => Fault::Link(Link::ToControl(control), mode(random), away),
-        14..=16 => Fault::Link(Link::ToServer(node), mode(random), away),
-        17..=18 => Fault::Drain(node, away),
-        19 => Fault::Wipe(control, away),
-        20..=22 => Fault::Replace(control, away),
-        23 => Fault::ReplaceAndKillAll(control, away),
-        _ => Fault::KillAll(away),
+        0..=3 => Fault::Pause(id, duration),
+        4..=6 => Fault::Kill(id, duration),
+        7 => Fault::TornWrite(control, duration),
+        8..=9 => Fault::Stop(id, duration),
+        10 => Fault::Reload(id),
+        11..=13 => Fault::Link(Link::ToControl(control), draw_mode(random), duration),
+        14..=16 => Fault::Link(Link::ToServer(node), draw_mode(random), duration),
+        17..=18 => Fault::Drain(node, duration),
+        19 => Fault::Wipe(control, duration),
+        20..=22 => Fault::Replace(control, duration),
+        23 => Fault::ReplaceAndKillAll(control, duration),
+        _ => Fault::KillAll(duration),
     }
 }
 
-fn mode(random: &mut SmallRng) -> LinkMode {
+fn draw_mode(random: &mut SmallRng) -> LinkMode {
     match random.random_range(0..4) {
         0 => LinkMode::Delay(Duration::from_millis(random.random_range(20..400))),
         1 => LinkMode::Reset,
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, their settings, servers and proxies.
+//! The fleet of a run: processes, their settings, backend servers and proxies.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,90 +14,92 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use crate::backend::WatchedServer;
+use crate::backend::RecordingServer;
 use crate::fault_plan::Link;
-use crate::fault_plan::Place;
+use crate::fault_plan::ProcessId;
 use crate::fault_plan::CONTROLS;
 use crate::fault_plan::NODES;
-use crate::process::program;
+use crate::observations::Observations;
+use crate::process::program_path;
 use crate::process::FleetProcess;
-use crate::process::ProcessPlan;
+use crate::process::LaunchConfig;
 use crate::proxy::LinkProxy;
-use crate::sightings::Sightings;
 use crate::soak_error::SoakError;
 
-/// Key of operators.
+/// Access key of the operator.
 pub const OPERATOR_KEY: &str = "soak-operator";
 
 const SYSTEM_KEY: &str = "soak-system";
 
-/// Loopback number of the first successor of a control instance.
+/// Last octet of the loopback address of the first successor of a control
+/// instance.
 const FIRST_SUCCESSOR: usize = 140;
 
-/// Successors before their loopback numbers are used again.
+/// Number of successors after which their loopback addresses are reused.
 const SUCCESSORS_MAX: usize = 100;
 
-/// First part of a record, as a crash in the middle of a write leaves it.
+/// Beginning of a log record, as a crash during a write leaves it.
 const TORN_RECORD: [u8; 11] = [40, 1, 0, 0, 7, 7, 7, 7, 1, 2, 3];
 
-/// Where a node is reached.
+/// Listen addresses of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct NodePlace {
-    /// By callers.
+pub struct NodeAddresses {
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// By its backend server.
+    /// Listener for the backend server.
     pub local: SocketAddr,
 }
 
-/// A fleet of separate processes.
+/// A running fleet of separate processes.
 pub struct SoakFleet {
-    /// Where control instances listen.
+    /// Listen addresses of the current control instances.
     pub controls: Rc<RefCell<Vec<SocketAddr>>>,
-    /// Where nodes are reached.
-    pub nodes: Vec<NodePlace>,
-    /// Backend servers, by node.
-    pub servers: Vec<Rc<WatchedServer>>,
+    /// Listen addresses of the nodes.
+    pub nodes: Vec<NodeAddresses>,
+    /// Backend servers, by index of their node.
+    pub servers: Vec<Rc<RecordingServer>>,
     control_processes: Vec<RefCell<FleetProcess>>,
     node_processes: Vec<RefCell<FleetProcess>>,
-    to_controls: Vec<LinkProxy>,
+    control_proxies: Vec<LinkProxy>,
     control_targets: Vec<Rc<Cell<SocketAddr>>>,
-    /// Empty folders that each control instance was given since the start.
+    /// Number of times that each control instance got a new, empty data folder.
     emptied: Vec<Cell<usize>>,
-    /// Control instances replaced since the start.
+    /// Number of control instances replaced so far.
     replaced: Cell<usize>,
-    to_servers: Vec<LinkProxy>,
+    server_proxies: Vec<LinkProxy>,
     folder: PathBuf,
 }
 
-/// An address on a loopback number that only this process uses, so that no
-/// outgoing connection can take the port before its owner binds it.
-fn own_address(number: usize) -> Result<SocketAddr, SoakError> {
+/// Returns a free address on a loopback IP that depends on the process ID, so
+/// that no outgoing connection can take the port before its owner binds it.
+/// `number` is the last octet.
+fn unused_address(number: usize) -> Result<SocketAddr, SoakError> {
     let pid = std::process::id().to_be_bytes();
-    let own = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number as u8));
-    let bound = TcpListener::bind(SocketAddr::new(own, 0))?;
+    let host = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number as u8));
+    let bound = TcpListener::bind(SocketAddr::new(host, 0))?;
     Ok(bound.local_addr()?)
 }
 
-fn addresses(first: usize, count: usize) -> Result<Vec<SocketAddr>, SoakError> {
-    (first..first + count).map(own_address).collect()
+fn unused_addresses(first: usize, count: usize) -> Result<Vec<SocketAddr>, SoakError> {
+    (first..first + count).map(unused_address).collect()
 }
 
 impl SoakFleet {
-    /// Starts all processes, from programs in `programs`, with their files in
-    /// `folder`.
+    /// Starts all processes, with the programs in the folder `programs` and all
+    /// files in `folder`.
     pub fn spawn(
         programs: &Path,
         folder: &Path,
         started: Instant,
-        sightings: &Rc<RefCell<Sightings>>,
+        observations: &Rc<RefCell<Observations>>,
     ) -> Result<Self, SoakError> {
-        let controls = addresses(1, CONTROLS)?;
-        let mut to_controls = Vec::new();
+        let controls = unused_addresses(1, CONTROLS)?;
+        let mut control_proxies = Vec::new();
         let mut control_targets = Vec::new();
         for (at, address) in controls.iter().enumerate() {
-            let listen = own_address(10 + at)?;
+            let listen = unused_address(10 + at)?;
             let target = Rc::new(Cell::new(*address));
-            to_controls.push(LinkProxy::bind(listen, Rc::clone(&target))?);
+            control_proxies.push(LinkProxy::bind(listen, Rc::clone(&target))?);
             control_targets.push(target);
         }
         let mut fleet = Self {
@@ -106,11 +108,11 @@
             servers: Vec::new(),
             control_processes: Vec::new(),
             node_processes: Vec::new(),
-            to_controls,
+            control_proxies,
             control_targets,
             emptied: vec![Cell::new(0); CONTROLS],
             replaced: Cell::new(0),
-            to_servers: Vec::new(),
+            server_proxies: Vec::new(),
             folder: folder.to_owned(),
         };
         for at in 0..CONTROLS {
@@ -118,16 +120,16 @@
             let process = fleet.start(
                 programs,
                 "cowslip-control",
-                Place::Control(at),
+                ProcessId::Control(at),
                 &settings,
             )?;
             fleet.control_processes.push(RefCell::new(process));
         }
         for at in 0..NODES {
-            fleet.add_server(at, started, sightings)?;
+            fleet.add_server(at, started, observations)?;
             let settings = fleet.node_settings(at)?;
             let process =
-                fleet.start(programs, "cowslip-node", Place::Node(at), &settings)?;
+                fleet.start(programs, "cowslip-node", ProcessId::Node(at), &settings)?;
             fleet.node_processes.push(RefCell::new(process));
         }
         Ok(fleet)
@@ -137,13 +139,13 @@
         &mut self,
         at: usize,
         started: Instant,
-        sightings: &Rc<RefCell<Sightings>>,
+        observations: &Rc<RefCell<Observations>>,
     ) -> Result<(), SoakError> {
-        let listen = own_address(100 + at)?;
-        let server = WatchedServer::bind(at, listen, started, Rc::clone(sightings))?;
+        let listen = unused_address(100 + at)?;
+        let server = RecordingServer::bind(at, listen, started, Rc::clone(observations))?;
         let target = Rc::new(Cell::new(server.address()));
-        self.to_servers
-            .push(LinkProxy::bind(own_address(120 + at)?, target)?);
+        self.server_proxies
+            .push(LinkProxy::bind(unused_address(120 + at)?, target)?);
         self.servers.push(Rc::new(server));
         Ok(())
     }
@@ -161,46 +163,46 @@
             "instance: \"{listen}\"\nfailure_domain: domain-{at}\nlisten: {listen}\n\
              admin_listen: {}\ndata_folder: {}\nseeds: [{}]\nfirst_start: {first_start}\n\
              losses: 1\noperator_key: {OPERATOR_KEY}\nsystem_key: {SYSTEM_KEY}\n",
-            own_address(20 + at)?,
+            unused_address(20 + at)?,
             self.data_folder(at).display(),
             seeds.join(", ")
         ))
     }
 
-    /// Writes the settings of all control instances as they are now; those that
-    /// run read them when they are told to.
+    /// Writes the current settings of all control instances. Running ones read
+    /// them at the next reload.
     pub fn write_control_settings(&self) -> Result<(), SoakError> {
         for at in 0..CONTROLS {
-            let file = self.settings_file(Place::Control(at));
+            let file = self.settings_file(ProcessId::Control(at));
             fs::write(file, self.control_settings(at, false)?)?;
         }
         Ok(())
     }
 
-    /// Gives a control instance that has ended an empty folder.
+    /// Gives a control instance that is not running an empty data folder.
     pub fn empty_folder(&self, at: usize) -> Result<(), SoakError> {
         self.emptied[at].set(self.emptied[at].get() + 1);
         self.write_control_settings()
     }
 
-    /// Puts another instance, not started yet, in the place of a control
-    /// instance that has ended.
+    /// Replaces a control instance that is not running with a successor at
+    /// another address, which is not started yet.
     pub fn replace_control(&self, at: usize) -> Result<(), SoakError> {
         let number = self.replaced.get();
         self.replaced.set(number + 1);
-        let listen = own_address(FIRST_SUCCESSOR + number % SUCCESSORS_MAX)?;
+        let listen = unused_address(FIRST_SUCCESSOR + number % SUCCESSORS_MAX)?;
         self.controls.borrow_mut()[at] = listen;
         self.control_targets[at].set(listen);
         self.empty_folder(at)
     }
 
     fn node_settings(&mut self, at: usize) -> Result<String, SoakError> {
-        let place = NodePlace {
-            callers: own_address(30 + at)?,
-            local: own_address(50 + at)?,
+        let addresses = NodeAddresses {
+            callers: unused_address(30 + at)?,
+            local: unused_address(50 + at)?,
         };
-        self.nodes.push(place);
-        let proxies = self.to_controls.iter();
+        self.nodes.push(addresses);
+        let proxies = self.control_proxies.iter();
         let controls: Vec<String> =
             proxies.map(|proxy| proxy.address().to_string()).collect();
         Ok(format!(
@@ -208,10 +210,10 @@
              local_listen: {}\npeer_listen: {}\nadmin_listen: {}\ncontrols: [{}]\n\
              system_key: {SYSTEM_KEY}\nfollow_wait: 400ms\n",
             at % CONTROLS,
-            place.callers,
-            place.local,
-            own_address(70 + at)?,
-            own_address(90 + at)?,
+            addresses.callers,
+            addresses.local,
+            unused_address(70 + at)?,
+            unused_address(90 + at)?,
             controls.join(", ")
         ))
     }
@@ -220,60 +222,61 @@
         &self,
         programs: &Path,
         name: &str,
-        place: Place,
+        id: ProcessId,
         settings: &str,
     ) -> Result<FleetProcess, SoakError> {
-        let instance = instance(place);
-        let file = self.settings_file(place);
+        let instance = instance_name(id);
+        let file = self.settings_file(id);
         fs::write(&file, settings)?;
-        FleetProcess::spawn(ProcessPlan {
-            program: program(programs, name)?,
+        FleetProcess::spawn(LaunchConfig {
+            program: program_path(programs, name)?,
             settings: file,
             log: self.folder.join(format!("{instance}.log")),
         })
     }
 
-    /// The process at `place`.
-    pub fn process(&self, place: Place) -> &RefCell<FleetProcess> {
-        match place {
-            Place::Control(at) => &self.control_processes[at],
-            Place::Node(at) => &self.node_processes[at],
+    /// Returns the process with this ID.
+    pub fn process(&self, id: ProcessId) -> &RefCell<FleetProcess> {
+        match id {
+            ProcessId::Control(at) => &self.control_processes[at],
+            ProcessId::Node(at) => &self.node_processes[at],
         }
     }
 
-    /// Every place, control instances first.
-    pub fn places(&self) -> impl Iterator<Item = Place> {
-        let controls = (0..CONTROLS).map(Place::Control);
-        controls.chain((0..NODES).map(Place::Node))
+    /// Returns the IDs of all processes, control instances first.
+    pub fn process_ids(&self) -> impl Iterator<Item = ProcessId> {
+        let controls = (0..CONTROLS).map(ProcessId::Control);
+        controls.chain((0..NODES).map(ProcessId::Node))
     }
 
-    /// The proxy of a link.
+    /// Returns the proxy of a link.
     pub fn proxy(&self, link: Link) -> &LinkProxy {
         match link {
-            Link::ToControl(at) => &self.to_controls[at],
-            Link::ToServer(at) => &self.to_servers[at],
+            Link::ToControl(at) => &self.control_proxies[at],
+            Link::ToServer(at) => &self.server_proxies[at],
         }
     }
 
-    /// Announces the server beside node `at`, until the node takes it.
+    /// Announces the backend server of node `at`; returns once the node accepts
+    /// it.
     pub async fn announce(&self, at: usize) {
-        let address = self.to_servers[at].address();
+        let address = self.server_proxies[at].address();
         self.servers[at]
             .announce(self.nodes[at].local, address)
             .await;
     }
 
-    /// Leaves a torn record at the end of a control instance's log, whose
-    /// process has ended.
-    pub fn tear_log(&self, at: usize) -> Result<(), SoakError> {
+    /// Appends a torn record to the log of a control instance that is not
+    /// running.
+    pub fn append_torn_record(&self, at: usize) -> Result<(), SoakError> {
         let file = self.data_folder(at).join("log");
         let mut log = OpenOptions::new().append(true).open(file)?;
         log.write_all(&TORN_RECORD)?;
         Ok(())
     }
 
-    fn settings_file(&self, place: Place) -> PathBuf {
-        self.folder.join(format!("{}.yaml", instance(place)))
+    fn settings_file(&self, id: ProcessId) -> PathBuf {
+        self.folder.join(format!("{}.yaml", instance_name(id)))
     }
 
     fn data_folder(&self, at: usize) -> PathBuf {
@@ -282,10 +285,10 @@
     }
 }
 
-/// Name of the instance at `place`.
-pub fn instance(place: Place) -> String {
-    match place {
-        Place::Control(at) => format!("control-{at}"),
-        Place::Node(at) => format!("node-{at}"),
+/// Returns the name of a process in file names and reports.
+pub fn instance_name(id: ProcessId) -> String {
+    match id {
+        ProcessId::Control(at) => format!("control-{at}"),
+        ProcessId::Node(at) => format!("node-{at}"),
     }
 }
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: adds one route after the other and reads back at the end.
+//! The operator, which adds one route after the other during a run and reads the
+//! configuration at the end.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,54 +25,55 @@
 use crate::backend::SERVICE;
 use crate::backend::VERSION;
 use crate::callers::WORK_PATH;
-use crate::sightings::AcceptedRoute;
-use crate::sightings::Sightings;
+use crate::observations::AcceptedRoute;
+use crate::observations::Observations;
 
 /// Pause between two changes.
 const CHANGE_PAUSE: Duration = Duration::from_millis(700);
 
-/// What the operator works with.
-pub struct OperatorPlan {
-    /// Control instances of the moment, asked without a proxy.
+/// State of the operator.
+pub struct OperatorContext {
+    /// Addresses of the current control instances, reached without a proxy.
     pub controls: Rc<RefCell<Vec<SocketAddr>>>,
-    /// Key of operators.
+    /// Access key of the operator.
     pub key: AccessKey,
-    /// Highest route in an accepted document.
+    /// Highest route number in an accepted document.
     pub routes: Rc<Cell<u64>>,
-    /// Set once no more changes are to be made.
-    pub over: Rc<Cell<bool>>,
-    /// Times count from here.
+    /// Set once no more changes are to be sent.
+    pub finished: Rc<Cell<bool>>,
+    /// Start of the run, from which all times count.
     pub started: Instant,
-    /// Where what was accepted goes.
-    pub sightings: Rc<RefCell<Sightings>>,
+    /// Record of the accepted changes.
+    pub observations: Rc<RefCell<Observations>>,
 }
 
-impl OperatorPlan {
+impl OperatorContext {
     fn client(&self) -> ControlClient {
         ControlClient::new(self.controls.borrow().clone(), self.key.clone())
     }
 }
 
-/// Adds routes until the run is over. A change whose answer was lost is sent
-/// again as part of the next, since documents are whole.
-pub async fn change_on(plan: Rc<OperatorPlan>) {
-    while !plan.over.get() {
-        let client = plan.client();
-        let route = plan.routes.get() + 1;
+/// Adds routes until the run is finished. A change that failed or whose answer
+/// was lost is contained in the next one, as each change sends the whole
+/// document.
+pub async fn run_operator(context: Rc<OperatorContext>) {
+    while !context.finished.get() {
+        let client = context.client();
+        let route = context.routes.get() + 1;
         let change = ConfigChange::Apply(document(route));
         if client.change(new_request_id(), None, change).await.is_ok() {
-            plan.routes.set(route);
-            let at = plan.started.elapsed();
+            context.routes.set(route);
+            let at = context.started.elapsed();
             let accepted = AcceptedRoute { route, at };
-            plan.sightings.borrow_mut().accepted.push(accepted);
+            context.observations.borrow_mut().accepted.push(accepted);
         }
         actix_rt::time::sleep(CHANGE_PAUSE).await;
     }
 }
 
-/// Numbers of the routes in force, where an instance can tell.
-pub async fn read_back(plan: &OperatorPlan) -> Option<Vec<u64>> {
-    let snapshot = plan.client().ask(&ShowCall {}).await.ok()?;
+/// Returns the numbers of the routes in force, or `None` if no instance answers.
+pub async fn read_routes(context: &OperatorContext) -> Option<Vec<u64>> {
+    let snapshot = context.client().ask(&ShowCall {}).await.ok()?;
     let mut routes = Vec::new();
     for route in &snapshot.document.routes {
         let number = route.path.strip_prefix("/route-");
@@ -80,14 +82,14 @@
     Some(routes)
 }
 
-/// How many voters run, where an instance can tell.
-pub async fn live_voters(plan: &OperatorPlan) -> Option<usize> {
-    let members = plan.client().ask(&MembersCall {}).await.ok()?;
+/// Returns the number of live voters, or `None` if no instance answers.
+pub async fn live_voters(context: &OperatorContext) -> Option<usize> {
+    let members = context.client().ask(&MembersCall {}).await.ok()?;
     let votes = |member: &&MemberLine| member.live && member.role == MemberRole::Voter;
     Some(members.iter().filter(votes).count())
 }
 
-/// The document with routes 1 to `last`.
+/// Returns a document with the work path and routes 1 to `last`.
 pub fn document(last: u64) -> FleetDocument {
     let spec = ServiceSpec {
         version: VERSION.into(),
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A program of the fleet as a process of its own, and signals to it.
+//! Starts, signals and kills a program of the fleet as a separate process.
 
 use std::fs;
 use std::fs::File;
@@ -15,69 +15,72 @@
 
 use crate::soak_error::SoakError;
 
-/// How a process is started.
+/// Program, settings and log file of a process.
 #[derive(Clone, Debug)]
-pub struct ProcessPlan {
-    /// The program's file.
+pub struct LaunchConfig {
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Where its lines go, appended over all its starts.
+    /// File that its output is appended to at every start.
     pub log: PathBuf,
 }
 
-/// A process that the soak started; it ends with this value.
+/// A process that the soak started. It is killed when this value is dropped.
 pub struct FleetProcess {
-    plan: ProcessPlan,
+    config: LaunchConfig,
     child: Option<Child>,
 }
 
 impl FleetProcess {
-    /// Starts it.
-    pub fn spawn(plan: ProcessPlan) -> Result<Self, SoakError> {
-        let mut process = Self { plan, child: None };
+    /// Starts a process.
+    pub fn spawn(config: LaunchConfig) -> Result<Self, SoakError> {
+        let mut process = Self {
+            config,
+            child: None,
+        };
         process.start()?;
         Ok(process)
     }
 
-    /// Starts it again; nothing where it runs.
+    /// Starts the process again unless it is running.
     pub fn start(&mut self) -> Result<(), SoakError> {
         if self.child.is_some() {
             return Ok(());
         }
-        let log = open_log(&self.plan.log)?;
-        let child = Command::new(&self.plan.program)
+        let log = open_log(&self.config.log)?;
+        let child = Command::new(&self.config.program)
             .arg("--settings")
-            .arg(&self.plan.settings)
+            .arg(&self.config.settings)
             .env("RUST_LOG", "info")
             .stdout(log.try_clone()?)
             .stderr(log)
-            // Guards against the end of the shell that the soak runs under
-            // while a process is paused: the kernel sends SIGHUP to a group
-            // left behind with a stopped member, and the soak would end.
+            // If the shell that the soak runs under exits while a process is
+            // paused, the kernel sends SIGHUP to an orphaned process group with
+            // a stopped member. In a shared group this would end the soak.
             .process_group(0)
             .spawn()?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// True from its start until its end was seen.
-    pub fn runs(&self) -> bool {
+    /// Returns true from the start until an exit was observed.
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Sends a signal, where it runs.
+    /// Sends a signal if the process is running.
     pub fn signal(&self, signal: Signal) -> Result<(), SoakError> {
         let Some(child) = &self.child else {
             return Ok(());
         };
-        // Its end was not waited for, so the id is still its own.
+        // The child has not been waited for, so its ID is not reused yet.
         kill(Pid::from_raw(child.id() as i32), signal)?;
         Ok(())
     }
 
-    /// How it ended, once, where it has.
-    pub fn ended(&mut self) -> Result<Option<ExitStatus>, SoakError> {
+    /// Returns the exit status if the process has exited since the last call.
+    pub fn try_wait(&mut self) -> Result<Option<ExitStatus>, SoakError> {
         let Some(child) = &mut self.child else {
             return Ok(None);
         };
@@ -88,7 +91,7 @@
         Ok(status)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) -> Result<(), SoakError> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -100,7 +103,7 @@
 
 impl Drop for FleetProcess {
     fn drop(&mut self) {
-        // Nothing is left to be done where even this fails.
+        // A failure cannot be handled in a destructor.
         let _ = self.kill();
     }
 }
@@ -110,8 +113,8 @@
     Ok(log?)
 }
 
-/// A program of the workspace, built beside the running one.
-pub fn program(folder: &Path, name: &str) -> Result<PathBuf, SoakError> {
+/// Returns the path of a program in `folder`, or an error if it is not built.
+pub fn program_path(folder: &Path, name: &str) -> Result<PathBuf, SoakError> {
     let file = folder.join(name);
     if file.exists() {
         return Ok(file);
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that misbehaves on demand.
+//! TCP proxy on loopback that injects network faults.
 
 use std::cell::Cell;
 use std::io;
@@ -15,70 +15,74 @@
 
 use crate::fault_plan::LinkMode;
 
-/// Bytes passed on at once.
+/// Size of the copy buffer, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A running proxy.
+/// A running proxy of one link.
 pub struct LinkProxy {
     address: SocketAddr,
     mode: watch::Sender<LinkMode>,
 }
 
 impl LinkProxy {
-    /// Takes connections at `listen` and passes them to where `target` points
-    /// at that moment.
+    /// Accepts connections at `listen` and forwards each to the address that
+    /// `target` holds when the connection is accepted.
     pub fn bind(listen: SocketAddr, target: Rc<Cell<SocketAddr>>) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let listener = TcpListener::from_std(listener)?;
-        let (mode, watched) = watch::channel(LinkMode::Pass);
-        actix_rt::spawn(take_all(listener, target, watched));
+        let (mode, mode_receiver) = watch::channel(LinkMode::Pass);
+        actix_rt::spawn(accept_connections(listener, target, mode_receiver));
         Ok(Self { address, mode })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves, open connections included.
-    pub fn set(&self, mode: LinkMode) {
+    /// Changes the behaviour of new and open connections.
+    pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn take_all(
+async fn accept_connections(
     listener: TcpListener,
     target: Rc<Cell<SocketAddr>>,
     mode: watch::Receiver<LinkMode>,
 ) {
     loop {
-        // A connection that ended before it was taken is no matter here.
-        let Ok((near, _)) = listener.accept().await else {
+        // A connection that ended before it was accepted can be ignored.
+        let Ok((client, _)) = listener.accept().await else {
             continue;
         };
-        actix_rt::spawn(pass(near, target.get(), mode.clone()));
+        actix_rt::spawn(forward(client, target.get(), mode.clone()));
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, mut mode: watch::Receiver<LinkMode>) {
-    // Closing with unsent bytes dropped is what a reset looks like.
-    let _ = near.set_zero_linger();
+async fn forward(
+    client: TcpStream,
+    target: SocketAddr,
+    mut mode: watch::Receiver<LinkMode>,
+) {
+    // With zero linger, closing the socket drops unsent bytes and sends a reset.
+    let _ = client.set_zero_linger();
     if *mode.borrow() == LinkMode::Reset {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let forth = copy(near_read, far_write, mode.clone(), true);
-    let back = copy(far_read, near_write, mode.clone(), false);
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let outbound = copy(client_read, upstream_write, mode.clone(), true);
+    let inbound = copy(upstream_read, client_write, mode.clone(), false);
     let reset = mode.wait_for(|mode| *mode == LinkMode::Reset);
     tokio::select! {
-        _ = async { tokio::join!(forth, back) } => {}
+        _ = async { tokio::join!(outbound, inbound) } => {}
         _ = reset => {}
     }
 }
@@ -87,7 +91,7 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mode: watch::Receiver<LinkMode>,
-    forth: bool,
+    is_outbound: bool,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
@@ -95,10 +99,10 @@
             Ok(0) | Err(_) => break,
             Ok(read) => read,
         };
-        let now = *mode.borrow();
-        match now {
+        let current_mode = *mode.borrow();
+        match current_mode {
             LinkMode::Silent => continue,
-            LinkMode::OneWay if !forth => continue,
+            LinkMode::OneWay if !is_outbound => continue,
             LinkMode::Delay(time) => actix_rt::time::sleep(time).await,
             _ => {}
         }
@@ -106,6 +110,6 @@
             return;
         }
     }
-    // The other side may have gone first.
+    // Fails if the other side has closed the connection already.
     let _ = to.shutdown().await;
 }
--- a/soak/src/soak_error.rs
+++ b/soak/src/soak_error.rs
@@ -1,25 +1,26 @@
-//! Why a soak cannot be played; a broken promise is no error.
+//! Errors that prevent a soak run. A violated invariant is a result, not an
+//! error.
 
 use std::io;
 
 use thiserror::Error;
 
-/// A soak that cannot be played.
+/// Error that prevents a soak run.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// A file, socket or process.
+    /// A file, socket or process operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A signal could not be sent.
-    #[error("signal: {0}")]
+    #[error("cannot send a signal: {0}")]
     Signal(#[from] nix::Error),
-    /// A program was not built.
+    /// A program of the fleet is not built.
     #[error("{0} is not built; run cargo build --release --workspace first")]
     NoProgram(String),
-    /// The soak was asked to stop; its processes have ended with it.
-    #[error("asked to stop")]
+    /// The soak was interrupted by a signal. Its processes have been killed.
+    #[error("interrupted by a signal")]
     Interrupted,
-    /// The fleet did not come up before any fault.
-    #[error("the fleet was not up within {0} s, before any fault")]
-    NeverUp(u64),
+    /// The fleet was not ready within this time, in seconds, before any fault.
+    #[error("the fleet was not ready within {0} s, before any fault")]
+    StartTimeout(u64),
 }
--- a/soak/src/soak_run.rs
+++ b/soak/src/soak_run.rs
@@ -1,4 +1,5 @@
-//! One run: a fleet, its traffic, the faults of a seed, and the verdict.
+//! Runs one seed: starts a fleet, sends traffic, injects the seed's faults and
+//! checks the invariants.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,186 +15,190 @@
 use cowslip_wire::access_key::AccessKey;
 
 use crate::callers;
-use crate::callers::CallerPlan;
+use crate::callers::CallerContext;
 use crate::fault_plan;
 use crate::fault_plan::Fault;
 use crate::fault_plan::Link;
 use crate::fault_plan::LinkMode;
-use crate::fault_plan::Place;
+use crate::fault_plan::ProcessId;
 use crate::fault_plan::TimedFault;
 use crate::fault_plan::CONTROLS;
 use crate::fault_plan::NODES;
 use crate::fault_plan::PLANNED_STOP_MAX;
-use crate::fleet::instance;
+use crate::fleet::instance_name;
 use crate::fleet::SoakFleet;
 use crate::fleet::OPERATOR_KEY;
+use crate::invariants;
+use crate::invariants::InvariantViolation;
+use crate::invariants::RECOVERY_WINDOW;
+use crate::observations::CallOutcome;
+use crate::observations::Disruption;
+use crate::observations::Observations;
+use crate::observations::PlannedStop;
 use crate::operator;
-use crate::operator::OperatorPlan;
-use crate::promises;
-use crate::promises::BrokenPromise;
-use crate::promises::LAST_PART;
-use crate::sightings::Outcome;
-use crate::sightings::PlannedStop;
-use crate::sightings::Sightings;
-use crate::sightings::TroubledTime;
+use crate::operator::OperatorContext;
 use crate::soak_error::SoakError;
 
-/// Callers of a run; each makes some ten requests a second.
+/// Number of callers; each sends about ten requests per second.
 const CALLERS: u64 = 16;
 
-/// Longest start of the fleet, in seconds; only a broken one takes it.
-const UP_SECONDS_MAX: u64 = 30;
+/// Longest wait for the fleet to become ready, in seconds. Only a broken fleet
+/// takes this long.
+const START_SECONDS_MAX: u64 = 30;
 
-/// How long a fault may still be felt after it is over: an election, waits
-/// after failures, and servers that are tried again.
-const AFTERMATH: Duration = Duration::from_secs(4);
+/// Longest effect of a fault after it has been undone: an election, backoff
+/// after failures, and the next try of failed servers.
+const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Rest at the end, in which the fleet must recover.
-const REST: Duration = Duration::from_secs(9);
+/// Time without faults at the end, in which the fleet must recover.
+const SETTLE_TIME: Duration = Duration::from_secs(9);
 
-/// How often processes are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which processes and conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// Faults played.
+    /// Number of faults injected.
     pub faults: usize,
-    /// Requests whose outcome is known.
+    /// Number of requests whose outcome is known.
     pub calls: usize,
-    /// Of these, answered whole.
+    /// Number of these that got a complete answer with status 200.
     pub answered: usize,
-    /// Changes accepted.
+    /// Number of changes accepted.
     pub accepted: usize,
-    /// Promises that did not hold.
-    pub broken: Vec<BrokenPromise>,
+    /// Invariants that were violated.
+    pub violations: Vec<InvariantViolation>,
 }
 
 struct SoakRun {
     fleet: SoakFleet,
     started: Instant,
-    sightings: Rc<RefCell<Sightings>>,
-    /// Faults that are not over, so that the end waits for them.
-    under_way: Cell<usize>,
-    /// Places whose processes were asked to stop.
-    asked: RefCell<BTreeSet<Place>>,
+    observations: Rc<RefCell<Observations>>,
+    /// Number of faults that are not undone yet; the run waits for them.
+    active_faults: Cell<usize>,
+    /// Processes with a planned stop in progress, whose exit is expected.
+    stop_requested: RefCell<BTreeSet<ProcessId>>,
 }
 
-/// Plays `seed` for `time`, with programs from `programs` and all files in
-/// `folder`.
-pub async fn play(
+/// Runs the faults of `seed` for `time`, with the programs in the folder
+/// `programs` and all files in `folder`.
+pub async fn run_seed(
     seed: u64,
     time: Duration,
     programs: &Path,
     folder: &Path,
 ) -> Result<SoakReport, SoakError> {
     let started = Instant::now();
-    let sightings = Rc::new(RefCell::new(Sightings::default()));
-    let fleet = SoakFleet::spawn(programs, folder, started, &sightings)?;
+    let observations = Rc::new(RefCell::new(Observations::default()));
+    let fleet = SoakFleet::spawn(programs, folder, started, &observations)?;
     let run = Rc::new(SoakRun {
         fleet,
         started,
-        sightings,
-        under_way: Cell::new(0),
-        asked: RefCell::default(),
+        observations,
+        active_faults: Cell::new(0),
+        stop_requested: RefCell::default(),
     });
-    let over = Rc::new(Cell::new(false));
-    let operator = run.operator(&over);
-    let operating = actix_rt::spawn(operator::change_on(Rc::clone(&operator)));
-    run.come_up(&operator).await?;
+    let finished = Rc::new(Cell::new(false));
+    let operator = run.operator(&finished);
+    let operator_task = actix_rt::spawn(operator::run_operator(Rc::clone(&operator)));
+    run.wait_until_ready(&operator).await?;
     run.fleet.write_control_settings()?;
-    let calling = run.callers(seed, &operator, &over);
-    let watching = actix_rt::spawn(watch(Rc::clone(&run), Rc::clone(&over)));
+    let callers = run.callers(seed, &operator, &finished);
+    let exit_watch = actix_rt::spawn(watch_exits(Rc::clone(&run), Rc::clone(&finished)));
     let faults = fault_plan::faults(seed, time);
-    run.play_faults(&faults).await?;
-    over.set(true);
-    for caller in calling {
-        // A caller ends with its last request.
+    run.inject_faults(&faults).await?;
+    finished.set(true);
+    for caller in callers {
+        // A caller ends after its last request.
         let _ = caller.await;
     }
-    let _ = operating.await;
-    let _ = watching.await;
+    let _ = operator_task.await;
+    let _ = exit_watch.await;
     let end = run.started.elapsed();
-    let routes = operator::read_back(&operator).await.unwrap_or_default();
-    run.sightings.borrow_mut().read_back = routes;
+    let routes = operator::read_routes(&operator).await.unwrap_or_default();
+    run.observations.borrow_mut().final_routes = routes;
     let voters = operator::live_voters(&operator).await.unwrap_or_default();
-    run.sightings.borrow_mut().live_voters = Some(voters);
+    run.observations.borrow_mut().live_voters = Some(voters);
     run.stop_all().await?;
-    let sightings = run.sightings.borrow();
-    Ok(report(&sightings, faults.len(), end))
+    let observations = run.observations.borrow();
+    Ok(report(&observations, faults.len(), end))
 }
 
-fn report(sightings: &Sightings, faults: usize, end: Duration) -> SoakReport {
-    let calls = sightings.calls.iter();
-    let answered = calls.filter(|call| matches!(call.outcome, Outcome::Answered(_)));
+fn report(observations: &Observations, faults: usize, end: Duration) -> SoakReport {
+    let calls = observations.calls.iter();
+    let answered = calls.filter(|call| matches!(call.outcome, CallOutcome::Answered(_)));
     SoakReport {
         faults,
-        calls: sightings.calls.len(),
+        calls: observations.calls.len(),
         answered: answered.count(),
-        accepted: sightings.accepted.len(),
-        broken: promises::broken(sightings, end),
+        accepted: observations.accepted.len(),
+        violations: invariants::violations(observations, end),
     }
 }
 
-/// Notes processes that end though nobody asked them to.
-async fn watch(run: Rc<SoakRun>, over: Rc<Cell<bool>>) {
-    while !over.get() {
-        for place in run.fleet.places() {
-            if run.asked.borrow().contains(&place) {
+/// Records processes that exit without being asked to.
+async fn watch_exits(run: Rc<SoakRun>, finished: Rc<Cell<bool>>) {
+    while !finished.get() {
+        for id in run.fleet.process_ids() {
+            if run.stop_requested.borrow().contains(&id) {
                 continue;
             }
-            let ended = run.fleet.process(place).borrow_mut().ended();
+            let ended = run.fleet.process(id).borrow_mut().try_wait();
             if let Ok(Some(status)) = ended {
-                let seen = format!("{} ended with {status}", instance(place));
-                run.sightings.borrow_mut().own_ends.push(seen);
+                let details = format!("{} ended with {status}", instance_name(id));
+                run.observations.borrow_mut().unexpected_exits.push(details);
             }
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl SoakRun {
-    fn operator(&self, over: &Rc<Cell<bool>>) -> Rc<OperatorPlan> {
-        Rc::new(OperatorPlan {
+    fn operator(&self, finished: &Rc<Cell<bool>>) -> Rc<OperatorContext> {
+        Rc::new(OperatorContext {
             controls: Rc::clone(&self.fleet.controls),
             key: AccessKey::new(OPERATOR_KEY),
             routes: Rc::new(Cell::new(0)),
-            over: Rc::clone(over),
+            finished: Rc::clone(finished),
             started: self.started,
-            sightings: Rc::clone(&self.sightings),
+            observations: Rc::clone(&self.observations),
         })
     }
 
     fn callers(
         &self,
         seed: u64,
-        operator: &OperatorPlan,
-        over: &Rc<Cell<bool>>,
+        operator: &OperatorContext,
+        finished: &Rc<Cell<bool>>,
     ) -> Vec<actix_rt::task::JoinHandle<()>> {
         let nodes = self.fleet.nodes.iter().map(|node| node.callers);
-        let plan = Rc::new(CallerPlan {
+        let plan = Rc::new(CallerContext {
             nodes: nodes.collect(),
             routes: Rc::clone(&operator.routes),
-            over: Rc::clone(over),
+            finished: Rc::clone(finished),
             started: self.started,
-            sightings: Rc::clone(&self.sightings),
+            observations: Rc::clone(&self.observations),
         });
         let callers = 0..CALLERS;
         let callers = callers.map(|number| {
             let seed = seed.wrapping_mul(CALLERS).wrapping_add(number);
-            actix_rt::spawn(callers::call_on(Rc::clone(&plan), seed))
+            actix_rt::spawn(callers::run_caller(Rc::clone(&plan), seed))
         });
         callers.collect()
     }
 
-    /// Waits until every server is announced and every node serves.
-    async fn come_up(&self, operator: &OperatorPlan) -> Result<(), SoakError> {
-        let up = async {
+    /// Waits until every server is announced and every node answers requests.
+    async fn wait_until_ready(
+        &self,
+        operator: &OperatorContext,
+    ) -> Result<(), SoakError> {
+        let ready = async {
             for at in 0..NODES {
                 self.fleet.announce(at).await;
             }
             while operator.routes.get() == 0 {
-                actix_rt::time::sleep(LOOK_EVERY).await;
+                actix_rt::time::sleep(POLL_INTERVAL).await;
             }
             let client = awc::Client::default();
             for node in &self.fleet.nodes {
@@ -203,17 +208,18 @@
                     if answer.is_ok_and(|answer| answer.status().is_success()) {
                         break;
                     }
-                    actix_rt::time::sleep(LOOK_EVERY).await;
+                    actix_rt::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        let longest = Duration::from_secs(UP_SECONDS_MAX);
-        let up = actix_rt::time::timeout(longest, up).await;
-        up.map_err(|_| SoakError::NeverUp(UP_SECONDS_MAX))
+        let start_timeout = Duration::from_secs(START_SECONDS_MAX);
+        let ready = actix_rt::time::timeout(start_timeout, ready).await;
+        ready.map_err(|_| SoakError::StartTimeout(START_SECONDS_MAX))
     }
 
-    /// Plays all faults at their times, each in a task of its own, and rests.
-    async fn play_faults(
+    /// Injects each fault at its time in a task of its own, waits until all are
+    /// undone, restarts processes that are down and lets the fleet recover.
+    async fn inject_faults(
         self: &Rc<Self>,
         faults: &[TimedFault],
     ) -> Result<(), SoakError> {
@@ -222,55 +228,55 @@
             let wait = timed.at.saturating_sub(began.elapsed());
             actix_rt::time::sleep(wait).await;
             info!("event=fault at={:?} fault=\"{:?}\"", timed.at, timed.fault);
-            self.under_way.set(self.under_way.get() + 1);
+            self.active_faults.set(self.active_faults.get() + 1);
             let run = Rc::clone(self);
             let fault = timed.fault;
             actix_rt::spawn(async move {
-                if let Err(error) = run.play_fault(fault).await {
-                    let seen = format!("the soak could not play {fault:?}: {error}");
-                    run.sightings.borrow_mut().own_ends.push(seen);
+                if let Err(error) = run.inject_fault(fault).await {
+                    let details = format!("the soak could not inject {fault:?}: {error}");
+                    run.observations.borrow_mut().unexpected_exits.push(details);
                 }
-                run.under_way.set(run.under_way.get() - 1);
+                run.active_faults.set(run.active_faults.get() - 1);
             });
         }
-        while self.under_way.get() > 0 {
-            actix_rt::time::sleep(LOOK_EVERY).await;
+        while self.active_faults.get() > 0 {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
-        for place in self.fleet.places() {
-            self.start(place).await?;
+        for id in self.fleet.process_ids() {
+            self.start(id).await?;
         }
-        actix_rt::time::sleep(REST + LAST_PART).await;
+        actix_rt::time::sleep(SETTLE_TIME + RECOVERY_WINDOW).await;
         Ok(())
     }
 
-    async fn play_fault(&self, fault: Fault) -> Result<(), SoakError> {
+    async fn inject_fault(&self, fault: Fault) -> Result<(), SoakError> {
         let from = self.started.elapsed();
         match fault {
-            Fault::Pause(place, time) => {
-                self.signal(place, Signal::SIGSTOP)?;
+            Fault::Pause(id, time) => {
+                self.signal(id, Signal::SIGSTOP)?;
                 actix_rt::time::sleep(time).await;
-                self.signal(place, Signal::SIGCONT)?;
+                self.signal(id, Signal::SIGCONT)?;
             }
-            Fault::Kill(place, time) => self.kill(place, time, |_| Ok(())).await?,
+            Fault::Kill(id, time) => self.kill(id, time, |_| Ok(())).await?,
             Fault::TornWrite(at, time) => {
-                let tear = |fleet: &SoakFleet| fleet.tear_log(at);
-                self.kill(Place::Control(at), time, tear).await?;
+                let tear = |fleet: &SoakFleet| fleet.append_torn_record(at);
+                self.kill(ProcessId::Control(at), time, tear).await?;
             }
             Fault::Wipe(at, time) => {
                 let empty = |fleet: &SoakFleet| fleet.empty_folder(at);
-                self.kill(Place::Control(at), time, empty).await?;
+                self.kill(ProcessId::Control(at), time, empty).await?;
             }
             Fault::Replace(at, time) => self.replace(at, time).await?,
             Fault::ReplaceAndKillAll(at, time) => {
                 self.replace(at, time).await?;
                 self.kill_all(time).await?;
             }
-            Fault::Stop(place, time) => return self.stop(place, time).await,
-            Fault::Reload(place) => return self.signal(place, Signal::SIGHUP),
+            Fault::Stop(id, time) => return self.stop(id, time).await,
+            Fault::Reload(id) => return self.signal(id, Signal::SIGHUP),
             Fault::Link(link, mode, time) => {
-                self.fleet.proxy(link).set(mode);
+                self.fleet.proxy(link).set_mode(mode);
                 actix_rt::time::sleep(time).await;
-                self.fleet.proxy(link).set(LinkMode::Pass);
+                self.fleet.proxy(link).set_mode(LinkMode::Pass);
             }
             Fault::Drain(at, time) => {
                 let local = self.fleet.nodes[at].local;
@@ -282,123 +288,126 @@
             }
             Fault::KillAll(time) => self.kill_all(time).await?,
         }
-        self.note_trouble(felt_by(fault), from);
+        self.record_disruption(disrupted_node(fault), from);
         Ok(())
     }
 
-    /// Kills a process, has `harm` done to what it leaves, and starts it again.
+    /// Kills a process, applies `damage` to its files, and restarts it after `time`.
     async fn kill(
         &self,
-        place: Place,
+        id: ProcessId,
         time: Duration,
-        harm: impl FnOnce(&SoakFleet) -> Result<(), SoakError>,
+        damage: impl FnOnce(&SoakFleet) -> Result<(), SoakError>,
     ) -> Result<(), SoakError> {
-        self.fleet.process(place).borrow_mut().kill()?;
-        harm(&self.fleet)?;
+        self.fleet.process(id).borrow_mut().kill()?;
+        damage(&self.fleet)?;
         actix_rt::time::sleep(time).await;
-        self.start(place).await
+        self.start(id).await
     }
 
     async fn kill_all(&self, time: Duration) -> Result<(), SoakError> {
-        for place in self.fleet.places() {
-            self.fleet.process(place).borrow_mut().kill()?;
+        for id in self.fleet.process_ids() {
+            self.fleet.process(id).borrow_mut().kill()?;
         }
         actix_rt::time::sleep(time).await;
-        for place in self.fleet.places() {
-            self.start(place).await?;
+        for id in self.fleet.process_ids() {
+            self.start(id).await?;
         }
         Ok(())
     }
 
-    /// Replaces a control instance; the others hear of its successor's address
-    /// once it has started.
+    /// Replaces a control instance. Once the successor has started, the others
+    /// reload their settings, which contain its address.
     async fn replace(&self, at: usize, time: Duration) -> Result<(), SoakError> {
         let replace = |fleet: &SoakFleet| fleet.replace_control(at);
-        self.kill(Place::Control(at), time, replace).await?;
+        self.kill(ProcessId::Control(at), time, replace).await?;
         for other in (0..CONTROLS).filter(|other| *other != at) {
-            self.signal(Place::Control(other), Signal::SIGHUP)?;
+            self.signal(ProcessId::Control(other), Signal::SIGHUP)?;
         }
         Ok(())
     }
 
-    /// A planned stop, checked, and a start some time after its end.
-    async fn stop(&self, place: Place, time: Duration) -> Result<(), SoakError> {
-        let asked = self.started.elapsed();
-        self.asked.borrow_mut().insert(place);
-        self.signal(place, Signal::SIGTERM)?;
-        let process = self.fleet.process(place);
+    /// Stops a process with SIGTERM, records how a node exited, and restarts it
+    /// `time` later.
+    async fn stop(&self, id: ProcessId, time: Duration) -> Result<(), SoakError> {
+        let requested = self.started.elapsed();
+        self.stop_requested.borrow_mut().insert(id);
+        self.signal(id, Signal::SIGTERM)?;
+        let process = self.fleet.process(id);
         let mut status = None;
-        while self.started.elapsed() < asked + PLANNED_STOP_MAX {
-            status = process.borrow_mut().ended()?;
-            if status.is_some() || !process.borrow().runs() {
+        while self.started.elapsed() < requested + PLANNED_STOP_MAX {
+            status = process.borrow_mut().try_wait()?;
+            if status.is_some() || !process.borrow().is_running() {
                 break;
             }
-            actix_rt::time::sleep(LOOK_EVERY).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         let ended = self.started.elapsed();
-        // Killed by another fault meanwhile, it is no planned stop any more.
-        let killed = status.is_none() && !process.borrow().runs();
+        // A process that another fault killed in the meantime says nothing about
+        // planned stops.
+        let killed = status.is_none() && !process.borrow().is_running();
         process.borrow_mut().kill()?;
-        self.asked.borrow_mut().remove(&place);
-        if let (Place::Node(node), false) = (place, killed) {
-            self.sightings.borrow_mut().stops.push(PlannedStop {
+        self.stop_requested.borrow_mut().remove(&id);
+        if let (ProcessId::Node(node), false) = (id, killed) {
+            self.observations.borrow_mut().stops.push(PlannedStop {
                 node,
-                asked,
+                requested,
                 ended,
                 clean: status.is_some_and(|status| status.success()),
             });
         }
         actix_rt::time::sleep(time).await;
-        self.start(place).await?;
-        self.note_trouble(node_of(place), ended);
+        self.start(id).await?;
+        self.record_disruption(node_index(id), ended);
         Ok(())
     }
 
-    fn signal(&self, place: Place, signal: Signal) -> Result<(), SoakError> {
-        self.fleet.process(place).borrow().signal(signal)
+    fn signal(&self, id: ProcessId, signal: Signal) -> Result<(), SoakError> {
+        self.fleet.process(id).borrow().signal(signal)
     }
 
-    /// Starts a process where it does not run; a node's server announces
-    /// itself to it again.
-    async fn start(&self, place: Place) -> Result<(), SoakError> {
-        if self.fleet.process(place).borrow().runs() {
+    /// Starts a process unless it is running, and announces a node's backend
+    /// server to it again.
+    async fn start(&self, id: ProcessId) -> Result<(), SoakError> {
+        if self.fleet.process(id).borrow().is_running() {
             return Ok(());
         }
-        self.fleet.process(place).borrow_mut().start()?;
-        let Place::Node(at) = place else {
+        self.fleet.process(id).borrow_mut().start()?;
+        let ProcessId::Node(at) = id else {
             return Ok(());
         };
         let start = (at, self.started.elapsed());
-        self.sightings.borrow_mut().starts.push(start);
+        self.observations.borrow_mut().starts.push(start);
         self.fleet.announce(at).await;
         Ok(())
     }
 
-    fn note_trouble(&self, node: Option<usize>, from: Duration) {
-        let until = self.started.elapsed() + AFTERMATH;
-        let trouble = TroubledTime { node, from, until };
-        self.sightings.borrow_mut().troubles.push(trouble);
+    fn record_disruption(&self, node: Option<usize>, from: Duration) {
+        let until = self.started.elapsed() + RECOVERY_TIME;
+        let disruption = Disruption { node, from, until };
+        self.observations.borrow_mut().disruptions.push(disruption);
     }
 
     async fn stop_all(&self) -> Result<(), SoakError> {
-        for place in self.fleet.places() {
-            self.fleet.process(place).borrow_mut().kill()?;
+        for id in self.fleet.process_ids() {
+            self.fleet.process(id).borrow_mut().kill()?;
         }
         Ok(())
     }
 }
 
-fn node_of(place: Place) -> Option<usize> {
-    match place {
-        Place::Node(at) => Some(at),
-        Place::Control(_) => None,
+fn node_index(id: ProcessId) -> Option<usize> {
+    match id {
+        ProcessId::Node(at) => Some(at),
+        ProcessId::Control(_) => None,
     }
 }
 
-/// The node that alone feels a fault; `None` where the whole fleet may.
-fn felt_by(fault: Fault) -> Option<usize> {
+/// Returns the only node that a fault affects; `None` if it may affect the whole
+/// fleet.
+fn disrupted_node(fault: Fault) -> Option<usize> {
     match fault {
-        Fault::Pause(place, _) | Fault::Kill(place, _) => node_of(place),
+        Fault::Pause(id, _) | Fault::Kill(id, _) => node_index(id),
         Fault::Link(Link::ToServer(at), ..) => Some(at),
         _ => None,
     }
--- a/soak/tests/promises.rs
+++ b/soak/tests/promises.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use cowslip_soak::promises;
-use cowslip_soak::sightings::AcceptedRoute;
-use cowslip_soak::sightings::Outcome;
-use cowslip_soak::sightings::PlannedStop;
-use cowslip_soak::sightings::SentCall;
-use cowslip_soak::sightings::Sightings;
-use cowslip_soak::sightings::TroubledTime;
+use cowslip_soak::invariants;
+use cowslip_soak::observations::AcceptedRoute;
+use cowslip_soak::observations::CallOutcome;
+use cowslip_soak::observations::Disruption;
+use cowslip_soak::observations::Observations;
+use cowslip_soak::observations::PlannedStop;
+use cowslip_soak::observations::SentCall;
 
 const END: Duration = Duration::from_secs(60);
 
@@ -16,11 +16,11 @@
     Duration::from_secs(seconds)
 }
 
-fn call(id: &str, sent: u64, probe: Option<u64>, outcome: Outcome) -> SentCall {
+fn call(id: &str, sent: u64, probe: Option<u64>, outcome: CallOutcome) -> SentCall {
     SentCall {
         id: id.into(),
         node: 1,
-        once: true,
+        at_most_once: true,
         probe,
         sent: secs(sent),
         ended: secs(sent + 1),
@@ -28,8 +28,8 @@
     }
 }
 
-fn refused(reason: &str) -> Outcome {
-    Outcome::Refused {
+fn refused(reason: &str) -> CallOutcome {
+    CallOutcome::Refused {
         status: 503,
         verdict: "not-run".to_owned(),
         reason: reason.to_owned(),
@@ -37,126 +37,146 @@
 }
 
 /// Promises broken by these calls; a good one at the end shows recovery.
-fn broken(
+fn violations(
     calls: Vec<SentCall>,
-    adjust: impl FnOnce(&mut Sightings),
+    adjust: impl FnOnce(&mut Observations),
 ) -> Vec<&'static str> {
-    let mut sightings = Sightings {
+    let mut observations = Observations {
         calls,
-        ..Sightings::default()
+        ..Observations::default()
     };
-    let last = call("last", 58, None, Outcome::Answered(true));
-    sightings.calls.push(last);
-    adjust(&mut sightings);
-    let broken = promises::broken(&sightings, END);
-    broken.into_iter().map(|broken| broken.promise).collect()
+    let last = call("last", 58, None, CallOutcome::Answered(true));
+    observations.calls.push(last);
+    adjust(&mut observations);
+    let violations = invariants::violations(&observations, END);
+    violations
+        .into_iter()
+        .map(|violation| violation.invariant)
+        .collect()
 }
 
 #[test]
 fn each_broken_promise_is_found() {
-    let nothing = |_: &mut Sightings| {};
-    let good = call("a", 1, None, Outcome::Answered(true));
-    assert!(broken(vec![good.clone()], nothing).is_empty());
+    let nothing = |_: &mut Observations| {};
+    let good = call("a", 1, None, CallOutcome::Answered(true));
+    assert!(violations(vec![good.clone()], nothing).is_empty());
 
-    let foreign = call("a", 1, None, Outcome::Answered(false));
+    let foreign = call("a", 1, None, CallOutcome::Answered(false));
     assert_eq!(
-        broken(vec![foreign], nothing),
-        ["answers are the caller's own"]
+        violations(vec![foreign], nothing),
+        ["an answer belongs to its request"]
     );
 
-    let twice = |sightings: &mut Sightings| {
-        sightings.begun.insert("a".into(), vec![secs(1), secs(2)]);
+    let twice = |observations: &mut Observations| {
+        observations
+            .executions
+            .insert("a".into(), vec![secs(1), secs(2)]);
     };
-    assert_eq!(broken(vec![good], twice), ["at most once"]);
+    assert_eq!(
+        violations(vec![good], twice),
+        ["a request runs at most once"]
+    );
 
-    let untrue = |sightings: &mut Sightings| {
-        sightings.begun.insert("a".into(), vec![secs(1)]);
+    let untrue = |observations: &mut Observations| {
+        observations.executions.insert("a".into(), vec![secs(1)]);
     };
     let said = call("a", 1, None, refused("queue-full"));
-    assert_eq!(broken(vec![said], untrue), ["not run is true"]);
+    assert_eq!(
+        violations(vec![said], untrue),
+        ["a request answered as not run did not run"]
+    );
 
-    let lost = |sightings: &mut Sightings| {
-        sightings.accepted.push(AcceptedRoute {
+    let lost = |observations: &mut Observations| {
+        observations.accepted.push(AcceptedRoute {
             route: 4,
             at: secs(1),
         });
     };
-    assert_eq!(broken(vec![], lost), ["accepted changes are kept"]);
+    assert_eq!(violations(vec![], lost), ["accepted changes are durable"]);
 
-    let failing = call("b", 59, None, Outcome::NoConnection);
-    assert_eq!(broken(vec![failing], nothing), ["the fleet recovers"]);
+    let failing = call("b", 59, None, CallOutcome::NoConnection);
+    assert_eq!(violations(vec![failing], nothing), ["the fleet recovers"]);
 
-    let ended = |sightings: &mut Sightings| sightings.own_ends.push("node-1".into());
-    assert_eq!(broken(vec![], ended), ["no process ends by itself"]);
+    let ended = |observations: &mut Observations| {
+        observations.unexpected_exits.push("node-1".into())
+    };
+    assert_eq!(violations(vec![], ended), ["no process exits unexpectedly"]);
 
-    let late = |sightings: &mut Sightings| {
-        sightings.after_drain.push((1, "a".into(), secs(5)));
+    let late = |observations: &mut Observations| {
+        observations.after_drain.push((1, "a".into(), secs(5)));
     };
-    let promise = ["nothing reaches a server that has left"];
-    assert_eq!(broken(vec![], late), promise);
+    let invariant = ["a drained server receives no requests"];
+    assert_eq!(violations(vec![], late), invariant);
 }
 
 #[test]
 fn a_control_instance_that_never_votes_is_found() {
-    let voters =
-        |live: usize| move |sightings: &mut Sightings| sightings.live_voters = Some(live);
-    let promise = ["lost control instances are made good"];
-    assert_eq!(broken(vec![], voters(2)), promise);
-    assert!(broken(vec![], voters(3)).is_empty());
+    let voters = |live: usize| {
+        move |observations: &mut Observations| observations.live_voters = Some(live)
+    };
+    let invariant = ["lost control instances are replaced by voters"];
+    assert_eq!(violations(vec![], voters(2)), invariant);
+    assert!(violations(vec![], voters(3)).is_empty());
 }
 
 #[test]
 fn a_version_that_goes_back_is_found_until_the_node_starts_anew() {
-    let served = call("a", 1, Some(3), Outcome::Answered(true));
+    let served = call("a", 1, Some(3), CallOutcome::Answered(true));
     let gone = call("b", 5, Some(2), refused("no-route"));
     let calls = vec![served, gone];
-    let nothing = |_: &mut Sightings| {};
-    assert_eq!(broken(calls.clone(), nothing), ["no version goes back"]);
-    let restarted = |sightings: &mut Sightings| sightings.starts.push((1, secs(3)));
-    assert!(broken(calls, restarted).is_empty());
+    let nothing = |_: &mut Observations| {};
+    assert_eq!(
+        violations(calls.clone(), nothing),
+        ["no node returns to an older configuration"]
+    );
+    let restarted =
+        |observations: &mut Observations| observations.starts.push((1, secs(3)));
+    assert!(violations(calls, restarted).is_empty());
 }
 
 #[test]
 fn a_change_not_in_force_is_found_unless_the_node_was_troubled() {
-    let accept = |sightings: &mut Sightings| {
-        sightings.accepted.push(AcceptedRoute {
+    let accept = |observations: &mut Observations| {
+        observations.accepted.push(AcceptedRoute {
             route: 4,
             at: secs(10),
         });
-        sightings.read_back.push(4);
+        observations.final_routes.push(4);
     };
     let early = call("a", 12, Some(4), refused("no-route"));
-    assert!(broken(vec![early], accept).is_empty());
+    assert!(violations(vec![early], accept).is_empty());
     let late = call("a", 14, Some(4), refused("no-route"));
-    let promise = ["accepted changes are in force"];
-    assert_eq!(broken(vec![late.clone()], accept), promise);
-    let troubled = |sightings: &mut Sightings| {
-        accept(sightings);
+    let invariant = ["accepted changes come into force"];
+    assert_eq!(violations(vec![late.clone()], accept), invariant);
+    let is_disrupted = |observations: &mut Observations| {
+        accept(observations);
         let (from, until) = (secs(8), secs(11));
         let node = Some(1);
-        sightings.troubles.push(TroubledTime { node, from, until });
+        observations
+            .disruptions
+            .push(Disruption { node, from, until });
     };
-    assert!(broken(vec![late], troubled).is_empty());
+    assert!(violations(vec![late], is_disrupted).is_empty());
 }
 
 #[test]
 fn a_planned_stop_that_cuts_is_found() {
     let stop = |clean: bool| {
-        move |sightings: &mut Sightings| {
-            sightings.stops.push(PlannedStop {
+        move |observations: &mut Observations| {
+            observations.stops.push(PlannedStop {
                 node: 1,
-                asked: secs(10),
+                requested: secs(10),
                 ended: secs(12),
                 clean,
             });
         }
     };
-    let mut cut = call("a", 9, None, Outcome::Cut);
+    let mut cut = call("a", 9, None, CallOutcome::Cut);
     cut.ended = secs(11);
     assert_eq!(
-        broken(vec![cut], stop(true)),
-        ["a planned stop cuts nothing"]
+        violations(vec![cut], stop(true)),
+        ["a planned stop interrupts no request"]
     );
-    let promise = ["a planned stop ends in time and well"];
-    assert_eq!(broken(vec![], stop(false)), promise);
+    let invariant = ["a planned stop succeeds in time"];
+    assert_eq!(violations(vec![], stop(false)), invariant);
 }
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -12,12 +12,12 @@
     let programs = soak.parent().expect("a folder of programs");
     let folder = tempfile::tempdir().expect("a folder");
     let time = Duration::from_secs(seconds);
-    let played = soak_run::play(seed, time, programs, folder.path());
-    let played = actix_rt::System::new().block_on(played);
-    let report = played.expect("the soak can be played");
-    if !report.broken.is_empty() {
+    let run = soak_run::run_seed(seed, time, programs, folder.path());
+    let run = actix_rt::System::new().block_on(run);
+    let report = run.expect("the soak can be played");
+    if !report.violations.is_empty() {
         let kept = folder.keep();
-        panic!("seed {seed}, logs in {kept:?}: {:#?}", report.broken);
+        panic!("seed {seed}, logs in {kept:?}: {:#?}", report.violations);
     }
     assert!(report.calls > 500, "{report:?}");
     assert!(report.accepted > 5, "{report:?}");
@@ -42,7 +42,7 @@
         let mut free = Duration::ZERO;
         for loss in losses {
             assert!(loss.at >= free, "seed {seed}: {faults:?}");
-            free = loss.at + loss.fault.time();
+            free = loss.at + loss.fault.duration();
         }
     }
 }
