--- a/soak/tests/promises.rs
+++ b/soak/tests/promises.rs
@@ -1,4 +1,4 @@
-//! The checks of the soak, on sightings that break each promise.
+//! Tests that the soak's checks find a violation of each invariant.
 
 use std::time::Duration;
 
@@ -36,7 +36,8 @@
     }
 }
 
-/// Promises broken by these calls; a good one at the end shows recovery.
+/// Returns the invariants that these calls violate, with the observations changed
+/// by `adjust`. An answered call is added at the end, so that the fleet recovers.
 fn violations(
     calls: Vec<SentCall>,
     adjust: impl FnOnce(&mut Observations),
@@ -56,57 +57,60 @@
 }
 
 #[test]
-fn each_broken_promise_is_found() {
+fn each_violation_is_found() {
     let nothing = |_: &mut Observations| {};
     let good = call("a", 1, None, CallOutcome::Answered(true));
     assert!(violations(vec![good.clone()], nothing).is_empty());
 
-    let foreign = call("a", 1, None, CallOutcome::Answered(false));
+    let wrong_answer = call("a", 1, None, CallOutcome::Answered(false));
     assert_eq!(
-        violations(vec![foreign], nothing),
+        violations(vec![wrong_answer], nothing),
         ["an answer belongs to its request"]
     );
 
-    let twice = |observations: &mut Observations| {
+    let run_twice = |observations: &mut Observations| {
         observations
             .executions
             .insert("a".into(), vec![secs(1), secs(2)]);
     };
     assert_eq!(
-        violations(vec![good], twice),
+        violations(vec![good], run_twice),
         ["a request runs at most once"]
     );
 
-    let untrue = |observations: &mut Observations| {
+    let run_once = |observations: &mut Observations| {
         observations.executions.insert("a".into(), vec![secs(1)]);
     };
-    let said = call("a", 1, None, refused("queue-full"));
+    let refused_call = call("a", 1, None, refused("queue-full"));
     assert_eq!(
-        violations(vec![said], untrue),
+        violations(vec![refused_call], run_once),
         ["a request answered as not run did not run"]
     );
 
-    let lost = |observations: &mut Observations| {
+    let lose_change = |observations: &mut Observations| {
         observations.accepted.push(AcceptedRoute {
             route: 4,
             at: secs(1),
         });
     };
-    assert_eq!(violations(vec![], lost), ["accepted changes are durable"]);
+    assert_eq!(
+        violations(vec![], lose_change),
+        ["accepted changes are durable"]
+    );
 
     let failing = call("b", 59, None, CallOutcome::NoConnection);
     assert_eq!(violations(vec![failing], nothing), ["the fleet recovers"]);
 
-    let ended = |observations: &mut Observations| {
+    let exit = |observations: &mut Observations| {
         observations.unexpected_exits.push("node-1".into())
     };
-    assert_eq!(violations(vec![], ended), ["no process exits unexpectedly"]);
+    assert_eq!(violations(vec![], exit), ["no process exits unexpectedly"]);
 
-    let late = |observations: &mut Observations| {
+    let after_drain = |observations: &mut Observations| {
         observations.after_drain.push((1, "a".into(), secs(5)));
     };
     let invariant = ["a drained server receives no requests"];
-    assert_eq!(violations(vec![], late), invariant);
+    assert_eq!(violations(vec![], after_drain), invariant);
 }
 
 #[test]
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn a_version_that_goes_back_is_found_until_the_node_starts_anew() {
+fn a_return_to_an_older_version_is_found_unless_the_node_restarted() {
     let served = call("a", 1, Some(3), CallOutcome::Answered(true));
     let gone = call("b", 5, Some(2), refused("no-route"));
     let calls = vec![served, gone];
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn a_change_not_in_force_is_found_unless_the_node_was_troubled() {
+fn a_change_not_in_force_is_found_unless_the_node_was_disrupted() {
     let accept = |observations: &mut Observations| {
         observations.accepted.push(AcceptedRoute {
             route: 4,
@@ -148,7 +152,7 @@
     let late = call("a", 14, Some(4), refused("no-route"));
     let invariant = ["accepted changes come into force"];
     assert_eq!(violations(vec![late.clone()], accept), invariant);
-    let is_disrupted = |observations: &mut Observations| {
+    let disrupt = |observations: &mut Observations| {
         accept(observations);
         let (from, until) = (secs(8), secs(11));
         let node = Some(1);
@@ -156,11 +160,11 @@
             .disruptions
             .push(Disruption { node, from, until });
     };
-    assert!(violations(vec![late], is_disrupted).is_empty());
+    assert!(violations(vec![late], disrupt).is_empty());
 }
 
 #[test]
-fn a_planned_stop_that_cuts_is_found() {
+fn a_planned_stop_that_interrupts_a_request_is_found() {
     let stop = |clean: bool| {
         move |observations: &mut Observations| {
             observations.stops.push(PlannedStop {
@@ -171,10 +175,10 @@
             });
         }
     };
-    let mut cut = call("a", 9, None, CallOutcome::Cut);
-    cut.ended = secs(11);
+    let mut interrupted = call("a", 9, None, CallOutcome::Cut);
+    interrupted.ended = secs(11);
     assert_eq!(
-        violations(vec![cut], stop(true)),
+        violations(vec![interrupted], stop(true)),
         ["a planned stop interrupts no request"]
     );
     let invariant = ["a planned stop succeeds in time"];
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -1,4 +1,5 @@
-//! A short seeded soak, and every seed that ever failed.
+//! A short soak run with a fixed seed, and tests of the fault schedule. Seeds
+//! that made a run fail are added here.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,14 +8,14 @@
 use cowslip_soak::fault_plan::Fault;
 use cowslip_soak::soak_run;
 
-fn play(seed: u64, seconds: u64) {
+fn run_seed(seed: u64, seconds: u64) {
     let soak = Path::new(env!("CARGO_BIN_EXE_cowslip-soak"));
     let programs = soak.parent().expect("a folder of programs");
     let folder = tempfile::tempdir().expect("a folder");
     let time = Duration::from_secs(seconds);
-    let run = soak_run::run_seed(seed, time, programs, folder.path());
-    let run = actix_rt::System::new().block_on(run);
-    let report = run.expect("the soak can be played");
+    let report = soak_run::run_seed(seed, time, programs, folder.path());
+    let report = actix_rt::System::new().block_on(report);
+    let report = report.expect("the soak can run");
     if !report.violations.is_empty() {
         let kept = folder.keep();
         panic!("seed {seed}, logs in {kept:?}: {:#?}", report.violations);
@@ -25,11 +26,12 @@
 
 #[test]
 fn a_short_run_keeps_every_promise() {
-    play(1, 8);
+    run_seed(1, 8);
 }
 
-// The same seed brings the same faults, or it could not be repeated; and one
-// control instance is away at a time, or nothing acknowledged could be kept.
+// A seed must always give the same faults, or a failed run could not be repeated.
+// Only one control instance may be down at a time, or acknowledged changes could
+// be lost.
 #[test]
 fn a_seed_gives_its_faults() {
     let time = Duration::from_secs(60);
