--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -147,8 +147,8 @@
     state.record_request(&id);
     let body = match http_reply::read_body(&mut request, BODY_BYTES_MAX).await {
         Ok(body) => body,
-        Err(fault) => {
-            return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
+        Err(error) => {
+            return http_reply::text(StatusCode::BAD_REQUEST, error.to_string())
         }
     };
     let work = rand::rng().random_range(1..WORK_MS_MAX);
--- a/soak/src/bin/cowslip-soak.rs
+++ b/soak/src/bin/cowslip-soak.rs
@@ -89,7 +89,7 @@
     let mut hangup = signal(SignalKind::hangup())?;
     tokio::select! {
         report = seed_run => report,
-        asked = stop_signal::wait() => Err(asked.map_or_else(
+        stopped = stop_signal::wait() => Err(stopped.map_or_else(
             SoakError::from,
             |()| SoakError::Interrupted,
         )),
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -70,9 +70,9 @@
     folder: PathBuf,
 }
 
-/// Returns a free address on a loopback IP that depends on the process ID, so
-/// that no outgoing connection can take the port before its owner binds it.
-/// `number` is the last octet.
+/// Returns a free address on a loopback IP derived from the process ID, which
+/// other processes do not use, so that no outgoing connection can take the port
+/// before its owner binds it. `number` is the last octet.
 fn unused_address(number: usize) -> Result<SocketAddr, SoakError> {
     let pid = std::process::id().to_be_bytes();
     let host = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number as u8));
--- a/soak/src/soak_run.rs
+++ b/soak/src/soak_run.rs
@@ -173,7 +173,7 @@
         finished: &Rc<Cell<bool>>,
     ) -> Vec<actix_rt::task::JoinHandle<()>> {
         let nodes = self.fleet.nodes.iter().map(|node| node.callers);
-        let plan = Rc::new(CallerContext {
+        let context = Rc::new(CallerContext {
             nodes: nodes.collect(),
             routes: Rc::clone(&operator.routes),
             finished: Rc::clone(finished),
@@ -183,7 +183,7 @@
         let callers = 0..CALLERS;
         let callers = callers.map(|number| {
             let seed = seed.wrapping_mul(CALLERS).wrapping_add(number);
-            actix_rt::spawn(callers::run_caller(Rc::clone(&plan), seed))
+            actix_rt::spawn(callers::run_caller(Rc::clone(&context), seed))
         });
         callers.collect()
     }
@@ -305,6 +305,7 @@
         self.start(id).await
     }
 
+    /// Kills all processes at once and restarts them after `time`.
     async fn kill_all(&self, time: Duration) -> Result<(), SoakError> {
         for id in self.fleet.process_ids() {
             self.fleet.process(id).borrow_mut().kill()?;
