--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -35,23 +35,23 @@
 use cowslip_core::claim::RunToken;
 use cowslip_wire::codec;
 
-const SEATS: [usize; 3] = [9, 300, 1_280];
+const SEAT_COUNTS: [usize; 3] = [9, 300, 1_280];
 const KEYS: u64 = 10_000;
 const CALLS: usize = 1_000;
 const ANSWER_BYTES: usize = 300;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 struct CountingAllocator;
 
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, block: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(block, layout) }
     }
 }
@@ -61,11 +61,11 @@
 
 fn main() {
     println!("seats  draw us  claim and end us  bytes a call  messages a call");
-    for seats in SEATS {
-        core_cost(seats);
+    for seats in SEAT_COUNTS {
+        measure_claims(seats);
     }
-    memory();
-    actix_rt::System::new().block_on(latency());
+    measure_memory();
+    actix_rt::System::new().block_on(measure_latency());
 }
 
 fn roster(seats: usize) -> HolderRoster {
@@ -108,7 +108,7 @@
 }
 
 /// Carries one phase to three holders; counts where asked.
-fn phase(
+fn run_phase(
     proposal: &mut ClaimProposal,
     holders: &mut [ClaimHolder],
     request: &ClaimRequest,
@@ -131,7 +131,7 @@
     last
 }
 
-fn call(
+fn run_call(
     subject: ClaimSubject,
     holders: &mut [ClaimHolder],
     cost: &mut Option<WireCost>,
@@ -139,10 +139,10 @@
     let mut proposal = ClaimProposal::claim(subject);
     let mut step = proposal.begin();
     while let ClaimStep::Send(request) = step {
-        step = phase(&mut proposal, holders, &request, cost);
+        step = run_phase(&mut proposal, holders, &request, cost);
     }
     let (mut proposal, request) = proposal.end_granted(answered());
-    phase(&mut proposal, holders, &request, cost);
+    run_phase(&mut proposal, holders, &request, cost);
     proposal
 }
 
@@ -154,46 +154,54 @@
     holders
 }
 
-fn core_cost(seats: usize) {
+fn measure_claims(seats: usize) {
     let roster = roster(seats);
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..KEYS {
         let key = ClaimKey::new("anna", "/contracts", &number.to_string());
         black_box(roster.holder_sets(&key.digest));
     }
-    let draw = began.elapsed();
+    let selection = started.elapsed();
     let mut held = holders();
     let sets = roster.holder_sets(&KeyDigest::of(&[b"any"]));
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..KEYS {
-        black_box(call(subject(number, sets.clone()), &mut held, &mut None));
+        black_box(run_call(
+            subject(number, sets.clone()),
+            &mut held,
+            &mut None,
+        ));
     }
-    let claimed = began.elapsed();
+    let claims = started.elapsed();
     let mut cost = Some(WireCost::default());
-    call(subject(KEYS, sets), &mut held, &mut cost);
+    run_call(subject(KEYS, sets), &mut held, &mut cost);
     let cost = cost.unwrap_or_default();
     println!(
         "{seats:5}  {:7.1}  {:16.1}  {:12}  {:15}",
-        each_us(draw),
-        each_us(claimed),
+        per_key_us(selection),
+        per_key_us(claims),
         cost.bytes,
         cost.messages
     );
 }
 
-fn each_us(taken: Duration) -> f64 {
+fn per_key_us(taken: Duration) -> f64 {
     taken.as_secs_f64() * 1e6 / KEYS as f64
 }
 
-fn memory() {
+fn measure_memory() {
     for keys in [1_000, 5_000, 10_000] {
         let sets = roster(9).holder_sets(&KeyDigest::of(&[b"any"]));
         let mut held = holders();
-        let before = HELD.load(Ordering::Relaxed);
+        let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
         for number in 0..keys {
-            drop(call(subject(number, sets.clone()), &mut held, &mut None));
+            drop(run_call(
+                subject(number, sets.clone()),
+                &mut held,
+                &mut None,
+            ));
         }
-        let bytes = HELD.load(Ordering::Relaxed) - before;
+        let bytes = ALLOCATED_BYTES.load(Ordering::Relaxed) - before;
         let each = bytes as f64 / 3.0 / keys as f64;
         println!(
             "memory: {keys} keys with answers of {ANSWER_BYTES} bytes: {each:.0} bytes a key and holder"
@@ -209,7 +217,7 @@
     format!("{:08x}-{low:04x}-7000-8000-{number:012x}", millis >> 16)
 }
 
-async fn latency() {
+async fn measure_latency() {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = DeploymentPlan::named("sidertre").expect("a known deployment");
     let fleet = LocalFleet::spawn(&plan, folder.path()).await;
@@ -226,12 +234,12 @@
     }
     let client = Client::default();
     let url = format!("http://{}/contracts/1", fleet.nodes[0].node.callers());
-    while one(&client, &url, Some(new_key(CALLS))).await != 200 {
+    while send_call(&client, &url, Some(new_key(CALLS))).await != 200 {
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
     for round in 0..3 {
-        let plain = calls(&client, &url, false, round).await;
-        let keyed = calls(&client, &url, true, round).await;
+        let plain = measure_calls(&client, &url, false, round).await;
+        let keyed = measure_calls(&client, &url, true, round).await;
         println!(
             "loopback, one call at a time, p50 / p99 ms: plain {:.2} / {:.2}, with key {:.2} / {:.2}",
             plain.0, plain.1, keyed.0, keyed.1
@@ -239,7 +247,7 @@
     }
 }
 
-async fn one(client: &Client, url: &str, key: Option<String>) -> u16 {
+async fn send_call(client: &Client, url: &str, key: Option<String>) -> u16 {
     let mut request = client.post(url);
     if let Some(key) = key {
         request = request.insert_header(("idempotency-key", key));
@@ -251,13 +259,18 @@
     response.status().as_u16()
 }
 
-async fn calls(client: &Client, url: &str, keyed: bool, round: usize) -> (f64, f64) {
+async fn measure_calls(
+    client: &Client,
+    url: &str,
+    keyed: bool,
+    round: usize,
+) -> (f64, f64) {
     let mut taken = Vec::with_capacity(CALLS);
     for number in 0..CALLS {
         let key = keyed.then(|| new_key(round * CALLS + number));
-        let began = Instant::now();
-        assert_eq!(one(client, url, key).await, 200, "a call failed");
-        taken.push(began.elapsed().as_secs_f64() * 1e3);
+        let started = Instant::now();
+        assert_eq!(send_call(client, url, key).await, 200, "a call failed");
+        taken.push(started.elapsed().as_secs_f64() * 1e3);
     }
     taken.sort_by(f64::total_cmp);
     (taken[CALLS / 2], taken[CALLS * 99 / 100])
--- a/crates/cli/benches/convergence.rs
+++ b/crates/cli/benches/convergence.rs
@@ -21,13 +21,13 @@
 const CHANGES: u64 = 30;
 
 /// Longest wait for one of them.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause between looks and between changes.
-const PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// 30, 100 and 300 nodes.
-const SIZES: [&[ServicePlan]; 3] = [
+const FLEET_SIZES: [&[ServicePlan]; 3] = [
     &[plan("contract", 20), plan("records", 10)],
     &[plan("contract", 70), plan("records", 30)],
     &[plan("contract", 200), plan("records", 100)],
@@ -37,7 +37,7 @@
 
 fn main() -> Result<(), AnyError> {
     println!("nodes  whole in s  done ms p50 / p99 / max of {CHANGES} changes");
-    for services in SIZES {
+    for services in FLEET_SIZES {
         actix_rt::System::new().block_on(measure(services))?;
     }
     Ok(())
@@ -60,15 +60,15 @@
     let fleet = LocalFleet::spawn(&plan, folder.path()).await?;
     let operator = fleet.operator();
     let document = ConfigChange::Apply(plan.document());
-    done(&operator, document, nodes).await?;
+    change_and_wait(&operator, document, nodes).await?;
     let whole = began.elapsed();
     let mut times = Vec::new();
     for value in 1..=CHANGES {
         let key = TuningKey::DeadlineMs;
         let value = 1_000 + value;
         let change = ConfigChange::SetDefault { key, value };
-        times.push(done(&operator, change, nodes).await?);
-        actix_rt::time::sleep(PAUSE).await;
+        times.push(change_and_wait(&operator, change, nodes).await?);
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     times.sort_unstable();
     let at = |part: usize| times[(times.len() * part).div_ceil(100) - 1];
@@ -83,21 +83,21 @@
 }
 
 /// Makes a change and waits until all `nodes` have it; the leader's figure.
-async fn done(
+async fn change_and_wait(
     operator: &ControlClient,
     change: ConfigChange,
     nodes: usize,
 ) -> Result<u64, AnyError> {
     let began = Instant::now();
-    while operator.ask(&StatusCall {}).await.map_or(0, count) < nodes {
-        if began.elapsed() > PATIENCE {
+    while operator.ask(&StatusCall {}).await.map_or(0, node_count) < nodes {
+        if began.elapsed() > CHANGE_TIMEOUT {
             return Err("not all nodes were heard of".into());
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let version = operator.change(new_request_id(), None, change).await?;
-    while began.elapsed() < PATIENCE {
-        actix_rt::time::sleep(PAUSE).await;
+    while began.elapsed() < CHANGE_TIMEOUT {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
         let call = MovesCall {
             version: Some(version),
         };
@@ -110,9 +110,9 @@
             return Ok(after);
         }
     }
-    Err(format!("{version} was not done within {PATIENCE:?}").into())
+    Err(format!("{version} was not done within {CHANGE_TIMEOUT:?}").into())
 }
 
-fn count(status: FleetStatus) -> usize {
+fn node_count(status: FleetStatus) -> usize {
     status.nodes.len()
 }
--- a/crates/cli/src/bin/cowslip-load.rs
+++ b/crates/cli/src/bin/cowslip-load.rs
@@ -90,11 +90,11 @@
         }
     }
     let report = RunReport {
-        calls: LoadReport::of(&tallies.calls),
+        calls: LoadReport::from_tally(&tallies.calls),
         against: args
             .against
             .as_ref()
-            .map(|_| LoadReport::of(&tallies.against)),
+            .map(|_| LoadReport::from_tally(&tallies.baseline)),
     };
     print(&report, args.json);
 }
@@ -102,15 +102,15 @@
 fn plan(args: &LoadArgs) -> LoadPlan {
     LoadPlan {
         targets: args.targets.clone(),
-        against: args.against.clone(),
+        baseline: args.against.clone(),
         method: args.method.clone(),
         body_bytes: args.body_bytes,
         customers: args.customers,
         deadline: args.deadline_ms.map(Duration::from_millis),
         rate: args.rate,
-        length: Duration::from_secs(args.seconds),
+        duration: Duration::from_secs(args.seconds),
         calls_max: args.calls_max.min(CALLS_MAX),
-        under_way_max: args.under_way_max,
+        in_flight_max: args.under_way_max,
         threads: args.threads,
         seed: args.seed,
     }
--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -34,10 +34,10 @@
 const CALLERS: usize = 16;
 
 /// Longest wait for a move; ten times the promise of seconds.
-const MOVE_PATIENCE: Duration = Duration::from_secs(30);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between looks at a move.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Starts a small fleet on loopback, sends calls through it, changes its
 /// configuration and prints what came of it.
@@ -80,10 +80,10 @@
     let fleet = Rc::new(LocalFleet::spawn(&plan, folder.path()).await?);
     print_fleet(&fleet);
     let operator = fleet.operator();
-    let held = show(&fleet, &operator, &plan).await?;
+    let passed = run_demo(&fleet, &operator, &plan).await?;
     println!(
         "{}",
-        if held {
+        if passed {
             "all of it held"
         } else {
             "something did not hold"
@@ -93,7 +93,7 @@
         println!("running until Ctrl-C");
         stop_signal::wait().await?;
     }
-    Ok(held)
+    Ok(passed)
 }
 
 fn print_fleet(fleet: &LocalFleet) {
@@ -111,7 +111,7 @@
     }
 }
 
-async fn show(
+async fn run_demo(
     fleet: &Rc<LocalFleet>,
     operator: &ControlClient,
     plan: &DeploymentPlan,
@@ -119,16 +119,16 @@
     let nodes = fleet.nodes.len() as u32;
     wait_for_nodes(operator, fleet.nodes.len()).await?;
     let first = change(operator, ConfigChange::Apply(plan.document())).await?;
-    let mut held = wait_for_move(operator, first, nodes).await?;
-    let calls = actix_rt::spawn(send_calls(Rc::clone(fleet), plan.open_paths()));
+    let mut passed = wait_for_move(operator, first, nodes).await?;
+    let calls = actix_rt::spawn(send_calls(Rc::clone(fleet), plan.external_paths()));
     let key = TuningKey::DeadlineMs;
     let second = change(operator, ConfigChange::SetDefault { key, value: 5_000 }).await?;
-    held &= wait_for_move(operator, second, nodes).await?;
+    passed &= wait_for_move(operator, second, nodes).await?;
     let third = change(operator, ConfigChange::AddException(exception(plan))).await?;
-    held &= wait_for_move(operator, third, nodes).await?;
+    passed &= wait_for_move(operator, third, nodes).await?;
     let whole = calls.await?;
     println!("calls    {whole} of {CALLS} answered whole");
-    Ok(held && whole == CALLS)
+    Ok(passed && whole == CALLS)
 }
 
 fn exception(plan: &DeploymentPlan) -> ExceptionEntry {
@@ -154,13 +154,13 @@
 /// Waits until every node has been heard of, so that a move's count of
 /// live nodes is the whole fleet's.
 async fn wait_for_nodes(operator: &ControlClient, nodes: usize) -> Result<(), AnyError> {
-    let began = Instant::now();
-    while began.elapsed() < MOVE_PATIENCE {
+    let started = Instant::now();
+    while started.elapsed() < MOVE_TIMEOUT {
         let status = operator.ask(&StatusCall {}).await?;
         if status.nodes.len() >= nodes {
             return Ok(());
         }
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     Err(format!("fewer than {nodes} nodes were heard of").into())
 }
@@ -170,7 +170,7 @@
     version: ConfigVersion,
     nodes: u32,
 ) -> Result<bool, AnyError> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let call = MovesCall {
             version: Some(version),
@@ -183,11 +183,11 @@
                 return Ok(true);
             }
         }
-        if began.elapsed() > MOVE_PATIENCE {
-            println!("move     {version} not done in {MOVE_PATIENCE:?}");
+        if started.elapsed() > MOVE_TIMEOUT {
+            println!("move     {version} not done in {MOVE_TIMEOUT:?}");
             return Ok(false);
         }
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -215,7 +215,7 @@
             let mut whole = 0;
             for number in (caller..CALLS).step_by(CALLERS) {
                 let path = paths[number % paths.len()];
-                whole += usize::from(one_call(&fleet, &client, path, number).await);
+                whole += usize::from(call_answered(&fleet, &client, path, number).await);
             }
             whole
         }));
@@ -227,7 +227,7 @@
     whole
 }
 
-async fn one_call(
+async fn call_answered(
     fleet: &LocalFleet,
     client: &Client,
     path: &str,
--- a/crates/cli/src/bin/cowslip-stand-in.rs
+++ b/crates/cli/src/bin/cowslip-stand-in.rs
@@ -7,7 +7,7 @@
 use bpaf::Bpaf;
 
 use cowslip_cli::stand_in::StandIn;
-use cowslip_cli::stand_in::StandInPlan;
+use cowslip_cli::stand_in::StandInConfig;
 use cowslip_cli::stand_in::CONNECTIONS_MAX;
 use cowslip_wire::command_args;
 use cowslip_wire::process_log;
@@ -52,14 +52,14 @@
 }
 
 async fn run(args: StandInArgs) -> std::io::Result<()> {
-    let server = StandIn::spawn(StandInPlan {
+    let server = StandIn::spawn(StandInConfig {
         instance: format!("{}-stand-in", args.service).into(),
         service: args.service.into(),
         version: args.version_run.into(),
         slots: args.slots,
-        connections: args.connections,
-        work: Duration::from_millis(args.work_ms),
-        cold: Duration::from_millis(args.cold_ms),
+        connections_max: args.connections,
+        work_time: Duration::from_millis(args.work_ms),
+        cold_start_time: Duration::from_millis(args.cold_ms),
     })?;
     server.announce(args.node).await?;
     println!("{}", server.address());
--- a/crates/cli/src/call_chain.rs
+++ b/crates/cli/src/call_chain.rs
@@ -16,42 +16,42 @@
 /// Where a stand-in's own calls go.
 pub struct CallChain {
     client: Client,
-    node: Cell<Option<SocketAddr>>,
-    own: Cell<Option<SocketAddr>>,
+    node_address: Cell<Option<SocketAddr>>,
+    own_address: Cell<Option<SocketAddr>>,
 }
 
 impl Default for CallChain {
     fn default() -> Self {
         Self {
             client: Client::builder().disable_timeout().finish(),
-            node: Cell::new(None),
-            own: Cell::new(None),
+            node_address: Cell::new(None),
+            own_address: Cell::new(None),
         }
     }
 }
 
 impl CallChain {
     /// Tells where the node beside the stand-in and the stand-in listen.
-    pub fn connect(&self, node: SocketAddr, own: SocketAddr) {
-        self.node.set(Some(node));
-        self.own.set(Some(own));
+    pub fn set_addresses(&self, node_address: SocketAddr, own_address: SocketAddr) {
+        self.node_address.set(Some(node_address));
+        self.own_address.set(Some(own_address));
     }
 
     /// Makes the call that `path` asks for, if it does. False where the call
     /// was made and not answered well.
-    pub async fn follow(&self, path: &str) -> bool {
-        let Some(onward) = OnwardPath::parse(path) else {
+    pub async fn make_next_call(&self, path: &str) -> bool {
+        let Some(next) = NextCall::parse(path) else {
             return true;
         };
-        let address = if onward.through_node {
-            self.node.get()
+        let address = if next.through_node {
+            self.node_address.get()
         } else {
-            self.own.get()
+            self.own_address.get()
         };
         let Some(address) = address else {
             return false;
         };
-        let sent = self.client.get(format!("http://{address}{}", onward.path));
+        let sent = self.client.get(format!("http://{address}{}", next.path));
         match sent.send().await {
             Ok(mut response) => {
                 response.body().await.is_ok() && response.status().is_success()
@@ -62,18 +62,18 @@
 }
 
 /// The next call of a chain.
-struct OnwardPath {
+struct NextCall {
     path: String,
     through_node: bool,
 }
 
-impl OnwardPath {
+impl NextCall {
     fn parse(path: &str) -> Option<Self> {
         let (rest, depth) = path.rsplit_once('/')?;
         let depth: u32 = depth.parse().ok()?;
         let through_node = rest.ends_with("/deep");
-        let follows = through_node || rest.ends_with("/straight");
-        if !follows || depth == 0 || depth > DEPTH_MAX {
+        let is_chained = through_node || rest.ends_with("/straight");
+        if !is_chained || depth == 0 || depth > DEPTH_MAX {
             return None;
         }
         Some(Self {
--- a/crates/cli/src/cmd.rs
+++ b/crates/cli/src/cmd.rs
@@ -7,8 +7,8 @@
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 
-mod accepted;
 mod apply;
+mod change_request;
 mod default;
 mod endpoints;
 mod exception;
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -6,9 +6,9 @@
 
 use cowslip_core::change::ConfigChange;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::document_file;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
@@ -28,5 +28,5 @@
 
 pub async fn run(config: &OperatorConfig, args: ApplyArgs) -> OperatorResult<()> {
     let document = document_file::read(&args.file)?;
-    accepted::send(config, args.change, ConfigChange::Apply(document)).await
+    change_request::send(config, args.change, ConfigChange::Apply(document)).await
 }
--- a/crates/cli/src/cmd/default.rs
+++ b/crates/cli/src/cmd/default.rs
@@ -8,9 +8,9 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_wire::messages::ShowCall;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
@@ -59,7 +59,8 @@
 pub async fn run(config: &OperatorConfig, args: DefaultArgs) -> OperatorResult<()> {
     match args {
         DefaultArgs::Set { change, key, value } => {
-            accepted::send(config, change, ConfigChange::SetDefault { key, value }).await
+            change_request::send(config, change, ConfigChange::SetDefault { key, value })
+                .await
         }
         DefaultArgs::List => list(config).await,
     }
--- a/crates/cli/src/cmd/endpoints.rs
+++ b/crates/cli/src/cmd/endpoints.rs
@@ -23,7 +23,7 @@
 }
 
 fn table(records: &[EndpointRecord]) -> String {
-    let heads = [
+    let headings = [
         "INSTANCE",
         "SERVICE",
         "VERSION",
@@ -32,7 +32,7 @@
         "SLOTS",
         "STANDING",
     ];
-    let mut table = TextTable::new(&heads);
+    let mut table = TextTable::new(&headings);
     for record in records {
         let standing = match record.standing {
             EndpointStanding::Serving => "serving",
--- a/crates/cli/src/cmd/exception.rs
+++ b/crates/cli/src/cmd/exception.rs
@@ -11,9 +11,9 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_wire::messages::ShowCall;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
@@ -103,11 +103,12 @@
                 value,
                 reason,
             };
-            accepted::send(config, change, ConfigChange::AddException(entry)).await
+            change_request::send(config, change, ConfigChange::AddException(entry)).await
         }
         ExceptionArgs::Remove { change, id } => {
             let id = id.into();
-            accepted::send(config, change, ConfigChange::RemoveException { id }).await
+            change_request::send(config, change, ConfigChange::RemoveException { id })
+                .await
         }
         ExceptionArgs::List => list(config).await,
     }
@@ -119,7 +120,7 @@
 }
 
 fn table(entries: &[ExceptionEntry]) -> String {
-    let heads = [
+    let headings = [
         "ID",
         "SERVICE",
         "ROUTE",
@@ -128,13 +129,13 @@
         "VALUE",
         "REASON",
     ];
-    let mut table = TextTable::new(&heads);
+    let mut table = TextTable::new(&headings);
     for entry in entries {
         table.row(vec![
             entry.id.to_string(),
-            any(&entry.scope.service),
-            any(&entry.scope.route),
-            any(&entry.scope.failure_domain),
+            name_or_any(&entry.scope.service),
+            name_or_any(&entry.scope.route),
+            name_or_any(&entry.scope.failure_domain),
             entry.key.to_string(),
             entry.value.to_string(),
             entry.reason.clone(),
@@ -143,6 +144,6 @@
     table.render()
 }
 
-fn any(name: &Option<Arc<str>>) -> String {
+fn name_or_any(name: &Option<Arc<str>>) -> String {
     name.as_deref().unwrap_or("any").to_owned()
 }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -39,21 +39,21 @@
 
 /// Everything the logs tell of a request.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct RequestStory {
+pub struct RequestTrace {
     /// Lines about it, in the order of time.
     pub lines: Vec<ExplainedLine>,
     /// Lines that are damaged: they name no time.
     pub damaged: usize,
 }
 
-impl RequestStory {
+impl RequestTrace {
     /// Takes the lines of one file that name `request`.
-    pub fn take(&mut self, file: &str, text: &str, request: &str) {
+    pub fn add_file(&mut self, file: &str, text: &str, request: &str) {
         for line in text.lines() {
-            if value(line, "request") != Some(request) {
+            if field(line, "request") != Some(request) {
                 continue;
             }
-            let at_ms = value(line, "at_ms").and_then(|at| at.parse().ok());
+            let at_ms = field(line, "at_ms").and_then(|at| at.parse().ok());
             let Some(at_ms) = at_ms else {
                 self.damaged += 1;
                 continue;
@@ -61,7 +61,7 @@
             self.lines.push(ExplainedLine {
                 at_ms,
                 file: file.to_owned(),
-                words: words(line),
+                words: describe(line),
                 line: line.to_owned(),
             });
         }
@@ -70,7 +70,7 @@
 }
 
 /// The value of `key` in a line of key=value pairs.
-fn value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
+fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     for pair in line.split_ascii_whitespace() {
         if let Some((name, value)) = pair.split_once('=') {
             if name == key {
@@ -81,20 +81,25 @@
     None
 }
 
-fn words(line: &str) -> String {
-    let get = |key| value(line, key).unwrap_or("unknown");
-    let ran = match get("verdict") {
+fn describe(line: &str) -> String {
+    let get = |key| field(line, key).unwrap_or("unknown");
+    let execution = match get("verdict") {
         "not-run" => "it has not run",
         "ran" => "it has run",
         _ => "it may have run",
     };
     match get("event") {
         "call-refused" if get("side") == "server" => {
-            format!("the server's node refused it: {}; {ran}", get("reason"))
+            format!(
+                "the server's node refused it: {}; {execution}",
+                get("reason")
+            )
+        }
+        "call-refused" => {
+            format!("its caller was refused: {}; {execution}", get("reason"))
         }
-        "call-refused" => format!("its caller was refused: {}; {ran}", get("reason")),
         "call-retried" => format!(
-            "a try at {} failed: {}; {ran}; another server was asked",
+            "a try at {} failed: {}; {execution}; another server was asked",
             get("server"),
             get("reason")
         ),
@@ -108,32 +113,32 @@
 }
 
 pub async fn run(config: &OperatorConfig, args: ExplainArgs) -> OperatorResult<()> {
-    let mut story = RequestStory::default();
+    let mut trace = RequestTrace::default();
     for path in &args.files {
         let file = path.display().to_string();
         let bytes = fs::read(path)
             .map_err(|error| OperatorError::Usage(format!("{file}: {error}")))?;
-        story.take(&file, &String::from_utf8_lossy(&bytes), &args.request);
+        trace.add_file(&file, &String::from_utf8_lossy(&bytes), &args.request);
     }
-    if story.lines.is_empty() {
+    if trace.lines.is_empty() {
         let problem = format!(
             "no line names request {}; it was answered in time, or its lines were left out",
             args.request
         );
         return Err(OperatorError::Missing(problem));
     }
-    config.print(&story, text)
+    config.print(&trace, text)
 }
 
-fn text(story: &RequestStory) -> String {
+fn text(trace: &RequestTrace) -> String {
     let mut text = String::new();
-    let first = story.lines.first().map_or(0, |line| line.at_ms);
-    for line in &story.lines {
+    let first = trace.lines.first().map_or(0, |line| line.at_ms);
+    for line in &trace.lines {
         let after = line.at_ms - first;
         text += &format!("{after:>6} ms  {}  ({})\n", line.words, line.file);
     }
-    if story.damaged > 0 {
-        text += &format!("{} damaged lines were passed over\n", story.damaged);
+    if trace.damaged > 0 {
+        text += &format!("{} damaged lines were passed over\n", trace.damaged);
     }
     text
 }
--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -114,8 +114,8 @@
 }
 
 fn table(lines: &[MemberLine]) -> String {
-    let heads = ["INSTANCE", "ADDRESS", "ROLE", "LEADS", "HEARD", "SYNCED"];
-    let mut table = TextTable::new(&heads);
+    let headings = ["INSTANCE", "ADDRESS", "ROLE", "LEADS", "HEARD", "SYNCED"];
+    let mut table = TextTable::new(&headings);
     for line in lines {
         let role = match line.role {
             MemberRole::Voter => "voter",
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -16,18 +16,18 @@
 use cowslip_core::rollout::share_plan::QuietChoice;
 use cowslip_core::version::ConfigVersion;
 
+use self::due_time::DueTime;
 use self::move_entry::MoveEntry;
-use self::move_time::MoveTime;
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
 
+mod due_time;
 mod move_entry;
 mod move_plot;
-mod move_time;
 
 const USAGE: &str =
     "Moves services to new backend server versions and reads back what became of changes";
@@ -38,7 +38,7 @@
 const WAIT_EXAMPLE: &str = "Example: cowslip move wait 1.5 --patience 30";
 
 /// Pause between two looks while waiting.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(move_action))]
@@ -56,12 +56,12 @@
         to: String,
         /// Time to be done by: 90s, 30m, 2h or 2026-12-03T06:00:00Z
         #[bpaf(argument("TIME"))]
-        by: MoveTime,
+        by: DueTime,
         /// Why; it is kept with the move
         #[bpaf(argument("TEXT"), fallback(String::new()))]
         reason: String,
         /// Where too few calls come for evidence: finish by the time, or hold
-        #[bpaf(argument::<String>("finish|hold"), parse(quiet_choice), fallback(QuietChoice::Finish))]
+        #[bpaf(argument::<String>("finish|hold"), parse(parse_quiet_choice), fallback(QuietChoice::Finish))]
         if_quiet: QuietChoice,
     },
     /// Takes back a move of a backend server version
@@ -101,7 +101,7 @@
     },
 }
 
-fn quiet_choice(text: String) -> Result<QuietChoice, String> {
+fn parse_quiet_choice(text: String) -> Result<QuietChoice, String> {
     match text.as_str() {
         "finish" => Ok(QuietChoice::Finish),
         "hold" => Ok(QuietChoice::Hold),
@@ -135,7 +135,7 @@
                 reason,
                 if_quiet,
             };
-            accepted::send(config, change, ConfigChange::Move(start)).await
+            change_request::send(config, change, ConfigChange::Move(start)).await
         }
         MoveArgs::TakeBack {
             change,
@@ -147,10 +147,10 @@
                 cause: TakeBackCause::Operator { reason },
                 counts: MoveCounts::default(),
             };
-            accepted::send(config, change, ConfigChange::Move(take_back)).await
+            change_request::send(config, change, ConfigChange::Move(take_back)).await
         }
         MoveArgs::List => {
-            let entries = move_entry::all(config).await?;
+            let entries = move_entry::fetch_all(config).await?;
             config.print(&entries, |entries| move_entry::table(entries))
         }
         MoveArgs::Show { plot, version } => show(config, plot, version).await,
@@ -165,7 +165,7 @@
     plot: Option<PathBuf>,
     version: ConfigVersion,
 ) -> OperatorResult<()> {
-    let mut entry = move_entry::find(config, version, plot.is_some()).await?;
+    let mut entry = move_entry::fetch(config, version, plot.is_some()).await?;
     if let Some(file) = plot {
         let Some(rollout) = &mut entry.rollout else {
             let problem = format!("{version} moved no backend server version");
@@ -182,25 +182,25 @@
     version: ConfigVersion,
     patience: Duration,
 ) -> OperatorResult<()> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
-        let entry = move_entry::find(config, version, false).await?;
+        let entry = move_entry::fetch(config, version, false).await?;
         match entry.state() {
             MoveState::Done => return config.print(&entry, move_entry::text),
-            MoveState::TakenBack => return taken_back(config, &entry),
+            MoveState::TakenBack => return report_taken_back(config, &entry),
             MoveState::InProgress => {}
         }
-        if began.elapsed() >= patience {
+        if started.elapsed() >= patience {
             return Err(OperatorError::NoAnswer(format!(
                 "{version} is still in progress after {} s",
                 patience.as_secs()
             )));
         }
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn taken_back(config: &OperatorConfig, entry: &MoveEntry) -> OperatorResult<()> {
+fn report_taken_back(config: &OperatorConfig, entry: &MoveEntry) -> OperatorResult<()> {
     config.print(entry, move_entry::text)?;
     let cause = entry.cause().unwrap_or_default();
     let version = entry.line.version;
--- a/crates/cli/src/cmd/moves/move_time.rs
+++ b/crates/cli/src/cmd/moves/due_time.rs
@@ -11,34 +11,34 @@
 
 /// A set time: a duration from now, or a wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MoveTime(pub MoveDue);
+pub struct DueTime(pub MoveDue);
 
 /// Text that is neither a duration nor a time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0:?} is no time; write 90s, 30m, 2h or 2026-12-03T06:00:00Z")]
-pub struct BadMoveTime(String);
+pub struct InvalidDueTime(String);
 
-impl FromStr for MoveTime {
-    type Err = BadMoveTime;
+impl FromStr for DueTime {
+    type Err = InvalidDueTime;
 
-    fn from_str(text: &str) -> Result<Self, BadMoveTime> {
+    fn from_str(text: &str) -> Result<Self, InvalidDueTime> {
         if let Ok(within) = humantime::parse_duration(text) {
             return Ok(Self(MoveDue::Within(within.as_millis() as u64)));
         }
         let time = humantime::parse_rfc3339_weak(text);
-        let time = time.map_err(|_| BadMoveTime(text.to_owned()))?;
+        let time = time.map_err(|_| InvalidDueTime(text.to_owned()))?;
         let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Self(MoveDue::At(since.as_millis() as u64)))
     }
 }
 
 /// A wall clock for people, to the second, in UTC.
-pub fn clock_text(at_ms: u64) -> String {
+pub fn format_timestamp(at_ms: u64) -> String {
     let time: SystemTime = UNIX_EPOCH + Duration::from_millis(at_ms);
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
 /// A length of time for people, to the second.
-pub fn length_text(millis: u64) -> String {
+pub fn format_length(millis: u64) -> String {
     humantime::format_duration(Duration::from_secs(millis / 1_000)).to_string()
 }
--- a/crates/cli/src/cmd/moves/move_entry.rs
+++ b/crates/cli/src/cmd/moves/move_entry.rs
@@ -12,8 +12,8 @@
 use cowslip_wire::messages::MoveLine;
 use cowslip_wire::messages::MovesCall;
 
-use super::move_time::clock_text;
-use super::move_time::length_text;
+use super::due_time::format_length;
+use super::due_time::format_timestamp;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
@@ -31,7 +31,7 @@
 }
 
 /// Every move that is kept, the newest last.
-pub async fn all(config: &OperatorConfig) -> OperatorResult<Vec<MoveEntry>> {
+pub async fn fetch_all(config: &OperatorConfig) -> OperatorResult<Vec<MoveEntry>> {
     let client = config.client()?;
     let lines = client.ask(&MovesCall { version: None }).await?;
     let mut rollouts = client.ask(&RolloutsCall::default()).await?;
@@ -41,13 +41,13 @@
             .iter()
             .position(|rollout| rollout.record.rollout == line.version);
         let rollout = found.map(|at| rollouts.swap_remove(at));
-        entries.push(MoveEntry::of(line, rollout));
+        entries.push(MoveEntry::new(line, rollout));
     }
     Ok(entries)
 }
 
 /// The move that made `version`; with its course for a plot.
-pub async fn find(
+pub async fn fetch(
     config: &OperatorConfig,
     version: ConfigVersion,
     course: bool,
@@ -65,11 +65,11 @@
         course,
     };
     let rollout = client.ask(&call).await?.pop();
-    Ok(MoveEntry::of(line, rollout))
+    Ok(MoveEntry::new(line, rollout))
 }
 
 impl MoveEntry {
-    fn of(mut line: MoveLine, rollout: Option<RolloutLine>) -> Self {
+    fn new(mut line: MoveLine, rollout: Option<RolloutLine>) -> Self {
         if let Some(rollout) = &rollout {
             line.progress = rollout.nodes;
             line.progress.state = rollout.state;
@@ -94,8 +94,8 @@
 
 /// The table of several moves.
 pub fn table(entries: &[MoveEntry]) -> String {
-    let heads = ["VERSION", "STATE", "NODES", "REFUSED", "AFTER", "WHAT"];
-    let mut table = TextTable::new(&heads);
+    let headings = ["VERSION", "STATE", "NODES", "REFUSED", "AFTER", "WHAT"];
+    let mut table = TextTable::new(&headings);
     for entry in entries {
         let progress = entry.line.progress;
         let after = entry.line.done_after_ms.map(|after| format!("{after} ms"));
@@ -139,8 +139,8 @@
         }
     };
     add("reason", record.reason.clone());
-    add("started", clock_text(record.started_ms));
-    add("set time", set_time(rollout));
+    add("started", format_timestamp(record.started_ms));
+    add("set time", due_text(rollout));
     add(
         "waits for",
         rollout.wait.map_or("", |wait| wait.as_str()).to_owned(),
@@ -161,30 +161,30 @@
         let share = step.share_per_mille;
         add(
             "share",
-            format!("{share} of 1000 after {}", length_text(after)),
+            format!("{share} of 1000 after {}", format_length(after)),
         );
     }
     text
 }
 
 /// The set time, and whether it was met and why not.
-fn set_time(rollout: &RolloutLine) -> String {
+fn due_text(rollout: &RolloutLine) -> String {
     let record = &rollout.record;
-    let due = clock_text(record.due_ms);
+    let due = format_timestamp(record.due_ms);
     let given = record.due_ms.saturating_sub(record.started_ms);
     let met = match (rollout.state, rollout.ended_after_ms) {
         (MoveState::Done, Some(after)) if after <= given => {
-            let early = length_text(given - after);
+            let early = format_length(given - after);
             format!("met, {early} before")
         }
-        (MoveState::Done, _) => format!("missed: {}", missed_why(record)),
+        (MoveState::Done, _) => format!("missed: {}", missed_reason(record)),
         (MoveState::TakenBack, _) => "not met: taken back".to_owned(),
         (MoveState::InProgress, _) => "in progress".to_owned(),
     };
     format!("{due} ({met})")
 }
 
-fn missed_why(record: &RolloutRecord) -> &'static str {
+fn missed_reason(record: &RolloutRecord) -> &'static str {
     match &record.end {
         Some(RolloutEnd::Finished { waited: Some(wait) }) => wait.as_str(),
         _ => "the last change reached some nodes late",
--- a/crates/cli/src/cmd/moves/move_plot.rs
+++ b/crates/cli/src/cmd/moves/move_plot.rs
@@ -11,42 +11,47 @@
 use crate::operator_error::OperatorError;
 
 /// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (900, 600);
+const PLOT_SIZE: (u32, u32) = (900, 600);
 
 type PlotError = Box<dyn std::error::Error>;
 type PlotArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
 /// Writes the picture of a move to `file`.
 pub fn draw(line: &RolloutLine, file: &Path) -> Result<(), OperatorError> {
-    draw_both(line, file).map_err(|problem| {
+    draw_charts(line, file).map_err(|problem| {
         OperatorError::Usage(format!("cannot draw {}: {problem}", file.display()))
     })
 }
 
-fn draw_both(line: &RolloutLine, file: &Path) -> Result<(), PlotError> {
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+fn draw_charts(line: &RolloutLine, file: &Path) -> Result<(), PlotError> {
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let (above, below) = area.split_vertically(SIZE.1 as i32 / 2);
+    let (upper, lower) = area.split_vertically(PLOT_SIZE.1 as i32 / 2);
     let record = &line.record;
     let end_s = end_seconds(line);
     let title = format!("{} {} -> {}", record.service, record.from, record.to);
-    let share = Curve::new("share of calls, %", shares(record, end_s), BLUE);
-    draw_curves(&above, &title, end_s, vec![share])?;
-    let failed = Curve::new("calls of the new version failed, %", failed(line), RED);
-    let evidence = Curve::new("evidence against it, %", evidence(line), MAGENTA);
-    draw_curves(&below, "evidence", end_s, vec![failed, evidence])?;
+    let share = PlotLine::new("share of calls, %", share_points(record, end_s), BLUE);
+    draw_lines(&upper, &title, end_s, vec![share])?;
+    let failed = PlotLine::new(
+        "calls of the new version failed, %",
+        failure_points(line),
+        RED,
+    );
+    let evidence =
+        PlotLine::new("evidence against it, %", evidence_points(line), MAGENTA);
+    draw_lines(&lower, "evidence", end_s, vec![failed, evidence])?;
     area.present()?;
     Ok(())
 }
 
-/// One curve: points of seconds and parts in a hundred.
-struct Curve {
+/// One line: points of seconds and parts in a hundred.
+struct PlotLine {
     name: &'static str,
     points: Vec<(f64, f64)>,
     color: RGBColor,
 }
 
-impl Curve {
+impl PlotLine {
     fn new(name: &'static str, points: Vec<(f64, f64)>, color: RGBColor) -> Self {
         Self {
             name,
@@ -69,7 +74,7 @@
 }
 
 /// The share as a line of steps.
-fn shares(record: &RolloutRecord, end_s: f64) -> Vec<(f64, f64)> {
+fn share_points(record: &RolloutRecord, end_s: f64) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     let mut share = 0.0;
     for step in &record.steps {
@@ -84,33 +89,33 @@
 }
 
 /// Failed calls among those between two points.
-fn failed(line: &RolloutLine) -> Vec<(f64, f64)> {
+fn failure_points(line: &RolloutLine) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     for pair in line.course.windows(2) {
         let [before, now] = [pair[0].counts, pair[1].counts];
         let calls = now.new_calls.saturating_sub(before.new_calls);
         let failures = now.new_failures.saturating_sub(before.new_failures);
         if calls > 0 {
-            let part = failures as f64 * 100.0 / calls as f64;
-            points.push((seconds(&line.record, pair[1].at_ms), part));
+            let percent = failures as f64 * 100.0 / calls as f64;
+            points.push((seconds(&line.record, pair[1].at_ms), percent));
         }
     }
     points
 }
 
-fn evidence(line: &RolloutLine) -> Vec<(f64, f64)> {
+fn evidence_points(line: &RolloutLine) -> Vec<(f64, f64)> {
     let point = |point: &CoursePoint| {
-        let part = point.suspicion.min(1.0) * 100.0;
-        (seconds(&line.record, point.at_ms), part)
+        let percent = point.suspicion.min(1.0) * 100.0;
+        (seconds(&line.record, point.at_ms), percent)
     };
     line.course.iter().map(point).collect()
 }
 
-fn draw_curves(
+fn draw_lines(
     area: &PlotArea<'_>,
     title: &str,
     end_s: f64,
-    curves: Vec<Curve>,
+    lines: Vec<PlotLine>,
 ) -> Result<(), PlotError> {
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
@@ -123,12 +128,12 @@
         .x_desc("seconds since the start")
         .y_desc("%")
         .draw()?;
-    for curve in curves {
-        let color = curve.color;
-        let series = LineSeries::new(curve.points, color);
+    for line in lines {
+        let color = line.color;
+        let series = LineSeries::new(line.points, color);
         chart
             .draw_series(series)?
-            .label(curve.name)
+            .label(line.name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
     }
     chart.configure_series_labels().border_style(BLACK).draw()?;
--- a/crates/cli/src/control_client.rs
+++ b/crates/cli/src/control_client.rs
@@ -20,12 +20,12 @@
 use crate::operator_error::OperatorResult;
 
 /// Wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Rounds over all instances before giving up, each with a `ROUND_PAUSE`:
 /// six seconds. A change of leader takes one to two, more where votes are
 /// split.
-const ROUNDS: usize = 20;
+const ROUNDS_MAX: usize = 20;
 
 /// Pause between rounds.
 const ROUND_PAUSE: Duration = Duration::from_millis(300);
@@ -50,24 +50,24 @@
     where
         C: WireCall<Answer = LeaderAnswer<T>>,
     {
-        let mut tries = LeaderSearch::new(&self.controls);
+        let mut search = LeaderSearch::new(&self.controls);
         let mut problem = "none is known".to_owned();
-        let mut lost = false;
-        while let Some(address) = tries.next().await {
-            match self.client.send(address, call, PATIENCE).await {
+        let mut answer_lost = false;
+        while let Some(address) = search.next().await {
+            match self.client.send(address, call, ANSWER_TIMEOUT).await {
                 Ok(LeaderAnswer::Here(answer)) => return Ok(answer),
-                Ok(LeaderAnswer::Elsewhere(leader)) => tries.hint(leader),
-                Ok(LeaderAnswer::Unknown) => lost = true,
+                Ok(LeaderAnswer::Elsewhere(leader)) => search.set_hint(leader),
+                Ok(LeaderAnswer::Unknown) => answer_lost = true,
                 Err(refused @ PeerError::Refused { status: 401, .. }) => {
                     return Err(OperatorError::Usage(refused.to_string()));
                 }
                 Err(failure) => {
-                    lost |= !matches!(failure, PeerError::Connect(_));
+                    answer_lost |= !matches!(failure, PeerError::Connect(_));
                     problem = failure.to_string();
                 }
             }
         }
-        if lost {
+        if answer_lost {
             return Err(OperatorError::AnswerLost(problem));
         }
         Err(OperatorError::NoAnswer(problem))
@@ -108,41 +108,41 @@
 /// rounds last as long as an election.
 struct LeaderSearch<'a> {
     controls: &'a [SocketAddr],
-    tried: usize,
+    attempts: usize,
     hint: Option<SocketAddr>,
-    followed: bool,
+    hint_followed: bool,
 }
 
 impl<'a> LeaderSearch<'a> {
     fn new(controls: &'a [SocketAddr]) -> Self {
         Self {
             controls,
-            tried: 0,
+            attempts: 0,
             hint: None,
-            followed: false,
+            hint_followed: false,
         }
     }
 
-    fn hint(&mut self, leader: Option<SocketAddr>) {
+    fn set_hint(&mut self, leader: Option<SocketAddr>) {
         self.hint = leader;
     }
 
     async fn next(&mut self) -> Option<SocketAddr> {
         let hint = self.hint.take();
-        if hint.is_some() && !self.followed {
-            self.followed = true;
+        if hint.is_some() && !self.hint_followed {
+            self.hint_followed = true;
             return hint;
         }
         let count = self.controls.len();
-        if self.tried >= count * ROUNDS {
+        if self.attempts >= count * ROUNDS_MAX {
             return None;
         }
-        let at = self.tried;
-        self.tried += 1;
-        if at > 0 && at.is_multiple_of(count) {
-            self.followed = false;
+        let attempt = self.attempts;
+        self.attempts += 1;
+        if attempt > 0 && attempt.is_multiple_of(count) {
+            self.hint_followed = false;
             actix_rt::time::sleep(ROUND_PAUSE).await;
         }
-        Some(self.controls[at % count])
+        Some(self.controls[attempt % count])
     }
 }
--- a/crates/cli/src/document_file.rs
+++ b/crates/cli/src/document_file.rs
@@ -101,21 +101,21 @@
             path: path?.into(),
             service: service?.into(),
             priority: priority
-                .map_or_else(CallPriority::default, |word: PriorityWord| word.0),
+                .map_or_else(CallPriority::default, |name: PriorityName| name.0),
             internal: internal.unwrap_or(false),
             ..RouteSpec::default()
         }))
     }
 }
 
-struct PriorityWord(CallPriority);
+struct PriorityName(CallPriority);
 
 /// A word that is no priority.
 #[derive(Debug, Error)]
 #[error("a priority is high, normal or low")]
 struct UnknownPriority;
 
-impl FromStr for PriorityWord {
+impl FromStr for PriorityName {
     type Err = UnknownPriority;
 
     fn from_str(text: &str) -> Result<Self, UnknownPriority> {
--- a/crates/cli/src/load/call_tally.rs
+++ b/crates/cli/src/load/call_tally.rs
@@ -9,11 +9,11 @@
 const LATENCY_MAX_US: u64 = 120_000_000;
 
 /// Digits of a latency that are kept.
-const LATENCY_DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How one call ended, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallEnd {
+pub struct CallOutcome {
     /// HTTP status; 0 where no whole answer came.
     pub status: u16,
     /// The verdict header; `none` where there is none.
@@ -22,7 +22,7 @@
     pub reason: String,
 }
 
-impl CallEnd {
+impl CallOutcome {
     /// True where the caller received a whole answer of its own.
     pub fn is_answered(&self) -> bool {
         (200..500).contains(&self.status) && self.verdict != "not-run"
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct CallTally {
     /// Calls by status, verdict and reason.
-    pub ends: BTreeMap<(u16, String, String), u64>,
+    pub outcomes: BTreeMap<(u16, String, String), u64>,
     /// Calls not sent because too many were under way.
     pub unsent: u64,
     /// Latencies of answered calls, in microseconds.
@@ -56,14 +56,14 @@
 }
 
 fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LATENCY_MAX_US, LATENCY_DIGITS)
+    Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS)
         .expect("the bounds are constants that the library takes")
 }
 
 impl Default for CallTally {
     fn default() -> Self {
         Self {
-            ends: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             unsent: 0,
             answered: latency_histogram(),
             failed: latency_histogram(),
@@ -75,10 +75,10 @@
 impl CallTally {
     /// Counts a call that should have been sent at `due` and ended after
     /// `latency` from then.
-    pub fn record(&mut self, due: Duration, latency: Duration, end: CallEnd) {
+    pub fn record(&mut self, due: Duration, latency: Duration, outcome: CallOutcome) {
         let micros = (latency.as_micros() as u64).clamp(1, LATENCY_MAX_US);
-        let answered = end.is_answered();
-        let second = self.second(due.as_secs() as usize);
+        let answered = outcome.is_answered();
+        let second = self.second_mut(due.as_secs() as usize);
         second.latencies.saturating_record(micros);
         if answered {
             second.answered += 1;
@@ -87,11 +87,11 @@
             second.failed += 1;
             self.failed.saturating_record(micros);
         }
-        let key = (end.status, end.verdict, end.reason);
-        *self.ends.entry(key).or_default() += 1;
+        let key = (outcome.status, outcome.verdict, outcome.reason);
+        *self.outcomes.entry(key).or_default() += 1;
     }
 
-    fn second(&mut self, at: usize) -> &mut SecondTally {
+    fn second_mut(&mut self, at: usize) -> &mut SecondTally {
         while self.seconds.len() <= at {
             self.seconds.push(SecondTally {
                 answered: 0,
@@ -103,24 +103,24 @@
     }
 
     /// Adds another thread's counts.
-    pub fn add(&mut self, other: &Self) {
-        for (key, count) in &other.ends {
-            *self.ends.entry(key.clone()).or_default() += count;
+    pub fn merge(&mut self, other: &Self) {
+        for (key, count) in &other.outcomes {
+            *self.outcomes.entry(key.clone()).or_default() += count;
         }
         self.unsent += other.unsent;
         // Both were made with the same bounds, so adding cannot fail.
         let _ = self.answered.add(&other.answered);
         let _ = self.failed.add(&other.failed);
-        for (at, theirs) in other.seconds.iter().enumerate() {
-            let ours = self.second(at);
-            ours.answered += theirs.answered;
-            ours.failed += theirs.failed;
-            let _ = ours.latencies.add(&theirs.latencies);
+        for (at, other_second) in other.seconds.iter().enumerate() {
+            let second = self.second_mut(at);
+            second.answered += other_second.answered;
+            second.failed += other_second.failed;
+            let _ = second.latencies.add(&other_second.latencies);
         }
     }
 
     /// Calls that were sent.
     pub fn sent(&self) -> u64 {
-        self.ends.values().sum()
+        self.outcomes.values().sum()
     }
 }
--- a/crates/cli/src/load/load_plot.rs
+++ b/crates/cli/src/load/load_plot.rs
@@ -7,16 +7,16 @@
 use super::call_tally::CallTally;
 
 /// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (900, 600);
+const PLOT_SIZE: (u32, u32) = (900, 600);
 
 /// A picture that cannot be drawn or written.
 pub type PlotError = Box<dyn std::error::Error>;
 
 /// Writes the picture to `file`.
 pub fn draw(tally: &CallTally, file: &Path) -> Result<(), PlotError> {
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let (above, below) = area.split_vertically(SIZE.1 as i32 / 2);
+    let (upper, lower) = area.split_vertically(PLOT_SIZE.1 as i32 / 2);
     let mut answered = Vec::new();
     let mut failed = Vec::new();
     let mut p50 = Vec::new();
@@ -33,12 +33,12 @@
         PlotLine::new("answered", answered, GREEN),
         PlotLine::new("failed", failed, RED),
     ];
-    draw_lines(&above, "calls a second", calls)?;
+    draw_lines(&upper, "calls a second", calls)?;
     let latencies = [
         PlotLine::new("p50", p50, BLUE),
         PlotLine::new("p99", p99, MAGENTA),
     ];
-    draw_lines(&below, "latency, ms", latencies)?;
+    draw_lines(&lower, "latency, ms", latencies)?;
     area.present()?;
     Ok(())
 }
--- a/crates/cli/src/load/load_report.rs
+++ b/crates/cli/src/load/load_report.rs
@@ -20,7 +20,7 @@
     /// Latencies of refused and lost calls.
     pub failed_latency: LatencyLine,
     /// Calls by how they ended.
-    pub ends: Vec<EndLine>,
+    pub ends: Vec<OutcomeLine>,
 }
 
 /// Latencies in milliseconds, from the time a call was due.
@@ -42,7 +42,7 @@
 
 /// Calls that ended alike.
 #[derive(Clone, Debug, Serialize)]
-pub struct EndLine {
+pub struct OutcomeLine {
     /// HTTP status; 0 where no whole answer came.
     pub status: u16,
     /// Verdict.
@@ -54,7 +54,7 @@
 }
 
 impl LatencyLine {
-    fn of(latencies: &Histogram<u64>) -> Self {
+    fn from_histogram(latencies: &Histogram<u64>) -> Self {
         let at = |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             mean_ms: latencies.mean() / 1_000.0,
@@ -84,10 +84,10 @@
 
 impl LoadReport {
     /// The report of a tally.
-    pub fn of(tally: &CallTally) -> Self {
+    pub fn from_tally(tally: &CallTally) -> Self {
         let mut ends = Vec::new();
-        for ((status, verdict, reason), calls) in &tally.ends {
-            ends.push(EndLine {
+        for ((status, verdict, reason), calls) in &tally.outcomes {
+            ends.push(OutcomeLine {
                 status: *status,
                 verdict: verdict.clone(),
                 reason: reason.clone(),
@@ -98,18 +98,18 @@
             sent: tally.sent(),
             unsent: tally.unsent,
             answered: tally.answered.len(),
-            answered_latency: LatencyLine::of(&tally.answered),
-            failed_latency: LatencyLine::of(&tally.failed),
+            answered_latency: LatencyLine::from_histogram(&tally.answered),
+            failed_latency: LatencyLine::from_histogram(&tally.failed),
             ends,
         }
     }
 
     /// Tables for people.
     pub fn text(&self) -> String {
-        let heads = [
+        let headings = [
             "CALLS", "NUMBER", "MEAN ms", "P50", "P90", "P99", "P99.9", "MAX",
         ];
-        let mut latencies = TextTable::new(&heads);
+        let mut latencies = TextTable::new(&headings);
         let failed = self.sent - self.answered;
         latencies.row(self.answered_latency.cells("answered", self.answered));
         latencies.row(self.failed_latency.cells("failed", failed));
--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -16,7 +16,7 @@
 use cowslip_wire::plain_client;
 use cowslip_wire::plain_client::ClientPlan;
 
-use super::call_tally::CallEnd;
+use super::call_tally::CallOutcome;
 use super::call_tally::CallTally;
 
 /// Time to connect.
@@ -24,16 +24,16 @@
 
 /// Idle connections are dropped well before the other side closes them at
 /// 75 s, so that no call is lost on one.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Time that the last calls get to end after the last was sent.
-const END_PATIENCE: Duration = Duration::from_secs(15);
+const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Pause between two looks whether the last calls have ended.
-const END_TICK: Duration = Duration::from_millis(5);
+const LAST_CALLS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Grain of the event loop's timer, twice over.
-const TIMER_GRAIN: Duration = Duration::from_millis(2);
+const TIMER_MARGIN: Duration = Duration::from_millis(2);
 
 /// What to send.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
     /// Another URL to compare with. It gets the calls of every other second:
     /// at the same time the two would slow each other, and the difference
     /// between them would be the tool's.
-    pub against: Option<String>,
+    pub baseline: Option<String>,
     /// Method.
     pub method: Method,
     /// Bytes of each body.
@@ -55,11 +55,11 @@
     /// Calls a second over all threads.
     pub rate: f64,
     /// Length of the run.
-    pub length: Duration,
+    pub duration: Duration,
     /// Calls at most over all threads, whatever rate and length say.
     pub calls_max: u64,
     /// Calls under way at once, per thread; more are counted as unsent.
-    pub under_way_max: usize,
+    pub in_flight_max: usize,
     /// Sending threads.
     pub threads: u32,
     /// Seed of the gaps between calls.
@@ -72,7 +72,7 @@
     /// Calls to the targets.
     pub calls: CallTally,
     /// Calls to the URL to compare with.
-    pub against: CallTally,
+    pub baseline: CallTally,
 }
 
 /// Runs the plan to its end; one client and one event loop a thread.
@@ -89,8 +89,8 @@
     for sender in senders {
         match sender.join() {
             Ok(part) => {
-                tallies.calls.add(&part.calls);
-                tallies.against.add(&part.against);
+                tallies.calls.merge(&part.calls);
+                tallies.baseline.merge(&part.baseline);
             }
             Err(panic) => std::panic::resume_unwind(panic),
         }
@@ -103,8 +103,8 @@
 /// yielding: a thread of the tool keeps one core busy.
 async fn wait_until(started: Instant, due: Duration) {
     while let Some(wait) = due.checked_sub(started.elapsed()) {
-        match wait.checked_sub(TIMER_GRAIN) {
-            Some(most) if !most.is_zero() => actix_rt::time::sleep(most).await,
+        match wait.checked_sub(TIMER_MARGIN) {
+            Some(sleep) if !sleep.is_zero() => actix_rt::time::sleep(sleep).await,
             _ => tokio::task::yield_now().await,
         }
     }
@@ -122,8 +122,8 @@
     fn new(plan: LoadPlan, number: u32) -> Self {
         let client = plain_client::build(ClientPlan {
             connect: CONNECT_TIMEOUT,
-            idle: IDLE_TIME,
-            connections: plan.under_way_max,
+            idle: IDLE_TIMEOUT,
+            connections: plan.in_flight_max,
         });
         Self {
             client,
@@ -141,23 +141,23 @@
         let started = Instant::now();
         let mut due = Duration::ZERO;
         let mut sent = 0;
-        while due < self.plan.length && sent < calls_max {
+        while due < self.plan.duration && sent < calls_max {
             wait_until(started, due).await;
             self.send(started, due, sent);
             sent += 1;
             // Exponential gaps: independent callers bunch, and a server
             // that holds only under an even rate would look better.
-            let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
-            due += Duration::from_secs_f64(-draw.ln() * mean_gap);
+            let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
+            due += Duration::from_secs_f64(-uniform.ln() * mean_gap);
         }
-        self.wait_for_last().await;
+        self.wait_for_in_flight().await;
         self.tallies.borrow().clone()
     }
 
     fn send(&self, started: Instant, due: Duration, number: u64) {
-        let compared = self.plan.against.is_some() && due.as_secs() % 2 == 1;
-        if Rc::strong_count(&self.tallies) > self.plan.under_way_max {
-            self.tallies.borrow_mut().of(compared).unsent += 1;
+        let to_baseline = self.plan.baseline.is_some() && due.as_secs() % 2 == 1;
+        if Rc::strong_count(&self.tallies) > self.plan.in_flight_max {
+            self.tallies.borrow_mut().tally_mut(to_baseline).unsent += 1;
             return;
         }
         let tallies = Rc::clone(&self.tallies);
@@ -165,47 +165,48 @@
         let client = self.client.clone();
         let body = self.body.clone();
         actix_rt::spawn(async move {
-            let target = plan.target(compared, number);
-            let end = one_call(&client, &plan, target, body, number).await;
+            let target = plan.target(to_baseline, number);
+            let outcome = send_call(&client, &plan, target, body, number).await;
             let latency = started.elapsed().saturating_sub(due);
             let mut tallies = tallies.borrow_mut();
-            tallies.of(compared).record(due, latency, end);
+            tallies.tally_mut(to_baseline).record(due, latency, outcome);
         });
     }
 
-    async fn wait_for_last(&self) {
+    async fn wait_for_in_flight(&self) {
         let ended = Instant::now();
-        while Rc::strong_count(&self.tallies) > 1 && ended.elapsed() < END_PATIENCE {
-            actix_rt::time::sleep(END_TICK).await;
+        while Rc::strong_count(&self.tallies) > 1 && ended.elapsed() < LAST_CALLS_TIMEOUT
+        {
+            actix_rt::time::sleep(LAST_CALLS_POLL_INTERVAL).await;
         }
     }
 }
 
 impl LoadPlan {
-    fn target(&self, compared: bool, number: u64) -> &str {
-        match &self.against {
-            Some(against) if compared => against,
+    fn target(&self, to_baseline: bool, number: u64) -> &str {
+        match &self.baseline {
+            Some(baseline) if to_baseline => baseline,
             _ => &self.targets[number as usize % self.targets.len()],
         }
     }
 }
 
 impl RunTallies {
-    fn of(&mut self, compared: bool) -> &mut CallTally {
-        if compared {
-            return &mut self.against;
+    fn tally_mut(&mut self, to_baseline: bool) -> &mut CallTally {
+        if to_baseline {
+            return &mut self.baseline;
         }
         &mut self.calls
     }
 }
 
-async fn one_call(
+async fn send_call(
     client: &Client,
     plan: &LoadPlan,
     target: &str,
     body: Bytes,
     number: u64,
-) -> CallEnd {
+) -> CallOutcome {
     let mut request = client.request(plan.method.clone(), target);
     if plan.customers > 0 {
         let customer = number % u64::from(plan.customers);
@@ -216,23 +217,23 @@
         let millis = deadline.as_millis().to_string();
         request = request.insert_header(("cowslip-deadline-ms", millis));
     }
-    let lost = |word: &str| CallEnd {
+    let failed = |reason: &str| CallOutcome {
         status: 0,
         verdict: "none".to_owned(),
-        reason: word.to_owned(),
+        reason: reason.to_owned(),
     };
     let mut response = match request.send_body(body).await {
         Ok(response) => response,
-        Err(_) => return lost("no-answer"),
+        Err(_) => return failed("no-answer"),
     };
     if response.body().limit(usize::MAX).await.is_err() {
-        return lost("cut-answer");
+        return failed("cut-answer");
     }
     let text = |name: &str| {
         let value = response.headers().get(name)?.to_str().ok()?;
         Some(value.to_owned())
     };
-    CallEnd {
+    CallOutcome {
         status: response.status().as_u16(),
         verdict: text("cowslip-verdict").unwrap_or_else(|| "none".to_owned()),
         reason: text("cowslip-reason").unwrap_or_default(),
--- a/crates/cli/src/local_fleet.rs
+++ b/crates/cli/src/local_fleet.rs
@@ -20,7 +20,7 @@
 
 use crate::control_client::ControlClient;
 use crate::stand_in::StandIn;
-use crate::stand_in::StandInPlan;
+use crate::stand_in::StandInConfig;
 use crate::stand_in::CONNECTIONS_MAX;
 
 pub use self::deployment::DeploymentPlan;
@@ -29,7 +29,7 @@
 mod deployment;
 
 /// Control instances of a local fleet.
-const CONTROLS: usize = 3;
+const CONTROL_INSTANCES: usize = 3;
 
 /// Version that the servers of a new local fleet run.
 const FIRST_VERSION: &str = "v1";
@@ -46,7 +46,7 @@
     Control(#[from] ControlError),
     /// A socket or file fails.
     #[error(transparent)]
-    System(#[from] io::Error),
+    Io(#[from] io::Error),
 }
 
 /// One node and the stand-in beside it.
@@ -133,7 +133,7 @@
 ) -> Result<Vec<ControlDaemon>, FleetError> {
     let mut sockets = Vec::new();
     let mut members = Vec::new();
-    for number in 1..=CONTROLS {
+    for number in 1..=CONTROL_INSTANCES {
         let bound = ControlSockets::bind(loopback(), loopback())?;
         members.push(MemberAddress {
             instance: format!("control-{number}").into(),
@@ -195,14 +195,14 @@
     );
     let sockets = NodeSockets::bind(&settings)?;
     let node = NodeDaemon::spawn(&settings, sockets, seed)?;
-    let stand_in = StandIn::spawn(StandInPlan {
+    let stand_in = StandIn::spawn(StandInConfig {
         instance: Arc::clone(&instance),
         service: server.service.name.into(),
         version: server.version.into(),
         slots: server.service.slots,
-        connections: CONNECTIONS_MAX,
-        work: Duration::from_millis(2),
-        cold: Duration::from_millis(10),
+        connections_max: CONNECTIONS_MAX,
+        work_time: Duration::from_millis(2),
+        cold_start_time: Duration::from_millis(10),
     })?;
     stand_in.announce(node.local()).await?;
     Ok(FleetNode {
--- a/crates/cli/src/local_fleet/deployment.rs
+++ b/crates/cli/src/local_fleet/deployment.rs
@@ -119,9 +119,9 @@
     }
 
     /// Paths that outside callers may call.
-    pub fn open_paths(&self) -> Vec<&'static str> {
-        let open = self.routes.iter().filter(|route| !route.internal);
-        open.map(|route| route.path).collect()
+    pub fn external_paths(&self) -> Vec<&'static str> {
+        let external = self.routes.iter().filter(|route| !route.internal);
+        external.map(|route| route.path).collect()
     }
 
     /// The document of this deployment.
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -35,14 +35,14 @@
 pub const CONNECTIONS_MAX: usize = 100;
 
 /// Requests during which a new server is slow.
-const COLD_REQUESTS: u32 = 10;
+const COLD_START_REQUESTS: u32 = 10;
 
 /// Header of a request that is to take longer, in milliseconds.
-pub const WAIT_HEADER: &str = "stand-in-wait-ms";
+pub const DELAY_HEADER: &str = "stand-in-wait-ms";
 
 /// How a stand-in behaves.
 #[derive(Clone, Debug)]
-pub struct StandInPlan {
+pub struct StandInConfig {
     /// Instance it runs on.
     pub instance: Arc<str>,
     /// Service it belongs to.
@@ -52,17 +52,17 @@
     /// Requests it runs at once; more are shed with status 503.
     pub slots: u32,
     /// Connections it takes at once; more wait unaccepted.
-    pub connections: usize,
+    pub connections_max: usize,
     /// Time that a request takes.
-    pub work: Duration,
+    pub work_time: Duration,
     /// Time added to each of the first requests.
-    pub cold: Duration,
+    pub cold_start_time: Duration,
 }
 
 /// A running stand-in.
 pub struct StandIn {
     listener: HttpListener,
-    plan: StandInPlan,
+    config: StandInConfig,
     counts: Rc<StandInCounts>,
     chain: Rc<CallChain>,
 }
@@ -85,19 +85,20 @@
 
 impl StandIn {
     /// Starts serving on a free port.
-    pub fn spawn(plan: StandInPlan) -> io::Result<Self> {
+    pub fn spawn(config: StandInConfig) -> io::Result<Self> {
         let counts = Rc::new(StandInCounts::default());
         let chain = Rc::new(CallChain::default());
         let handler = StandInHandler {
-            plan: Rc::new(plan.clone()),
+            config: Rc::new(config.clone()),
             counts: Rc::clone(&counts),
             chain: Rc::clone(&chain),
         };
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listener = HttpListener::bind(address, plan.connections, Rc::new(handler))?;
+        let listener =
+            HttpListener::bind(address, config.connections_max, Rc::new(handler))?;
         Ok(Self {
             listener,
-            plan,
+            config,
             counts,
             chain,
         })
@@ -115,12 +116,12 @@
 
     /// Announces itself to its node.
     pub async fn announce(&self, node: SocketAddr) -> io::Result<()> {
-        self.chain.connect(node, self.listener.address());
+        self.chain.set_addresses(node, self.listener.address());
         let body = AnnounceBody {
-            service: Arc::clone(&self.plan.service),
-            version: Arc::clone(&self.plan.version),
+            service: Arc::clone(&self.config.service),
+            version: Arc::clone(&self.config.version),
             address: self.listener.address(),
-            slots: self.plan.slots,
+            slots: self.config.slots,
         };
         let sent = Client::default().post(format!("http://{node}/announce"));
         let response = sent.send_body(serde_json::to_vec(&body)?).await;
@@ -133,70 +134,74 @@
 }
 
 struct StandInHandler {
-    plan: Rc<StandInPlan>,
+    config: Rc<StandInConfig>,
     counts: Rc<StandInCounts>,
     chain: Rc<CallChain>,
 }
 
 impl HttpHandler for StandInHandler {
     fn handle(&self, request: Request) -> ReplyFuture {
-        let plan = Rc::clone(&self.plan);
+        let config = Rc::clone(&self.config);
         let counts = Rc::clone(&self.counts);
         let chain = Rc::clone(&self.chain);
-        Box::pin(async move { serve(&plan, &counts, &chain, request).await })
+        Box::pin(async move { serve(&config, &counts, &chain, request).await })
     }
 }
 
 async fn serve(
-    plan: &StandInPlan,
+    config: &StandInConfig,
     counts: &Rc<StandInCounts>,
     chain: &CallChain,
     mut request: Request,
 ) -> HttpReply {
-    if counts.running.get() >= plan.slots {
+    if counts.running.get() >= config.slots {
         counts.shed.set(counts.shed.get() + 1);
         return http_reply::text(StatusCode::SERVICE_UNAVAILABLE, "shed");
     }
-    let _running = RunningGuard::begin(counts);
-    counts.note_key(&request);
+    let _slot = SlotGuard::begin(counts);
+    counts.count_key(&request);
     let path = request.path().to_owned();
-    let wait = wait_asked(&request);
+    let delay = requested_delay(&request);
     let body = match http_reply::read_body(&mut request, BODY_BYTES_MAX).await {
         Ok(body) => body,
         Err(fault) => {
             return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
         }
     };
-    let cold = counts.begun.get() <= COLD_REQUESTS;
-    let extra = if cold { plan.cold } else { Duration::ZERO };
-    let work = plan.work + extra + wait;
+    let cold = counts.begun.get() <= COLD_START_REQUESTS;
+    let extra = if cold {
+        config.cold_start_time
+    } else {
+        Duration::ZERO
+    };
+    let work = config.work_time + extra + delay;
     // A sleep of nothing would still wait for the timer's next millisecond.
     if !work.is_zero() {
         actix_rt::time::sleep(work).await;
     }
-    if !chain.follow(&path).await {
+    if !chain.make_next_call(&path).await {
         return http_reply::text(StatusCode::BAD_GATEWAY, "the chain broke");
     }
     if counts.begun.get() % 100 < counts.failing_percent.get() {
         return http_reply::text(StatusCode::INTERNAL_SERVER_ERROR, "failed");
     }
     let mut answer = BytesMut::new();
-    let head = format!("{} {} {path}\n", plan.service, plan.version);
+    let head = format!("{} {} {path}\n", config.service, config.version);
     answer.extend_from_slice(head.as_bytes());
     answer.extend_from_slice(&body);
     let kind = HeaderValue::from_static("application/octet-stream");
     http_reply::with_type(StatusCode::OK, kind, answer.freeze())
 }
 
-/// Time that the caller asks the request to take, besides the plan's.
-fn wait_asked(request: &Request) -> Duration {
-    let millis = http_reply::header(request, WAIT_HEADER);
+/// Time that the caller asks the request to take, besides the config's.
+fn requested_delay(request: &Request) -> Duration {
+    let millis = http_reply::header(request, DELAY_HEADER);
     let millis = millis.and_then(|text| text.parse().ok());
     Duration::from_millis(millis.unwrap_or(0))
 }
 
 impl StandInCounts {
-    fn note_key(&self, request: &Request) {
+    fn count_key(&self, request: &Request) {
         let Some(key) = http_reply::header(request, call_headers::IDEMPOTENCY_KEY) else {
             return;
         };
@@ -205,9 +210,9 @@
 }
 
 /// Holds one of the stand-in's slots, also when its caller leaves.
-struct RunningGuard(Rc<StandInCounts>);
+struct SlotGuard(Rc<StandInCounts>);
 
-impl RunningGuard {
+impl SlotGuard {
     fn begin(counts: &Rc<StandInCounts>) -> Self {
         counts.begun.set(counts.begun.get() + 1);
         counts.running.set(counts.running.get() + 1);
@@ -215,7 +220,7 @@
     }
 }
 
-impl Drop for RunningGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
--- a/crates/cli/src/text_table.rs
+++ b/crates/cli/src/text_table.rs
@@ -6,10 +6,15 @@
 }
 
 impl TextTable {
-    /// A table with these column heads.
-    pub fn new(heads: &[&str]) -> Self {
-        let heads = heads.iter().map(|head| (*head).to_owned()).collect();
-        Self { rows: vec![heads] }
+    /// A table with these column headings.
+    pub fn new(headings: &[&str]) -> Self {
+        let headings = headings
+            .iter()
+            .map(|heading| (*heading).to_owned())
+            .collect();
+        Self {
+            rows: vec![headings],
+        }
     }
 
     /// Adds a row.
--- a/crates/cli/tests/calls/at_most_once.rs
+++ b/crates/cli/tests/calls/at_most_once.rs
@@ -17,9 +17,9 @@
 use crate::fleet_calls::new_key;
 use crate::fleet_calls::send;
 use crate::fleet_calls::CallAnswer;
-use crate::fleet_calls::PATIENCE;
+use crate::fleet_calls::FLEET_TIMEOUT;
 
-fn runs(fleet: &LocalFleet) -> HashMap<String, u32> {
+fn runs_by_key(fleet: &LocalFleet) -> HashMap<String, u32> {
     let mut runs = HashMap::new();
     for node in &fleet.nodes {
         for (key, count) in &*node.stand_in.counts().by_key.borrow() {
@@ -51,7 +51,7 @@
         let other = send(fleet.nodes[1].node.callers(), &key, "130 crates").await;
         let other = other.expect("an answer");
         assert_eq!((other.status, &*other.reason), (422, "key-reused"));
-        assert_eq!(runs(&fleet).get(&key), Some(&1));
+        assert_eq!(runs_by_key(&fleet).get(&key), Some(&1));
     });
 }
 
@@ -91,7 +91,7 @@
 
 /// Sends the call until it has been answered. Refusals on the way are those
 /// of a loaded fleet that has just lost nodes.
-async fn served(node: SocketAddr, key: &str, body: &str) {
+async fn send_until_served(node: SocketAddr, key: &str, body: &str) {
     let began = Instant::now();
     loop {
         let answer = send(node, key, body).await;
@@ -99,7 +99,7 @@
             return;
         }
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < FLEET_TIMEOUT,
             "{key} is never served: {answer:?}"
         );
         actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -149,14 +149,14 @@
         for caller in callers {
             caller.await.expect("a caller ends");
         }
-        let mut runs = runs(&fleet);
+        let mut runs = runs_by_key(&fleet);
         add_runs(&mut runs, &stopped);
         assert_at_most_once(&runs, &answers.borrow());
         for (number, key) in keys.iter().enumerate() {
             let node = &fleet.nodes[number % fleet.nodes.len()];
-            served(node.node.callers(), key, "a batch").await;
+            send_until_served(node.node.callers(), key, "a batch").await;
         }
-        let mut runs = self::runs(&fleet);
+        let mut runs = self::runs_by_key(&fleet);
         add_runs(&mut runs, &stopped);
         for key in &keys {
             assert_eq!(runs.get(key), Some(&1), "{key}");
@@ -188,12 +188,12 @@
         for caller in callers {
             caller.await.expect("a caller ends");
         }
-        let mut runs = runs(&fleet);
+        let mut runs = runs_by_key(&fleet);
         add_runs(&mut runs, &lost);
         assert_at_most_once(&runs, &answers.borrow());
         for (number, node) in fleet.nodes.iter().enumerate() {
             let key = new_key(KEYS + number);
-            served(node.node.callers(), &key, "a new sale").await;
+            send_until_served(node.node.callers(), &key, "a new sale").await;
         }
     });
 }
--- a/crates/cli/tests/calls/faults.rs
+++ b/crates/cli/tests/calls/faults.rs
@@ -9,7 +9,7 @@
 
 use cowslip_cli::local_fleet::LocalFleet;
 use cowslip_cli::stand_in::StandIn;
-use cowslip_cli::stand_in::StandInPlan;
+use cowslip_cli::stand_in::StandInConfig;
 
 use crate::broken_server::BrokenServer;
 use crate::broken_server::ServerFault;
@@ -17,10 +17,10 @@
 use crate::fleet_calls::fleet;
 use crate::fleet_calls::new_key;
 use crate::fleet_calls::CallAnswer;
-use crate::fleet_calls::CallAsked;
-use crate::fleet_calls::PATIENCE;
+use crate::fleet_calls::CallRequest;
+use crate::fleet_calls::FLEET_TIMEOUT;
 
-fn on_runtime(test: impl Future<Output = ()>) {
+fn run_async(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// The first answer that is not about an endpoint still unknown.
-async fn known(node: SocketAddr, call: CallAsked<'_>) -> Option<CallAnswer> {
+async fn send_until_known(node: SocketAddr, call: CallRequest<'_>) -> Option<CallAnswer> {
     let began = Instant::now();
     loop {
         let answer = call.send(node, b"a batch").await;
@@ -46,16 +46,16 @@
         if !unknown {
             return answer;
         }
-        assert!(began.elapsed() < PATIENCE, "the server is never found");
+        assert!(began.elapsed() < FLEET_TIMEOUT, "the server is never found");
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn tested(key: Option<&str>) -> CallAsked<'_> {
-    CallAsked {
+fn sale_call(key: Option<&str>) -> CallRequest<'_> {
+    CallRequest {
         path: "/tested/sale",
         key,
-        ..CallAsked::default()
+        ..CallRequest::default()
     }
 }
 
@@ -64,19 +64,25 @@
 // the node by itself nor a resend under the same key.
 #[test]
 fn a_crash_in_a_call_is_never_tried_again() {
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::Crash).await;
         let entry = fleet.nodes[4].node.callers();
-        let answer = known(entry, tested(None)).await.expect("an answer");
+        let answer = send_until_known(entry, sale_call(None))
+            .await
+            .expect("an answer");
         assert_eq!(answer.verdict, "may-have-run");
         assert_eq!(answer.reason, "connection-broken");
         assert_eq!(server.requests(), 1);
         let key = new_key(1);
-        let keyed = known(entry, tested(Some(&key))).await.expect("an answer");
+        let keyed = send_until_known(entry, sale_call(Some(&key)))
+            .await
+            .expect("an answer");
         assert_eq!(keyed.verdict, "may-have-run");
         let other = fleet.nodes[5].node.callers();
-        let again = known(other, tested(Some(&key))).await.expect("an answer");
+        let again = send_until_known(other, sale_call(Some(&key)))
+            .await
+            .expect("an answer");
         assert_eq!(again.verdict, "may-have-run");
         assert_eq!(again.reason, "claim-unanswered");
         assert_eq!(server.requests(), 2);
@@ -89,16 +95,18 @@
 // always says what is known.
 #[test]
 fn a_crash_in_an_answer_never_looks_whole() {
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) =
             broken_fleet(folder.path(), ServerFault::CrashInAnswer).await;
         let entry = fleet.nodes[4].node.callers();
-        if let Some(answer) = known(entry, tested(None)).await {
+        if let Some(answer) = send_until_known(entry, sale_call(None)).await {
             assert_eq!((answer.status, &*answer.verdict), (502, "may-have-run"));
         }
         let key = new_key(1);
-        let keyed = known(entry, tested(Some(&key))).await.expect("an answer");
+        let keyed = send_until_known(entry, sale_call(Some(&key)))
+            .await
+            .expect("an answer");
         assert_eq!(keyed.verdict, "may-have-run");
         assert_eq!(keyed.reason, "connection-broken");
         assert_eq!(server.requests(), 2);
@@ -110,15 +118,15 @@
 // is not given to another connection.
 #[test]
 fn a_silent_server_ends_with_the_deadline() {
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::Silent).await;
-        let call = CallAsked {
+        let call = CallRequest {
             deadline_ms: Some(500),
-            ..tested(None)
+            ..sale_call(None)
         };
         let entry = fleet.nodes[4].node.callers();
-        let answer = known(entry, call).await.expect("an answer");
+        let answer = send_until_known(entry, call).await.expect("an answer");
         assert_eq!((answer.status, &*answer.reason), (504, "deadline-passed"));
         assert_eq!(answer.verdict, "may-have-run");
         assert_eq!(server.requests(), 1);
@@ -130,22 +138,22 @@
 // must not be lost on another.
 #[test]
 fn silent_connections_cost_one_call_and_not_one_each() {
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, _server) =
             broken_fleet(folder.path(), ServerFault::SilentLater).await;
         let entry = fleet.nodes[4].node.callers();
-        let call = CallAsked {
+        let call = CallRequest {
             deadline_ms: Some(1_500),
-            ..tested(None)
+            ..sale_call(None)
         };
-        let first = known(entry, call).await.expect("an answer");
+        let first = send_until_known(entry, call).await.expect("an answer");
         assert_eq!(first.status, 200);
         let mut callers = Vec::new();
         for _ in 0..3 {
-            let call = tested(None);
+            let call = sale_call(None);
             callers.push(actix_rt::spawn(async move {
-                let call = CallAsked {
+                let call = CallRequest {
                     deadline_ms: Some(1_500),
                     ..call
                 };
@@ -171,12 +179,14 @@
 // may have run.
 #[test]
 fn a_half_closed_connection_gets_no_second_call() {
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::HalfClose).await;
         let entry = fleet.nodes[4].node.callers();
         for call in 1..=20 {
-            let answer = known(entry, tested(None)).await.expect("an answer");
+            let answer = send_until_known(entry, sale_call(None))
+                .await
+                .expect("an answer");
             assert_eq!((answer.status, &*answer.body), (200, &b"whole"[..]));
             assert_eq!(server.requests(), call);
         }
@@ -190,29 +200,31 @@
 fn crossed_answers_and_a_large_body_reach_their_own_callers() {
     const CALLS: usize = 100;
     const LARGE: usize = 5 * 1024 * 1024;
-    on_runtime(async {
+    run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
         let mut servers = Vec::new();
         for node in &fleet.nodes[0..3] {
-            let server = StandIn::spawn(StandInPlan {
+            let server = StandIn::spawn(StandInConfig {
                 instance: "tested".into(),
                 service: "tested".into(),
                 version: "v1".into(),
                 slots: 50,
-                ..plan()
+                ..stand_in_config()
             });
             let server = server.expect("a stand-in");
             announce(&node.node, server.address(), 50).await;
             servers.push(server);
         }
         let entry = fleet.nodes[8].node.callers();
-        let first = known(entry, tested(None)).await.expect("an answer");
+        let first = send_until_known(entry, sale_call(None))
+            .await
+            .expect("an answer");
         assert_eq!(first.status, 200);
         let large: Vec<u8> = (0..LARGE).map(|at| (at % 251) as u8).collect();
         let sent = large.clone();
         let moving =
-            actix_rt::spawn(async move { tested(None).send(entry, &sent).await });
+            actix_rt::spawn(async move { sale_call(None).send(entry, &sent).await });
         let order = Rc::new(RefCell::new(Vec::new()));
         let mut callers = Vec::new();
         for number in 0..CALLS {
@@ -220,10 +232,10 @@
             let order = Rc::clone(&order);
             callers.push(actix_rt::spawn(async move {
                 let path = format!("/tested/{number}");
-                let call = CallAsked {
+                let call = CallRequest {
                     path: &path,
                     wait_ms: 10 * (CALLS - number) as u64,
-                    ..CallAsked::default()
+                    ..CallRequest::default()
                 };
                 let body = format!("body of {number}");
                 let answer = call.send(entry, body.as_bytes()).await;
@@ -246,14 +258,14 @@
     });
 }
 
-fn plan() -> StandInPlan {
-    StandInPlan {
+fn stand_in_config() -> StandInConfig {
+    StandInConfig {
         instance: "tested".into(),
         service: "tested".into(),
         version: "v1".into(),
         slots: 10,
-        connections: 100,
-        work: Duration::ZERO,
-        cold: Duration::ZERO,
+        connections_max: 100,
+        work_time: Duration::ZERO,
+        cold_start_time: Duration::ZERO,
     }
 }
--- a/crates/cli/tests/calls/fleet_calls.rs
+++ b/crates/cli/tests/calls/fleet_calls.rs
@@ -14,7 +14,7 @@
 use cowslip_cli::local_fleet::DeploymentPlan;
 use cowslip_cli::local_fleet::LocalFleet;
 use cowslip_cli::request_id::new_request_id;
-use cowslip_cli::stand_in::WAIT_HEADER;
+use cowslip_cli::stand_in::DELAY_HEADER;
 use cowslip_core::change::ConfigChange;
 use cowslip_core::document::CallPriority;
 use cowslip_core::document::FleetDocument;
@@ -25,7 +25,7 @@
 use cowslip_node::node_daemon::NodeDaemon;
 
 /// Longest wait for the fleet; only a broken one reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const FLEET_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Largest answer read, in bytes.
 const BODY_BYTES_MAX: usize = 16 * 1024 * 1024;
@@ -51,31 +51,31 @@
 }
 
 pub async fn send(node: SocketAddr, key: &str, body: &str) -> Option<CallAnswer> {
-    let call = CallAsked {
+    let call = CallRequest {
         path: PATH,
         key: Some(key),
-        ..CallAsked::default()
+        ..CallRequest::default()
     };
     call.send(node, body.as_bytes()).await
 }
 
 /// A call as a caller makes it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CallAsked<'a> {
+pub struct CallRequest<'a> {
     pub path: &'a str,
     pub key: Option<&'a str>,
     pub deadline_ms: Option<u64>,
     pub wait_ms: u64,
 }
 
-impl CallAsked<'_> {
+impl CallRequest<'_> {
     /// The answer, where it came whole.
     pub async fn send(&self, node: SocketAddr, body: &[u8]) -> Option<CallAnswer> {
-        let client = Client::builder().timeout(PATIENCE).finish();
+        let client = Client::builder().timeout(FLEET_TIMEOUT).finish();
         let mut request = client
             .post(format!("http://{node}{}", self.path))
             .insert_header(("cowslip-customer", "anna"))
-            .insert_header((WAIT_HEADER, self.wait_ms.to_string()));
+            .insert_header((DELAY_HEADER, self.wait_ms.to_string()));
         if let Some(key) = self.key {
             request = request.insert_header(("idempotency-key", key));
         }
@@ -151,7 +151,7 @@
         .change(new_request_id(), None, change.clone())
         .await
     {
-        assert!(began.elapsed() < PATIENCE, "no document: {problem}");
+        assert!(began.elapsed() < FLEET_TIMEOUT, "no document: {problem}");
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
     for (number, node) in fleet.nodes.iter().enumerate() {
@@ -161,7 +161,7 @@
             if answer.is_some_and(|answer| answer.status == 200) {
                 break;
             }
-            assert!(began.elapsed() < PATIENCE, "no claim is granted");
+            assert!(began.elapsed() < FLEET_TIMEOUT, "no claim is granted");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
     }
--- a/crates/cli/tests/calls/malformed.rs
+++ b/crates/cli/tests/calls/malformed.rs
@@ -9,23 +9,23 @@
 use cowslip_cli::local_fleet::LocalFleet;
 
 use crate::fleet_calls::fleet;
-use crate::fleet_calls::CallAsked;
-use crate::fleet_calls::PATIENCE;
+use crate::fleet_calls::CallRequest;
+use crate::fleet_calls::FLEET_TIMEOUT;
 
 /// Sends the bytes, says that no more come, and reads what comes back.
-async fn raw(node: SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(node: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(node).await.expect("a connection");
     // The node may close as soon as it has seen enough.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    let ended = actix_rt::time::timeout(PATIENCE, reading).await;
+    let ended = actix_rt::time::timeout(FLEET_TIMEOUT, reading).await;
     assert!(ended.is_ok(), "the connection is held for ever");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn begun(fleet: &LocalFleet) -> u32 {
+fn begun_requests(fleet: &LocalFleet) -> u32 {
     let counts = fleet.nodes.iter().map(|node| node.stand_in.counts());
     counts.map(|counts| counts.begun.get()).sum()
 }
@@ -39,7 +39,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
         let node = fleet.nodes[0].node.callers();
-        let before = begun(&fleet);
+        let before = begun_requests(&fleet);
         let head = "POST /contracts/1 HTTP/1.1\r\nhost: here\r\n";
         let large = format!("{head}x-large: {}\r\n\r\n", "x".repeat(1 << 20));
         let cases = [
@@ -67,14 +67,18 @@
             ),
         ];
         for (name, bytes, status) in cases {
-            let answer = raw(node, bytes.as_bytes()).await;
+            let answer = send_raw(node, bytes.as_bytes()).await;
             assert!(!answer.starts_with("HTTP/1.1 200"), "{name}: {answer}");
             assert!(answer.contains(status), "{name}: {answer}");
         }
-        assert_eq!(begun(&fleet), before, "a backend server was reached");
-        let call = CallAsked {
+        assert_eq!(
+            begun_requests(&fleet),
+            before,
+            "a backend server was reached"
+        );
+        let call = CallRequest {
             path: "/contracts/1",
-            ..CallAsked::default()
+            ..CallRequest::default()
         };
         let answer = call.send(node, b"whole").await.expect("an answer");
         assert_eq!(answer.status, 200);
@@ -89,9 +93,9 @@
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
         let node = fleet.nodes[0].node.callers();
-        let call = CallAsked {
+        let call = CallRequest {
             path: "/system/claim",
-            ..CallAsked::default()
+            ..CallRequest::default()
         };
         let answer = call.send(node, b"claim").await.expect("an answer");
         assert_eq!((answer.status, &*answer.reason), (404, "no-route"));
--- a/crates/cli/tests/calls/planned_stop.rs
+++ b/crates/cli/tests/calls/planned_stop.rs
@@ -10,8 +10,8 @@
 
 use crate::fleet_calls::announce;
 use crate::fleet_calls::fleet;
-use crate::fleet_calls::CallAsked;
-use crate::fleet_calls::PATIENCE;
+use crate::fleet_calls::CallRequest;
+use crate::fleet_calls::FLEET_TIMEOUT;
 
 // A node is stopped for maintenance while it has calls in flight, both as
 // entry node and in front of its backend server. Every answer must reach its
@@ -31,10 +31,10 @@
             let entry = if number % 2 == 0 { own } else { other };
             let body = body.clone();
             calls.push(actix_rt::spawn(async move {
-                let call = CallAsked {
+                let call = CallRequest {
                     path: "/contracts/slow",
                     wait_ms: 600,
-                    ..CallAsked::default()
+                    ..CallRequest::default()
                 };
                 call.send(entry, &body).await
             }));
@@ -46,9 +46,9 @@
         actix_rt::time::sleep(Duration::from_millis(300)).await;
         let stopping = actix_rt::spawn(leaving.node.stop());
         actix_rt::time::sleep(Duration::from_millis(20)).await;
-        let new = CallAsked {
+        let new = CallRequest {
             path: "/contracts/new",
-            ..CallAsked::default()
+            ..CallRequest::default()
         };
         if let Some(told) = new.send(own, b"new").await {
             assert_eq!((told.status, &*told.reason), (503, "stopping"));
@@ -80,10 +80,10 @@
         for number in 0..20 {
             let entry = if number % 2 == 0 { own } else { other };
             calls.push(actix_rt::spawn(async move {
-                let call = CallAsked {
+                let call = CallRequest {
                     path: "/contracts/slow",
                     wait_ms: 4_000,
-                    ..CallAsked::default()
+                    ..CallRequest::default()
                 };
                 call.send(entry, b"an export").await
             }));
@@ -116,9 +116,9 @@
         let address = socket.local_addr().expect("its address");
         announce(&fleet.nodes[0].node, address, 10).await;
         drop(socket);
-        let call = CallAsked {
+        let call = CallRequest {
             path: "/tested/sale",
-            ..CallAsked::default()
+            ..CallRequest::default()
         };
         let entry = fleet.nodes[4].node.callers();
         let began = Instant::now();
@@ -134,7 +134,10 @@
             if withdrawn {
                 break;
             }
-            assert!(began.elapsed() < PATIENCE, "the server is never withdrawn");
+            assert!(
+                began.elapsed() < FLEET_TIMEOUT,
+                "the server is never withdrawn"
+            );
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
     });
--- a/crates/cli/tests/commands/cmd_explain.rs
+++ b/crates/cli/tests/commands/cmd_explain.rs
@@ -31,9 +31,9 @@
             .output()
             .expect("it runs")
     };
-    let told = explain("9c41");
-    assert_eq!(told.status.code(), Some(0));
-    let text = String::from_utf8_lossy(&told.stdout);
+    let output = explain("9c41");
+    assert_eq!(output.status.code(), Some(0));
+    let text = String::from_utf8_lossy(&output.stdout);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4, "{text}");
     assert!(lines[0].contains("the server's node refused it: connection-broken"));
--- a/crates/cli/tests/commands/cmd_status.rs
+++ b/crates/cli/tests/commands/cmd_status.rs
@@ -2,19 +2,19 @@
 
 use std::process::Command;
 
-use crate::work_dir::WorkDir;
-use crate::work_dir::NODES;
+use crate::fleet_fixture::FleetFixture;
+use crate::fleet_fixture::NODES;
 
 #[test]
 fn every_node_and_backend_server_is_listed() {
-    let dir = WorkDir::with_fleet();
-    let status = dir.json(&["status"]);
+    let fixture = FleetFixture::with_fleet();
+    let status = fixture.json(&["status"]);
     assert_eq!(status["nodes"].as_array().map(Vec::len), Some(NODES));
-    let table = dir.stdout(&["status"]);
+    let table = fixture.stdout(&["status"]);
     assert!(table.contains("9 live nodes"), "{table}");
-    let endpoints = dir.json(&["endpoints"]);
+    let endpoints = fixture.json(&["endpoints"]);
     assert_eq!(endpoints.as_array().map(Vec::len), Some(NODES));
-    let table = dir.stdout(&["endpoints"]);
+    let table = fixture.stdout(&["endpoints"]);
     assert!(table.contains("contract-6"), "{table}");
 }
 
@@ -22,9 +22,9 @@
 // looking for a leader.
 #[test]
 fn a_wrong_key_is_told() {
-    let dir = WorkDir::with_fleet();
-    let said = dir.fails(2, &["--key", "something-else", "status"]);
-    assert!(said.contains("key is missing or wrong"), "{said}");
+    let fixture = FleetFixture::with_fleet();
+    let stderr = fixture.fails(2, &["--key", "something-else", "status"]);
+    assert!(stderr.contains("key is missing or wrong"), "{stderr}");
 }
 
 // No control instance runs. The command must end with the status that
@@ -43,7 +43,7 @@
         .output()
         .expect("the command runs");
     assert_eq!(output.status.code(), Some(3));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(said.contains("no control instance answered"), "{said}");
-    assert!(!said.contains("may have been accepted"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("no control instance answered"), "{stderr}");
+    assert!(!stderr.contains("may have been accepted"), "{stderr}");
 }
--- a/crates/cli/tests/commands/work_dir.rs
+++ b/crates/cli/tests/commands/fleet_fixture.rs
@@ -22,17 +22,17 @@
 pub const NODES: usize = 9;
 
 /// Longest wait for a fleet to be whole; only a broken one reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const FLEET_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A folder with a fleet beside it.
-pub struct WorkDir {
+pub struct FleetFixture {
     folder: TempDir,
     controls: Vec<SocketAddr>,
     stop: Option<oneshot::Sender<()>>,
     fleet: Option<JoinHandle<()>>,
 }
 
-impl WorkDir {
+impl FleetFixture {
     /// Starts Sidertre's local fleet and waits until every node is heard of.
     pub fn with_fleet() -> Self {
         Self::start(None)
@@ -58,12 +58,14 @@
                     let added = fleet.add_version(&plan, service, version).await;
                     added.expect("servers of another version");
                 }
-                wait_until_whole(&fleet).await;
+                wait_for_nodes(&fleet).await;
                 started.send(fleet.addresses()).expect("the test waits");
                 let _ = stopped.await;
             });
         });
-        let controls = addresses.recv_timeout(PATIENCE).expect("the fleet started");
+        let controls = addresses
+            .recv_timeout(FLEET_TIMEOUT)
+            .expect("the fleet started");
         Self {
             folder,
             controls,
@@ -112,7 +114,7 @@
         serde_json::from_str(&self.stdout(&all)).expect("it prints one JSON document")
     }
 
-    /// Runs it and expects this exit status; gives what it said.
+    /// Runs it and expects this exit status; gives what it stderr.
     pub fn fails(&self, status: i32, args: &[&str]) -> String {
         let output = self.run(args);
         let errors = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -121,7 +123,7 @@
     }
 }
 
-async fn wait_until_whole(fleet: &LocalFleet) {
+async fn wait_for_nodes(fleet: &LocalFleet) {
     let operator = fleet.operator();
     loop {
         let status = operator.ask(&StatusCall {}).await.expect("a leader");
@@ -132,7 +134,7 @@
     }
 }
 
-impl Drop for WorkDir {
+impl Drop for FleetFixture {
     fn drop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
--- a/crates/cli/tests/commands/main.rs
+++ b/crates/cli/tests/commands/main.rs
@@ -7,4 +7,4 @@
 mod cmd_member;
 mod cmd_move;
 mod cmd_status;
-mod work_dir;
+mod fleet_fixture;
--- a/crates/cli/tests/internal_routes.rs
+++ b/crates/cli/tests/internal_routes.rs
@@ -12,7 +12,7 @@
 use cowslip_core::change::ConfigChange;
 
 /// Longest wait for the fleet; only a broken one reaches it.
-const PATIENCE: Duration = Duration::from_secs(30);
+const FLEET_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn status_and_reason(node: SocketAddr, path: &str) -> (u16, String) {
     let sent = Client::default().get(format!("http://{node}{path}"));
@@ -26,7 +26,7 @@
 async fn wait_until_served(node: SocketAddr, path: &str) {
     let began = Instant::now();
     while status_and_reason(node, path).await.0 != 200 {
-        assert!(began.elapsed() < PATIENCE, "{path} is never served");
+        assert!(began.elapsed() < FLEET_TIMEOUT, "{path} is never served");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -30,7 +30,7 @@
 use cowslip_wire::messages::StatusCall;
 
 /// Longest wait for anything; only a broken fleet reaches it.
-const PATIENCE: Duration = Duration::from_secs(120);
+const FLEET_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Time given to the moves.
 const MOVE_TIME: Duration = Duration::from_secs(10);
@@ -39,7 +39,7 @@
 const CALLERS: usize = 6;
 
 /// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn change(
     operator: &ControlClient,
@@ -60,7 +60,12 @@
     })
 }
 
-async fn refused(operator: &ControlClient, id: &str, change: ConfigChange, word: &str) {
+async fn expect_refusal(
+    operator: &ControlClient,
+    id: &str,
+    change: ConfigChange,
+    word: &str,
+) {
     let outcome = operator.change(Arc::from(id), None, change).await;
     let Err(OperatorError::Refused(ChangeOutcome::Invalid { faults })) = outcome else {
         panic!("not refused: {outcome:?}");
@@ -75,8 +80,8 @@
         if status.nodes.len() >= nodes {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{status:?}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        assert!(began.elapsed() < FLEET_TIMEOUT, "{status:?}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -93,8 +98,8 @@
         if line.state != MoveState::InProgress {
             return line;
         }
-        assert!(began.elapsed() < PATIENCE, "{line:?}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        assert!(began.elapsed() < FLEET_TIMEOUT, "{line:?}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -113,7 +118,7 @@
     }
 }
 
-fn begun(fleet: &LocalFleet, prefix: &str) -> u32 {
+fn begun_requests(fleet: &LocalFleet, prefix: &str) -> u32 {
     let mut begun = 0;
     for node in &fleet.nodes {
         if node.instance.starts_with(prefix) {
@@ -124,16 +129,16 @@
 }
 
 async fn wait_for_calls(fleet: &LocalFleet, prefix: &str, calls: u32) {
-    let target = begun(fleet, prefix) + calls;
+    let target = begun_requests(fleet, prefix) + calls;
     let began = Instant::now();
-    while begun(fleet, prefix) < target {
-        assert!(began.elapsed() < PATIENCE, "no calls at {prefix}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+    while begun_requests(fleet, prefix) < target {
+        assert!(began.elapsed() < FLEET_TIMEOUT, "no calls at {prefix}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Puts the document in force on all nodes, with moves of five seconds.
-async fn begin(operator: &ControlClient, fleet: &LocalFleet, document: FleetDocument) {
+async fn set_up(operator: &ControlClient, fleet: &LocalFleet, document: FleetDocument) {
     wait_for_nodes(operator, fleet.nodes.len()).await;
     change(operator, "apply", ConfigChange::Apply(document)).await;
     let key = TuningKey::MoveLeastSeconds;
@@ -165,8 +170,8 @@
     }
     let fleet = Rc::new(fleet);
     let operator = fleet.operator();
-    begin(&operator, &fleet, plan.document()).await;
-    refused(&operator, "none", start("contract", "v3"), "announced").await;
+    set_up(&operator, &fleet, plan.document()).await;
+    expect_refusal(&operator, "none", start("contract", "v3"), "announced").await;
     let stop = Rc::new(Cell::new(false));
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
@@ -175,7 +180,7 @@
     }
     let good = change(&operator, "good", start("contract", "v2")).await;
     let bad = change(&operator, "bad", start("records", "v2")).await;
-    refused(&operator, "two", start("contract", "v2"), "in progress").await;
+    expect_refusal(&operator, "two", start("contract", "v2"), "in progress").await;
 
     let line = wait_for_end(&operator, bad).await;
     assert_eq!(line.state, MoveState::TakenBack, "{line:?}");
@@ -194,11 +199,11 @@
     assert_eq!(&*services["records"].version, "v1");
     // What was on its way when the moves ended is let through first.
     wait_for_calls(&fleet, "contract-v2", 100).await;
-    let withdrawn = begun(&fleet, "records-v2");
-    let replaced = begun(&fleet, "contract-1");
+    let withdrawn = begun_requests(&fleet, "records-v2");
+    let replaced = begun_requests(&fleet, "contract-1");
     wait_for_calls(&fleet, "contract-v2", 100).await;
-    assert_eq!(begun(&fleet, "records-v2"), withdrawn);
-    assert_eq!(begun(&fleet, "contract-1"), replaced);
+    assert_eq!(begun_requests(&fleet, "records-v2"), withdrawn);
+    assert_eq!(begun_requests(&fleet, "contract-1"), replaced);
     stop.set(true);
     for caller in callers {
         caller.await.expect("a caller ends");
@@ -220,7 +225,7 @@
     let added = fleet.add_version(&plan, &plan.services[0], "v2").await;
     added.expect("servers of the new version");
     let operator = fleet.operator();
-    begin(&operator, &fleet, plan.document()).await;
+    set_up(&operator, &fleet, plan.document()).await;
     let rollout = change(&operator, "move", start("contract", "v2")).await;
     let leader = operator
         .ask(&StatusCall {})
@@ -228,9 +233,9 @@
         .expect("a leader")
         .instance;
     let began = Instant::now();
-    while share(&operator, rollout).await < 20 {
-        assert!(began.elapsed() < PATIENCE, "no step is taken");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+    while rollout_share(&operator, rollout).await < 20 {
+        assert!(began.elapsed() < FLEET_TIMEOUT, "no step is taken");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let number: usize = leader
         .trim_start_matches("control-")
@@ -249,7 +254,7 @@
     }
 }
 
-async fn share(operator: &ControlClient, rollout: ConfigVersion) -> u16 {
+async fn rollout_share(operator: &ControlClient, rollout: ConfigVersion) -> u16 {
     let call = RolloutsCall {
         rollout: Some(rollout),
         ..RolloutsCall::default()
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -20,7 +20,7 @@
 use tempfile::TempDir;
 
 use cowslip_cli::stand_in::StandIn;
-use cowslip_cli::stand_in::StandInPlan;
+use cowslip_cli::stand_in::StandInConfig;
 
 const CONTROLS: u8 = 3;
 const NODES: u8 = 9;
@@ -28,7 +28,7 @@
 const CALLERS: usize = 16;
 
 /// Longest wait for anything; only a broken fleet reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const FLEET_TIMEOUT: Duration = Duration::from_secs(60);
 
 const DOCUMENT: &str = "services: {contract: {version: v1}, records: {version: v1}}
 routes:
@@ -38,14 +38,14 @@
 
 /// An address on a loopback IP number that only this test process uses, so
 /// that no outgoing connection can take the port before its owner binds it.
-fn own_address(number: u8) -> SocketAddr {
+fn unused_address(number: u8) -> SocketAddr {
     let pid = std::process::id().to_be_bytes();
     let own = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number));
     let bound = TcpListener::bind(SocketAddr::new(own, 0)).expect("a free port");
     bound.local_addr().expect("its address")
 }
 
-fn program(name: &str) -> PathBuf {
+fn program_path(name: &str) -> PathBuf {
     let beside = Path::new(env!("CARGO_BIN_EXE_cowslip")).with_file_name(name);
     assert!(
         beside.exists(),
@@ -76,7 +76,7 @@
     fn spawn() -> Self {
         let mut fleet = Self {
             folder: tempfile::tempdir().expect("a folder"),
-            controls: (1..=CONTROLS).map(own_address).collect(),
+            controls: (1..=CONTROLS).map(unused_address).collect(),
             callers: Vec::new(),
             locals: Vec::new(),
             children: Vec::new(),
@@ -104,14 +104,14 @@
              listen: {}\nadmin_listen: {}\ndata_folder: {}\nmembers:\n{members}\
              operator_key: test-operator\nsystem_key: test-system\n",
             self.controls[usize::from(number)],
-            own_address(10 + number),
+            unused_address(10 + number),
             folder.display()
         )
     }
 
     fn node_settings(&mut self, number: u8) -> String {
-        let callers = own_address(20 + number);
-        let local = own_address(40 + number);
+        let callers = unused_address(20 + number);
+        let local = unused_address(40 + number);
         self.callers.push(callers);
         self.locals.push(local);
         let controls: Vec<String> =
@@ -121,8 +121,8 @@
              callers_listen: {callers}\nlocal_listen: {local}\npeer_listen: {}\n\
              admin_listen: {}\ncontrols: [{}]\nsystem_key: test-system\n",
             number % CONTROLS,
-            own_address(60 + number),
-            own_address(80 + number),
+            unused_address(60 + number),
+            unused_address(80 + number),
             controls.join(", ")
         )
     }
@@ -130,7 +130,7 @@
     fn start(&mut self, name: &str, instance: &str, settings: &str) {
         let file = self.folder.path().join(format!("{instance}.yaml"));
         fs::write(&file, settings).expect("the folder can be written");
-        let child = Command::new(program(name))
+        let child = Command::new(program_path(name))
             .arg("--settings")
             .arg(&file)
             .env("RUST_LOG", "error")
@@ -142,7 +142,7 @@
     fn cowslip(&self, args: &[&str]) -> Option<Value> {
         let controls: Vec<String> =
             self.controls.iter().map(ToString::to_string).collect();
-        let output = Command::new(program("cowslip"))
+        let output = Command::new(program_path("cowslip"))
             .current_dir(self.folder.path())
             .env("COWSLIP_CONTROL", controls.join(","))
             .env("COWSLIP_KEY", "test-operator")
@@ -165,7 +165,7 @@
 
     fn wait_for_nodes(&self) {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+        while began.elapsed() < FLEET_TIMEOUT {
             let status = self.cowslip(&["status"]).unwrap_or_default();
             let heard = status["nodes"].as_array().map_or(0, Vec::len);
             if heard == usize::from(NODES) {
@@ -180,20 +180,20 @@
     let mut stand_ins = Vec::new();
     for (number, local) in fleet.locals.iter().enumerate() {
         let service = if number < 6 { "contract" } else { "records" };
-        let stand_in = StandIn::spawn(StandInPlan {
+        let stand_in = StandIn::spawn(StandInConfig {
             instance: format!("node-{number}").into(),
             service: service.into(),
             version: "v1".into(),
             slots: 10,
-            connections: 100,
-            work: Duration::from_millis(2),
-            cold: Duration::ZERO,
+            connections_max: 100,
+            work_time: Duration::from_millis(2),
+            cold_start_time: Duration::ZERO,
         });
         let stand_in = stand_in.expect("a stand-in");
         let began = Instant::now();
         while stand_in.announce(*local).await.is_err() {
             assert!(
-                began.elapsed() < PATIENCE,
+                began.elapsed() < FLEET_TIMEOUT,
                 "node {number} takes no announcement"
             );
         }
@@ -212,7 +212,7 @@
             let mut wrong = Vec::new();
             for number in (sender..CALLS).step_by(CALLERS) {
                 let address = callers[number % callers.len()];
-                wrong.extend(one_call(&client, address, number).await.err());
+                wrong.extend(send_call(&client, address, number).await.err());
             }
             wrong
         }));
@@ -224,7 +224,7 @@
     wrong
 }
 
-async fn one_call(
+async fn send_call(
     client: &Client,
     address: SocketAddr,
     number: usize,
@@ -290,8 +290,11 @@
     let began = Instant::now();
     for (number, address) in callers.iter().enumerate() {
         for path in [number * 2, number * 2 + 1] {
-            while one_call(&client, *address, path).await.is_err() {
-                assert!(began.elapsed() < PATIENCE, "node {number} finds no server");
+            while send_call(&client, *address, path).await.is_err() {
+                assert!(
+                    began.elapsed() < FLEET_TIMEOUT,
+                    "node {number} finds no server"
+                );
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
         }
