--- a/crates/cli/src/bin/cowslip-load.rs
+++ b/crates/cli/src/bin/cowslip-load.rs
@@ -1,4 +1,4 @@
-//! `cowslip-load`: calls at a stated rate, and what came of them.
+//! `cowslip-load`: an open-loop load generator.
 
 use std::path::PathBuf;
 use std::process::exit;
@@ -14,62 +14,62 @@
 use cowslip_cli::load::open_loop::LoadPlan;
 use cowslip_wire::command_args;
 
-/// Longest run; the tool always stops by itself.
+/// Longest run, in seconds; every run ends by itself.
 const SECONDS_MAX: u64 = 600;
 
-/// Most calls of a run.
+/// Largest number of calls of a run.
 const CALLS_MAX: u64 = 10_000_000;
 
-/// Sends calls at a stated rate and reports what callers received.
+/// Sends calls at a given rate and reports their outcomes and latencies.
 ///
 /// Example: cowslip-load --rate 1000 --seconds 10 --plot run.svg http://127.0.0.1:7301/prices
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct LoadArgs {
-    /// Calls a second
+    /// Calls per second
     #[bpaf(argument("CALLS"), fallback(100.0))]
     rate: f64,
-    /// Length of the run, 600 at most
+    /// Duration of the run, at most 600
     #[bpaf(argument("SECONDS"), fallback(10))]
     seconds: u64,
-    /// Calls at most
+    /// Largest number of calls
     #[bpaf(argument("CALLS"), fallback(CALLS_MAX))]
     calls_max: u64,
     /// Sending threads
     #[bpaf(argument("THREADS"), fallback(1))]
     threads: u32,
-    /// Calls under way at once, per thread
+    /// Calls in flight at once, per thread
     #[bpaf(argument("CALLS"), fallback(2_000))]
     under_way_max: usize,
-    /// Method of the calls
+    /// HTTP method of the calls
     #[bpaf(argument("METHOD"), fallback(Method::GET))]
     method: Method,
-    /// Bytes of each request's body
+    /// Size of each request body
     #[bpaf(argument("BYTES"), fallback(0))]
     body_bytes: usize,
-    /// Customers to call for in turn
+    /// Number of customers to use in turn
     #[bpaf(argument("CUSTOMERS"), fallback(0))]
     customers: u32,
-    /// Deadline of each call
+    /// Deadline sent with each call
     #[bpaf(argument("MS"))]
     deadline_ms: Option<u64>,
-    /// Seed of the gaps between calls
+    /// Seed of the intervals between calls
     #[bpaf(argument("SEED"), fallback(1))]
     seed: u64,
     /// Another URL to compare with; it gets the calls of every other second
     #[bpaf(argument("URL"))]
     against: Option<String>,
-    /// Draw the run as SVG
+    /// Plot the run into this SVG file
     #[bpaf(argument("FILE"))]
     plot: Option<PathBuf>,
-    /// Print one JSON document
+    /// Print the report as one JSON document
     json: bool,
-    /// Where to send the calls, in turn
+    /// URLs to call in turn
     #[bpaf(positional("URL"), some("name at least one URL"))]
     targets: Vec<String>,
 }
 
-/// What a run prints as JSON.
+/// Report of a run, as printed in JSON.
 #[derive(Serialize)]
 struct RunReport {
     calls: LoadReport,
@@ -79,7 +79,9 @@
 fn main() {
     let args = command_args::parse_or_exit(&load_args());
     if args.rate <= 0.0 || args.seconds == 0 || args.seconds > SECONDS_MAX {
-        eprintln!("cowslip-load: the rate is above 0 and the run 1 to {SECONDS_MAX} s");
+        eprintln!(
+            "cowslip-load: --rate must be above 0 and --seconds from 1 to {SECONDS_MAX}"
+        );
         exit(2);
     }
     let tallies = open_loop::run(&plan(&args));
--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -1,4 +1,4 @@
-//! `cowslip-local`: a whole small fleet in one process, for a first look.
+//! `cowslip-local`: a demonstration fleet in one process.
 
 use std::process::exit;
 use std::rc::Rc;
@@ -27,29 +27,30 @@
 use cowslip_wire::process_log;
 use cowslip_wire::stop_signal;
 
-/// Calls sent while the configuration changes.
+/// Number of calls sent while the configuration changes.
 const CALLS: usize = 1_000;
 
-/// Calls under way at once.
+/// Number of callers; each has one call in flight.
 const CALLERS: usize = 16;
 
-/// Longest wait for a move; ten times the promise of seconds.
+/// Timeout of a move: ten times the few seconds in which a change should be in
+/// force on every node.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between looks at a move.
+/// Interval between queries while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts a small fleet on loopback, sends calls through it, changes its
-/// configuration and prints what came of it.
+/// Starts a small fleet on loopback, sends calls through it while its
+/// configuration changes, and prints the results.
 ///
 /// Example: cowslip-local --deployment colmenares --once
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct LocalArgs {
-    /// Whose deployment: sidertre or colmenares
+    /// Deployment to run: sidertre or colmenares
     #[bpaf(argument("NAME"), fallback("sidertre".to_owned()))]
     deployment: String,
-    /// End by itself; exit 0 only where everything held
+    /// Exit when done, with status 0 only if everything succeeded
     once: bool,
 }
 
@@ -62,7 +63,7 @@
     }
     process_log::start();
     let Some(plan) = DeploymentPlan::named(&args.deployment) else {
-        eprintln!("cowslip-local: no deployment {:?}", args.deployment);
+        eprintln!("cowslip-local: unknown deployment {:?}", args.deployment);
         exit(2);
     };
     match actix_rt::System::new().block_on(run(plan, args.once)) {
@@ -151,8 +152,8 @@
     Ok(operator.change(new_request_id(), None, change).await?)
 }
 
-/// Waits until every node has been heard of, so that a move's count of
-/// live nodes is the whole fleet's.
+/// Waits until every node has reported to control, so that the live nodes of a
+/// move are the whole fleet.
 async fn wait_for_nodes(operator: &ControlClient, nodes: usize) -> Result<(), AnyError> {
     let started = Instant::now();
     while started.elapsed() < MOVE_TIMEOUT {
@@ -162,7 +163,7 @@
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    Err(format!("fewer than {nodes} nodes were heard of").into())
+    Err(format!("fewer than {nodes} nodes have reported to control").into())
 }
 
 async fn wait_for_move(
@@ -204,7 +205,8 @@
     );
 }
 
-/// Sends the calls and counts those whose answer was whole and their own.
+/// Sends the calls and returns how many got the complete answer to their own
+/// request.
 async fn send_calls(fleet: Rc<LocalFleet>, paths: Vec<&'static str>) -> usize {
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
--- a/crates/cli/src/bin/cowslip-stand-in.rs
+++ b/crates/cli/src/bin/cowslip-stand-in.rs
@@ -1,4 +1,4 @@
-//! `cowslip-stand-in`: a stand-in backend server for trying things out.
+//! `cowslip-stand-in`: a stand-in backend server, for tests and measurements.
 
 use std::net::SocketAddr;
 use std::process::exit;
@@ -13,31 +13,31 @@
 use cowslip_wire::process_log;
 use cowslip_wire::stop_signal;
 
-/// Runs a stand-in backend server, announced to a node.
+/// Runs a stand-in backend server and announces it to a node.
 ///
 /// Example: cowslip-stand-in --node 127.0.0.1:7302 --service contract
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct StandInArgs {
-    /// Local listener of the node beside it
+    /// Local listener of its node
     #[bpaf(argument("ADDR"))]
     node: SocketAddr,
     /// Service it belongs to
     #[bpaf(argument("SERVICE"))]
     service: String,
-    /// Backend server version it runs
+    /// Backend server version it announces
     #[bpaf(argument("VERSION"), fallback("v1".to_owned()))]
     version_run: String,
-    /// Requests it runs at once
+    /// Requests it processes at once
     #[bpaf(argument("SLOTS"), fallback(10))]
     slots: u32,
-    /// Connections it takes at once
+    /// Connections it accepts at once
     #[bpaf(argument("CONNECTIONS"), fallback(CONNECTIONS_MAX))]
     connections: usize,
-    /// Time that a request takes
+    /// Processing time of a request
     #[bpaf(argument("MS"), fallback(2))]
     work_ms: u64,
-    /// Time added to each of the first requests
+    /// Extra processing time of each of the first requests
     #[bpaf(argument("MS"), fallback(0))]
     cold_ms: u64,
 }
--- a/crates/cli/src/bin/cowslip.rs
+++ b/crates/cli/src/bin/cowslip.rs
@@ -1,4 +1,4 @@
-//! `cowslip`: the operators' command.
+//! `cowslip`: the operators' command-line client.
 
 use std::process::exit;
 
--- a/crates/cli/src/call_chain.rs
+++ b/crates/cli/src/call_chain.rs
@@ -1,19 +1,19 @@
-//! Calls that a stand-in makes on behalf of the one it serves, so that a
-//! call many services deep can be tried out and measured.
+//! Nested calls of a stand-in, for testing and measuring calls that pass through
+//! many services.
 //!
-//! A path that ends in `/deep/N` makes the stand-in call `/deep/N-1` through
-//! its node before it answers; `/straight/N` calls the stand-in itself,
-//! without nodes, for comparison.
+//! A request whose path ends in `/deep/N` makes the stand-in call `/deep/N-1`
+//! through its node before it answers. `/straight/N` calls the stand-in itself
+//! directly, without nodes, for comparison.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use awc::Client;
 
-/// Deepest chain followed; the users' calls go up to 28 deep.
+/// Largest `N` that is followed. The users' calls are up to 28 services deep.
 const DEPTH_MAX: u32 = 64;
 
-/// Where a stand-in's own calls go.
+/// Client for the nested calls of a stand-in.
 pub struct CallChain {
     client: Client,
     node_address: Cell<Option<SocketAddr>>,
@@ -31,14 +31,15 @@
 }
 
 impl CallChain {
-    /// Tells where the node beside the stand-in and the stand-in listen.
+    /// Sets the local address of the stand-in's node and the stand-in's own
+    /// address. Until then nested calls fail.
     pub fn set_addresses(&self, node_address: SocketAddr, own_address: SocketAddr) {
         self.node_address.set(Some(node_address));
         self.own_address.set(Some(own_address));
     }
 
-    /// Makes the call that `path` asks for, if it does. False where the call
-    /// was made and not answered well.
+    /// Makes the nested call that `path` asks for, if any. Returns false where
+    /// the call could not be made or its answer was incomplete or no success.
     pub async fn make_next_call(&self, path: &str) -> bool {
         let Some(next) = NextCall::parse(path) else {
             return true;
@@ -61,7 +62,7 @@
     }
 }
 
-/// The next call of a chain.
+/// The nested call that a request path asks for.
 struct NextCall {
     path: String,
     through_node: bool,
--- a/crates/cli/src/cmd.rs
+++ b/crates/cli/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands of `cowslip`, a file each.
+//! Command line of `cowslip`. Each subcommand has a module of its own.
 
 use bpaf::construct;
 use bpaf::OptionParser;
@@ -18,7 +18,7 @@
 mod show;
 mod status;
 
-/// One subcommand with its arguments.
+/// A subcommand with its arguments.
 #[derive(Clone, Debug)]
 enum OperatorCommand {
     Apply(apply::ApplyArgs),
@@ -32,14 +32,14 @@
     Explain(explain::ExplainArgs),
 }
 
-/// A whole command line.
+/// A parsed command line.
 #[derive(Clone, Debug)]
 pub struct CommandLine {
     config: OperatorConfig,
     command: OperatorCommand,
 }
 
-/// The parser of the whole command line.
+/// Returns the parser of the command line.
 pub fn command_line() -> OptionParser<CommandLine> {
     let config = OperatorConfig::parser();
     let command = command();
@@ -66,7 +66,7 @@
 }
 
 impl CommandLine {
-    /// Runs the subcommand to its end.
+    /// Runs the subcommand.
     pub async fn run(self) -> OperatorResult<()> {
         let config = &self.config;
         match self.command {
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `cowslip apply`.
+//! `cowslip apply`: replaces the whole configuration.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 
-const USAGE: &str = "Replaces the whole configuration by a YAML document";
+const USAGE: &str = "Replaces the whole configuration with a YAML document";
 const EXAMPLE: &str = "Example: cowslip apply --expect 1.4 fleet.yaml";
 
 #[derive(Clone, Debug, Bpaf)]
@@ -21,7 +21,7 @@
 pub struct ApplyArgs {
     #[bpaf(external(change_args))]
     change: ChangeArgs,
-    /// Document with services, routes, defaults and exceptions
+    /// YAML document with services, routes, defaults and exceptions
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
--- a/crates/cli/src/cmd/change_request.rs
+++ b/crates/cli/src/cmd/change_request.rs
@@ -1,5 +1,5 @@
-//! Sending a change and printing that it was accepted; shared by the
-//! subcommands that change something.
+//! Sends a change and reports its acceptance, for all subcommands that change the
+//! configuration.
 
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
 use crate::operator_error::OperatorResult;
 use crate::request_id::new_request_id;
 
-/// Options of every change.
+/// Options of every subcommand that changes the configuration.
 #[derive(Clone, Debug, Bpaf)]
 pub struct ChangeArgs {
-    /// Refuse unless this version is in force
+    /// Refuse the change unless this version is in force
     #[bpaf(argument("VERSION"))]
     expect: Option<ConfigVersion>,
-    /// Identifier of the request; repeat a change whose answer was lost with
+    /// Identifier of the request; to repeat a change whose answer was lost, give
     /// the identifier that was printed
     #[bpaf(argument("ID"))]
     request_id: Option<String>,
 }
 
-/// What an accepted change prints.
+/// Output for an accepted change.
 #[derive(Debug, Serialize)]
 struct AcceptedReport {
     state: &'static str,
@@ -33,7 +33,8 @@
     request_id: Arc<str>,
 }
 
-/// Sends a change and prints the version, which also names the move.
+/// Sends a change and prints the version that it made, which also identifies its
+/// move. Uses a new request identifier where none is given.
 pub async fn send(
     config: &OperatorConfig,
     args: ChangeArgs,
--- a/crates/cli/src/cmd/default.rs
+++ b/crates/cli/src/cmd/default.rs
@@ -1,4 +1,4 @@
-//! `cowslip default set|list`.
+//! `cowslip default set|list`: the fleet-wide values of the tuning keys.
 
 use bpaf::Bpaf;
 use bpaf::Parser;
@@ -21,23 +21,24 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(default_action))]
 pub enum DefaultArgs {
-    /// Sets one figure for the whole fleet
+    /// Sets a tuning key for the whole fleet
     #[bpaf(command("set"), footer(EXAMPLE))]
     Set {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Which figure; see `default list`
+        /// Tuning key; see `default list`
         #[bpaf(positional("KEY"))]
         key: TuningKey,
-        /// Its value, in the unit of the key's name
+        /// Value, in the unit given by the key's name
         #[bpaf(positional("VALUE"))]
         value: u64,
     },
-    /// Lists every figure with its value and range
+    /// Lists every tuning key with its value, built-in value and range
     #[bpaf(command("list"), footer("Example: cowslip default list"))]
     List,
 }
 
+/// A tuning key with its value in force, built-in value and accepted range.
 #[derive(Debug, Serialize)]
 struct DefaultLine {
     key: TuningKey,
@@ -47,7 +48,7 @@
     most: u64,
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn default_args() -> impl Parser<DefaultArgs> {
     default_action()
         .to_options()
--- a/crates/cli/src/cmd/endpoints.rs
+++ b/crates/cli/src/cmd/endpoints.rs
@@ -1,4 +1,4 @@
-//! `cowslip endpoints`.
+//! `cowslip endpoints`: the backend servers in the directory.
 
 use bpaf::Bpaf;
 
--- a/crates/cli/src/cmd/exception.rs
+++ b/crates/cli/src/cmd/exception.rs
@@ -1,4 +1,4 @@
-//! `cowslip exception add|remove|list`.
+//! `cowslip exception add|remove|list`: exceptions to the defaults.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
 
-const USAGE: &str = "Adds, removes or lists departures from the fleet's defaults";
+const USAGE: &str = "Adds, removes or lists exceptions to the fleet's defaults";
 const EXAMPLE: &str =
     "Example: cowslip exception add --id slow-season --service contract \
 --reason 'acceptances take longer while the presses run' deadline_ms 8000";
@@ -31,25 +31,25 @@
     Add {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Name to remove it by
+        /// Name of the exception, by which it can be removed
         #[bpaf(argument("ID"))]
         id: String,
-        /// Why; it is kept with the exception
+        /// Reason for the exception, stored with it
         #[bpaf(argument("TEXT"))]
         reason: String,
-        /// Only calls to this service
+        /// Restrict the exception to calls to this service
         #[bpaf(argument("SERVICE"))]
         service: Option<String>,
-        /// Only calls on the route with this path
+        /// Restrict the exception to calls on the route with this path
         #[bpaf(argument("PATH"))]
         route: Option<String>,
-        /// Only nodes in this failure domain
+        /// Restrict the exception to nodes in this failure domain
         #[bpaf(argument("DOMAIN"))]
         failure_domain: Option<String>,
-        /// Which figure; see `default list`
+        /// Tuning key; see `default list`
         #[bpaf(positional("KEY"))]
         key: TuningKey,
-        /// Its value, in the unit of the key's name
+        /// Value, in the unit given by the key's name
         #[bpaf(positional("VALUE"))]
         value: u64,
     },
@@ -61,7 +61,7 @@
     Remove {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Its name
+        /// Name of the exception
         #[bpaf(positional("ID"))]
         id: String,
     },
@@ -70,7 +70,7 @@
     List,
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn exception_args() -> impl Parser<ExceptionArgs> {
     exception_action()
         .to_options()
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `cowslip explain`.
+//! `cowslip explain`: merges the log lines of several processes about one request.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,44 +10,45 @@
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
 
-const USAGE: &str = "Tells from the processes' logs what became of one request";
+const USAGE: &str = "Finds the log lines about one request and explains them";
 const EXAMPLE: &str = "Example: cowslip explain 9c41d07be2a35f68 node-*.log";
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("explain"), descr(USAGE), footer(EXAMPLE))]
 pub struct ExplainArgs {
-    /// The request's id
+    /// Request id
     #[bpaf(positional("REQUEST-ID"))]
     request: String,
-    /// Log files of the processes
+    /// Log files of the fleet's processes
     #[bpaf(positional("LOGFILE"), some("name at least one log file"))]
     files: Vec<PathBuf>,
 }
 
-/// One line of a log about the request.
+/// A log line about the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ExplainedLine {
-    /// When it was written, milliseconds since 1970 by its process's clock.
+    /// Time at which it was written, in milliseconds since 1970 by the clock of
+    /// its process.
     pub at_ms: u64,
-    /// The file it stands in.
+    /// Log file that contains it.
     pub file: String,
-    /// What it says, in words.
+    /// Explanation of its event in plain words.
     pub words: String,
-    /// The line.
+    /// The original line.
     pub line: String,
 }
 
-/// Everything the logs tell of a request.
+/// The log lines about a request, from all log files.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestTrace {
-    /// Lines about it, in the order of time.
+    /// Explained lines, ordered by time.
     pub lines: Vec<ExplainedLine>,
-    /// Lines that are damaged: they name no time.
+    /// Number of lines skipped because they have no readable time.
     pub damaged: usize,
 }
 
 impl RequestTrace {
-    /// Takes the lines of one file that name `request`.
+    /// Adds the lines of `text`, the content of `file`, that are about `request`.
     pub fn add_file(&mut self, file: &str, text: &str, request: &str) {
         for line in text.lines() {
             if field(line, "request") != Some(request) {
@@ -69,7 +70,7 @@
     }
 }
 
-/// The value of `key` in a line of key=value pairs.
+/// Returns the value of `key` in a line of key=value pairs, without quotes.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     for pair in line.split_ascii_whitespace() {
         if let Some((name, value)) = pair.split_once('=') {
@@ -122,7 +123,7 @@
     }
     if trace.lines.is_empty() {
         let problem = format!(
-            "no line names request {}; it was answered in time, or its lines were left out",
+            "no log line names request {}; it was answered in time, or its log lines were dropped",
             args.request
         );
         return Err(OperatorError::Missing(problem));
--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -1,4 +1,4 @@
-//! `cowslip member add|remove|list`.
+//! `cowslip member add|remove|list`: membership of the control group.
 
 use std::net::SocketAddr;
 
@@ -18,20 +18,20 @@
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
 
-const USAGE: &str = "Adds, removes or lists the control instances that agree";
+const USAGE: &str = "Adds, removes or lists the members of the control group";
 const EXAMPLE: &str = "Example: cowslip member add control-2 10.0.2.1:7101";
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(member_action))]
 pub enum MemberArgs {
-    /// Adds a running instance with an empty data folder, or takes it back
-    /// in place of the folder that it lost
+    /// Adds a running instance with an empty data folder; also readmits a member
+    /// that lost its data folder
     #[bpaf(command("add"), footer(EXAMPLE))]
     Add {
         /// Name of the instance, as in its settings
         #[bpaf(positional("INSTANCE"))]
         instance: String,
-        /// Where it listens
+        /// Address that it listens on
         #[bpaf(positional("ADDR"))]
         address: SocketAddr,
     },
@@ -42,12 +42,12 @@
         #[bpaf(positional("INSTANCE"))]
         instance: String,
     },
-    /// Lists the members with what they hold
+    /// Lists the members with their role, state and log position
     #[bpaf(command("list"), footer("Example: cowslip member list"))]
     List,
 }
 
-/// What an accepted change of members prints.
+/// Output for an accepted membership change.
 #[derive(Debug, Serialize)]
 struct MemberReport {
     state: &'static str,
@@ -55,7 +55,7 @@
     instance: String,
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn member_args() -> impl Parser<MemberArgs> {
     member_action()
         .to_options()
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -1,4 +1,5 @@
-//! `cowslip move start|take-back|list|show|wait`.
+//! `cowslip move start|take-back|list|show|wait`: moves of services between
+//! backend server versions, and the progress of configuration changes.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -30,38 +31,38 @@
 mod move_plot;
 
 const USAGE: &str =
-    "Moves services to new backend server versions and reads back what became of changes";
+    "Moves services to new backend server versions and reports the progress of changes";
 const START_EXAMPLE: &str =
     "Example: cowslip move start --service ledger --to v2 --by 30m --reason 'new tax rate'";
 const TAKE_BACK_EXAMPLE: &str =
     "Example: cowslip move take-back 1.5 --reason 'wrong build'";
 const WAIT_EXAMPLE: &str = "Example: cowslip move wait 1.5 --patience 30";
 
-/// Pause between two looks while waiting.
+/// Interval between queries while waiting for a move.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(move_action))]
 pub enum MoveArgs {
-    /// Starts to move a service to a new backend server version
+    /// Starts moving a service to a new backend server version
     #[bpaf(command("start"), footer(START_EXAMPLE))]
     Start {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// The service
+        /// Service to move
         #[bpaf(argument("SERVICE"))]
         service: String,
-        /// The new version; its servers have announced it
+        /// New version, which its backend servers must have announced
         #[bpaf(argument("VERSION"))]
         to: String,
-        /// Time to be done by: 90s, 30m, 2h or 2026-12-03T06:00:00Z
+        /// When the move must be done: 90s, 30m, 2h or 2026-12-03T06:00:00Z
         #[bpaf(argument("TIME"))]
         by: DueTime,
-        /// Why; it is kept with the move
+        /// Reason for the move, stored with it
         #[bpaf(argument("TEXT"), fallback(String::new()))]
         reason: String,
-        /// Where too few calls come for evidence: finish by the time, or hold
-        #[bpaf(argument::<String>("finish|hold"), parse(parse_quiet_choice), fallback(QuietChoice::Finish))]
+        /// If there are too few calls for evidence: finish in time, or hold the move
+        #[bpaf(argument::<String>("finish|hold"), parse(quiet_choice), fallback(QuietChoice::Finish))]
         if_quiet: QuietChoice,
     },
     /// Takes back a move of a backend server version
@@ -69,39 +70,39 @@
     TakeBack {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Why; it is kept with the move
+        /// Reason for taking it back, stored with the move
         #[bpaf(argument("TEXT"))]
         reason: String,
-        /// Version that started the move
+        /// Configuration version that started the move
         #[bpaf(positional("VERSION"))]
         version: ConfigVersion,
     },
-    /// Lists the moves that are kept, the newest last
+    /// Lists the moves still on record, newest last
     #[bpaf(command("list"), footer("Example: cowslip move list"))]
     List,
     /// Shows one move
     #[bpaf(command("show"), footer("Example: cowslip move show 1.5"))]
     Show {
-        /// Draw share and evidence over time into this SVG file
+        /// Plot the share and the evidence over time into this SVG file
         #[bpaf(argument("FILE"))]
         plot: Option<PathBuf>,
-        /// Version that the move made
+        /// Configuration version of the move
         #[bpaf(positional("VERSION"))]
         version: ConfigVersion,
     },
     /// Waits until a move is done or taken back
     #[bpaf(command("wait"), footer(WAIT_EXAMPLE))]
     Wait {
-        /// Seconds to wait at most
+        /// Longest time to wait, in seconds
         #[bpaf(argument("SECONDS"), fallback(60))]
         patience: u64,
-        /// Version that the move made
+        /// Configuration version of the move
         #[bpaf(positional("VERSION"))]
         version: ConfigVersion,
     },
 }
 
-fn parse_quiet_choice(text: String) -> Result<QuietChoice, String> {
+fn quiet_choice(text: String) -> Result<QuietChoice, String> {
     match text.as_str() {
         "finish" => Ok(QuietChoice::Finish),
         "hold" => Ok(QuietChoice::Hold),
@@ -109,7 +110,7 @@
     }
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn move_args() -> impl Parser<MoveArgs> {
     move_action()
         .to_options()
@@ -168,7 +169,7 @@
     let mut entry = move_entry::fetch(config, version, plot.is_some()).await?;
     if let Some(file) = plot {
         let Some(rollout) = &mut entry.rollout else {
-            let problem = format!("{version} moved no backend server version");
+            let problem = format!("{version} is not a move of a backend server version");
             return Err(OperatorError::Missing(problem));
         };
         move_plot::draw(rollout, &file)?;
--- a/crates/cli/src/cmd/moves/due_time.rs
+++ b/crates/cli/src/cmd/moves/due_time.rs
@@ -1,4 +1,4 @@
-//! The time by which a move must be done, as operators write it.
+//! The due time of a move: parsing, and formatting of times.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use cowslip_core::rollout::rollout_change::MoveDue;
 
-/// A set time: a duration from now, or a wall clock.
+/// Time by which a move must be done: a duration from now, or a UTC time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueTime(pub MoveDue);
 
-/// Text that is neither a duration nor a time.
+/// Text that is neither a duration nor an RFC 3339 time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{0:?} is no time; write 90s, 30m, 2h or 2026-12-03T06:00:00Z")]
+#[error("{0:?} is not a valid time; use 90s, 30m, 2h or 2026-12-03T06:00:00Z")]
 pub struct InvalidDueTime(String);
 
 impl FromStr for DueTime {
@@ -32,13 +32,13 @@
     }
 }
 
-/// A wall clock for people, to the second, in UTC.
+/// Formats milliseconds since 1970 as an RFC 3339 time in UTC, to the second.
 pub fn format_timestamp(at_ms: u64) -> String {
     let time: SystemTime = UNIX_EPOCH + Duration::from_millis(at_ms);
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
-/// A length of time for people, to the second.
+/// Formats a duration in milliseconds such as `1m 30s`, to the second.
 pub fn format_length(millis: u64) -> String {
     humantime::format_duration(Duration::from_secs(millis / 1_000)).to_string()
 }
--- a/crates/cli/src/cmd/moves/move_entry.rs
+++ b/crates/cli/src/cmd/moves/move_entry.rs
@@ -1,5 +1,5 @@
-//! One move as it is listed and shown: a change of the configuration, with
-//! the move of a backend server version that it started, if it did.
+//! Moves as listed and shown: a configuration change, together with the move to
+//! a new backend server version if it started one.
 
 use serde::Serialize;
 
@@ -19,18 +19,19 @@
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
 
-/// A move, whichever kind it is.
+/// A configuration change and its progress.
 #[derive(Debug, Serialize)]
 pub struct MoveEntry {
-    /// The change; its state is that of the whole move.
+    /// The change. If it started a move to another backend server version, its
+    /// progress is that of the whole move.
     #[serde(flatten)]
     pub line: MoveLine,
-    /// The move of a backend server version.
+    /// The move to another backend server version that the change started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rollout: Option<RolloutLine>,
 }
 
-/// Every move that is kept, the newest last.
+/// Fetches all moves still on record, newest last.
 pub async fn fetch_all(config: &OperatorConfig) -> OperatorResult<Vec<MoveEntry>> {
     let client = config.client()?;
     let lines = client.ask(&MovesCall { version: None }).await?;
@@ -46,7 +47,9 @@
     Ok(entries)
 }
 
-/// The move that made `version`; with its course for a plot.
+/// Fetches the move of configuration version `version`, with its course over
+/// time if `course` is set. Fails with [`OperatorError::Missing`] if there is
+/// none.
 pub async fn fetch(
     config: &OperatorConfig,
     version: ConfigVersion,
@@ -57,7 +60,7 @@
         version: Some(version),
     };
     let mut lines = client.ask(&call).await?;
-    let missing = OperatorError::Missing(format!("no move made version {version}"));
+    let missing = OperatorError::Missing(format!("no move has version {version}"));
     let line = lines.pop().ok_or(missing)?;
     let call = RolloutsCall {
         rollout: Some(version),
@@ -78,12 +81,12 @@
         Self { line, rollout }
     }
 
-    /// State of the whole move.
+    /// Returns the state of the whole move.
     pub fn state(&self) -> MoveState {
         self.line.progress.state
     }
 
-    /// Why it was taken back, if it was.
+    /// Returns the cause if the move was taken back.
     pub fn cause(&self) -> Option<String> {
         match &self.rollout.as_ref()?.record.end {
             Some(RolloutEnd::TakenBack { cause }) => Some(cause.to_string()),
@@ -92,7 +95,7 @@
     }
 }
 
-/// The table of several moves.
+/// Formats moves as a table, one row per move.
 pub fn table(entries: &[MoveEntry]) -> String {
     let headings = ["VERSION", "STATE", "NODES", "REFUSED", "AFTER", "WHAT"];
     let mut table = TextTable::new(&headings);
@@ -125,7 +128,7 @@
     )
 }
 
-/// All that is known of one move.
+/// Formats one move in full.
 pub fn text(entry: &MoveEntry) -> String {
     let mut text = table(std::slice::from_ref(entry));
     let Some(rollout) = &entry.rollout else {
@@ -167,7 +170,7 @@
     text
 }
 
-/// The set time, and whether it was met and why not.
+/// Formats the due time, and whether it was met and if not, why.
 fn due_text(rollout: &RolloutLine) -> String {
     let record = &rollout.record;
     let due = format_timestamp(record.due_ms);
--- a/crates/cli/src/cmd/moves/move_plot.rs
+++ b/crates/cli/src/cmd/moves/move_plot.rs
@@ -1,4 +1,4 @@
-//! Draws a move as SVG: the new version's share and the evidence over time.
+//! Plots a move as SVG: the new version's share and the evidence over time.
 
 use std::path::Path;
 
@@ -10,13 +10,13 @@
 
 use crate::operator_error::OperatorError;
 
-/// Size of the picture, in pixels.
+/// Width and height of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 600);
 
 type PlotError = Box<dyn std::error::Error>;
 type PlotArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-/// Writes the picture of a move to `file`.
+/// Plots a move into `file`.
 pub fn draw(line: &RolloutLine, file: &Path) -> Result<(), OperatorError> {
     draw_charts(line, file).map_err(|problem| {
         OperatorError::Usage(format!("cannot draw {}: {problem}", file.display()))
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// One line: points of seconds and parts in a hundred.
+/// A line of a chart: points of seconds and percent.
 struct PlotLine {
     name: &'static str,
     points: Vec<(f64, f64)>,
@@ -73,7 +73,7 @@
     seconds(record, end).max(1.0)
 }
 
-/// The share as a line of steps.
+/// Returns the new version's share over time, as steps.
 fn share_points(record: &RolloutRecord, end_s: f64) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     let mut share = 0.0;
@@ -88,7 +88,8 @@
     points
 }
 
-/// Failed calls among those between two points.
+/// Returns the percentage of failed calls of the new version in each interval of
+/// the course. Intervals without calls are left out.
 fn failure_points(line: &RolloutLine) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     for pair in line.course.windows(2) {
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `cowslip show`.
+//! `cowslip show`: the configuration in force, as YAML.
 
 use bpaf::Bpaf;
 
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `cowslip status`.
+//! `cowslip status`: the version in force and the live nodes.
 
 use bpaf::Bpaf;
 
--- a/crates/cli/src/control_client.rs
+++ b/crates/cli/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Finds the control instance that can answer, and asks it.
+//! Client of the control instances: finds the leader and sends calls to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
 
-/// Wait for one answer.
+/// Timeout of one call to one instance.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Rounds over all instances before giving up, each with a `ROUND_PAUSE`:
-/// six seconds. A change of leader takes one to two, more where votes are
-/// split.
+/// Rounds over all instances before giving up. With a `ROUND_PAUSE` between them
+/// they last about six seconds: an election takes one to two seconds, longer
+/// when votes are split.
 const ROUNDS_MAX: usize = 20;
 
 /// Pause between rounds.
 const ROUND_PAUSE: Duration = Duration::from_millis(300);
 
-/// Talks to whichever control instance leads.
+/// Sends calls to the control instance that is the leader.
 pub struct ControlClient {
     controls: Vec<SocketAddr>,
     client: PeerClient,
 }
 
 impl ControlClient {
-    /// A client that knows these control instances.
+    /// Creates a client of these control instances.
     pub fn new(controls: Vec<SocketAddr>, key: AccessKey) -> Self {
         Self {
             controls,
@@ -45,13 +45,18 @@
         }
     }
 
-    /// Asks for something that changes nothing; tried until answered.
+    /// Sends a call, which must be safe to repeat, to the leader and returns its
+    /// answer. Tries every instance for `ROUNDS_MAX` rounds.
+    ///
+    /// Fails with [`OperatorError::Usage`] where the key is refused, with
+    /// [`OperatorError::AnswerLost`] where an instance may have received the
+    /// call, and otherwise with [`OperatorError::NoAnswer`].
     pub async fn ask<C, T>(&self, call: &C) -> OperatorResult<T>
     where
         C: WireCall<Answer = LeaderAnswer<T>>,
     {
         let mut search = LeaderSearch::new(&self.controls);
-        let mut problem = "none is known".to_owned();
+        let mut problem = "no leader is known".to_owned();
         let mut answer_lost = false;
         while let Some(address) = search.next().await {
             match self.client.send(address, call, ANSWER_TIMEOUT).await {
@@ -73,8 +78,9 @@
         Err(OperatorError::NoAnswer(problem))
     }
 
-    /// Sends a change until its answer is known. Every send has the same
-    /// request identifier, so it is made once at most.
+    /// Sends a change until it is answered and returns the version it made.
+    /// Every attempt carries the same request identifier, so the change is made
+    /// at most once.
     pub async fn change(
         &self,
         request_id: Arc<str>,
@@ -101,10 +107,11 @@
     }
 }
 
-/// Goes round the control instances, first to the leader that was named.
+/// The order in which control instances are tried: round robin, after the
+/// leader that an instance named.
 ///
-/// Guards against instances that name a leader which has just died: one
-/// name is followed each round, and does not count as a try, so that the
+/// Instances may still name a leader that has just failed. Only one named
+/// leader is tried per round, and that attempt is not counted, so that the
 /// rounds last as long as an election.
 struct LeaderSearch<'a> {
     controls: &'a [SocketAddr],
--- a/crates/cli/src/document_file.rs
+++ b/crates/cli/src/document_file.rs
@@ -1,4 +1,5 @@
-//! Reads the fleet's document from YAML, with every fault of it at once.
+//! Reads the fleet's document from a YAML file and reports all its faults at
+//! once.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -20,12 +21,13 @@
 use cowslip_wire::settings_reader::FromSettings;
 use cowslip_wire::settings_reader::SettingsReader;
 
-/// Reads and checks the form of a document; control checks the whole.
+/// Reads a document and checks its syntax and types. References between its
+/// parts and ranges are checked by control when the document is applied.
 pub fn read(path: &Path) -> Result<FleetDocument, SettingsError> {
     settings_file::read::<DocumentFile>(path).map(|file| file.0)
 }
 
-/// A document as a file holds it.
+/// A document as read from its file.
 struct DocumentFile(FleetDocument);
 
 impl FromSettings for DocumentFile {
@@ -53,7 +55,8 @@
 
 impl FromSettings for ServiceEntry {
     fn from_settings(reader: &mut SettingsReader<'_>) -> Option<Self> {
-        let version = reader.required::<String>("version", "the version in service");
+        let version =
+            reader.required::<String>("version", "the backend server version in use");
         let candidate: Option<CandidateEntry> = reader.group("candidate");
         Some(Self(ServiceSpec {
             version: version?.into(),
@@ -67,8 +70,9 @@
 
 impl FromSettings for CandidateEntry {
     fn from_settings(reader: &mut SettingsReader<'_>) -> Option<Self> {
-        let version = reader.required::<String>("version", "the version taking over");
-        let share = reader.required("share_per_mille", "0 to 1000 thousandths");
+        let version =
+            reader.required::<String>("version", "the backend server version to move to");
+        let share = reader.required("share_per_mille", "a whole number from 0 to 1000");
         let rollout: Option<RolloutEntry> = reader.group("rollout");
         Some(Self(CandidateShare {
             version: version?.into(),
@@ -78,7 +82,8 @@
     }
 }
 
-/// Number of the move that set a candidate; `cowslip show` prints it.
+/// Configuration version that started the move to a candidate. `cowslip show`
+/// prints it, so it must be read back.
 struct RolloutEntry(ConfigVersion);
 
 impl FromSettings for RolloutEntry {
@@ -110,9 +115,9 @@
 
 struct PriorityName(CallPriority);
 
-/// A word that is no priority.
+/// A text that names no priority.
 #[derive(Debug, Error)]
-#[error("a priority is high, normal or low")]
+#[error("the priority must be high, normal or low")]
 struct UnknownPriority;
 
 impl FromStr for PriorityName {
@@ -132,11 +137,11 @@
 
 impl FromSettings for ExceptionGroup {
     fn from_settings(reader: &mut SettingsReader<'_>) -> Option<Self> {
-        let id = reader.required::<String>("id", "a name to remove it by");
+        let id = reader.required::<String>("id", "a unique name");
         let scope: Option<ScopeGroup> = reader.group("scope");
         let key = reader.required("key", "a key of `cowslip default list`");
         let value = reader.required("value", "a whole number in the key's unit");
-        let reason = reader.required("reason", "why it departs from the default");
+        let reason = reader.required("reason", "the reason for the exception");
         Some(Self(ExceptionEntry {
             id: id?.into(),
             scope: scope.map(|group| group.0).unwrap_or_default(),
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! The programs for people: `cowslip`, `cowslip-local` and what they share.
+//! The operators' command `cowslip`, the tools `cowslip-local`, `cowslip-load`
+//! and `cowslip-stand-in`, and the code that they share.
 
 pub mod call_chain;
 pub mod cmd;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,7 +1,8 @@
-//! The load tool: calls sent at a stated rate whatever their answers do.
+//! Open-loop load generator: calls are sent at a given rate, however slowly they
+//! are answered.
 //!
-//! Latencies count from the time at which a call should have been sent, so
-//! that a stall of the tool or of what it calls is not left out of them.
+//! Latencies are measured from the time at which a call was due, so that stalls
+//! of the generator or its target are included (no coordinated omission).
 
 pub mod call_tally;
 pub mod load_plot;
--- a/crates/cli/src/load/call_tally.rs
+++ b/crates/cli/src/load/call_tally.rs
@@ -1,63 +1,66 @@
-//! Counts of what callers received.
+//! Counts and latencies of calls by outcome.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Longest latency told apart, in microseconds: two minutes.
+/// Largest latency recorded, in microseconds: two minutes. Longer ones count as
+/// this.
 const LATENCY_MAX_US: u64 = 120_000_000;
 
-/// Digits of a latency that are kept.
+/// Significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How one call ended, as its caller saw it.
+/// Outcome of a call, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// HTTP status; 0 where no whole answer came.
+    /// HTTP status; 0 where no complete answer arrived.
     pub status: u16,
-    /// The verdict header; `none` where there is none.
+    /// Value of the verdict header; `none` where it is absent.
     pub verdict: String,
-    /// The reason header; empty where there is none.
+    /// Value of the reason header, or why there is no answer; empty where there
+    /// is neither.
     pub reason: String,
 }
 
 impl CallOutcome {
-    /// True where the caller received a whole answer of its own.
+    /// Returns true where the caller received a complete answer of a backend
+    /// server: a status from 200 to 499 and no `not-run` verdict.
     pub fn is_answered(&self) -> bool {
         (200..500).contains(&self.status) && self.verdict != "not-run"
     }
 }
 
-/// Calls of one second of the run.
+/// Calls due in one second of the run.
 #[derive(Clone, Debug)]
 pub struct SecondTally {
-    /// Calls answered.
+    /// Number of calls answered.
     pub answered: u64,
-    /// Calls refused or lost.
+    /// Number of calls refused or lost.
     pub failed: u64,
-    /// Their latencies, in microseconds.
+    /// Latencies of both, in microseconds.
     pub latencies: Histogram<u64>,
 }
 
-/// Counts of a whole run; tallies of several threads add up.
+/// Results of a run. The tallies of several threads can be merged.
 #[derive(Clone, Debug)]
 pub struct CallTally {
-    /// Calls by status, verdict and reason.
+    /// Number of calls by status, verdict and reason.
     pub outcomes: BTreeMap<(u16, String, String), u64>,
-    /// Calls not sent because too many were under way.
+    /// Calls not sent because too many were in flight.
     pub unsent: u64,
     /// Latencies of answered calls, in microseconds.
     pub answered: Histogram<u64>,
     /// Latencies of refused and lost calls, in microseconds.
     pub failed: Histogram<u64>,
-    /// By the second in which the call should have been sent.
+    /// Results by the second in which the calls were due.
     pub seconds: Vec<SecondTally>,
 }
 
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS)
-        .expect("the bounds are constants that the library takes")
+        .expect("the bounds are valid for the library")
 }
 
 impl Default for CallTally {
@@ -73,8 +76,7 @@
 }
 
 impl CallTally {
-    /// Counts a call that should have been sent at `due` and ended after
-    /// `latency` from then.
+    /// Records a call that was due at `due` and ended `latency` later.
     pub fn record(&mut self, due: Duration, latency: Duration, outcome: CallOutcome) {
         let micros = (latency.as_micros() as u64).clamp(1, LATENCY_MAX_US);
         let answered = outcome.is_answered();
@@ -102,13 +104,13 @@
         &mut self.seconds[at]
     }
 
-    /// Adds another thread's counts.
+    /// Adds the tally of another thread.
     pub fn merge(&mut self, other: &Self) {
         for (key, count) in &other.outcomes {
             *self.outcomes.entry(key.clone()).or_default() += count;
         }
         self.unsent += other.unsent;
-        // Both were made with the same bounds, so adding cannot fail.
+        // Both histograms have the same bounds, so adding them cannot fail.
         let _ = self.answered.add(&other.answered);
         let _ = self.failed.add(&other.failed);
         for (at, other_second) in other.seconds.iter().enumerate() {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Calls that were sent.
+    /// Returns the number of calls that were sent.
     pub fn sent(&self) -> u64 {
         self.outcomes.values().sum()
     }
--- a/crates/cli/src/load/load_plot.rs
+++ b/crates/cli/src/load/load_plot.rs
@@ -1,4 +1,4 @@
-//! Draws a run as SVG: calls answered and failed, and latency, by second.
+//! Plots a run as SVG: answered and failed calls and latency in each second.
 
 use std::path::Path;
 
@@ -6,13 +6,13 @@
 
 use super::call_tally::CallTally;
 
-/// Size of the picture, in pixels.
+/// Width and height of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 600);
 
-/// A picture that cannot be drawn or written.
+/// Error of drawing or writing a plot.
 pub type PlotError = Box<dyn std::error::Error>;
 
-/// Writes the picture to `file`.
+/// Plots `tally` into `file`.
 pub fn draw(tally: &CallTally, file: &Path) -> Result<(), PlotError> {
     let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -45,7 +45,7 @@
 
 type PlotArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-/// One curve of a chart.
+/// A line of a chart.
 struct PlotLine {
     name: &'static str,
     points: Vec<(f64, f64)>,
--- a/crates/cli/src/load/load_report.rs
+++ b/crates/cli/src/load/load_report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, for people and as JSON.
+//! Report of a run, as text tables and as JSON.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -6,50 +6,51 @@
 use super::call_tally::CallTally;
 use crate::text_table::TextTable;
 
-/// Report of one run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Calls sent.
+    /// Number of calls sent.
     pub sent: u64,
-    /// Calls not sent because too many were under way.
+    /// Calls not sent because too many were in flight.
     pub unsent: u64,
-    /// Calls that were answered.
+    /// Number of calls answered.
     pub answered: u64,
     /// Latencies of answered calls.
     pub answered_latency: LatencyLine,
     /// Latencies of refused and lost calls.
     pub failed_latency: LatencyLine,
-    /// Calls by how they ended.
+    /// Number of calls by outcome.
     pub ends: Vec<OutcomeLine>,
 }
 
-/// Latencies in milliseconds, from the time a call was due.
+/// Summary of latencies in milliseconds, measured from the time at which each
+/// call was due.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LatencyLine {
-    /// Mean.
+    /// Mean latency.
     pub mean_ms: f64,
-    /// Median.
+    /// Median latency.
     pub p50_ms: f64,
-    /// 90 in 100 are faster.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// 99 in 100 are faster.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1,000 are faster.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Slowest.
+    /// Maximum latency.
     pub max_ms: f64,
 }
 
-/// Calls that ended alike.
+/// Number of calls with the same outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutcomeLine {
-    /// HTTP status; 0 where no whole answer came.
+    /// HTTP status; 0 where no complete answer arrived.
     pub status: u16,
-    /// Verdict.
+    /// Verdict; `none` where the answer has none.
     pub verdict: String,
-    /// Reason.
+    /// Reason; empty where the answer has none.
     pub reason: String,
-    /// How many.
+    /// Number of calls.
     pub calls: u64,
 }
 
@@ -83,7 +84,7 @@
 }
 
 impl LoadReport {
-    /// The report of a tally.
+    /// Summarizes a tally.
     pub fn from_tally(tally: &CallTally) -> Self {
         let mut ends = Vec::new();
         for ((status, verdict, reason), calls) in &tally.outcomes {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Tables for people.
+    /// Returns the report as text tables.
     pub fn text(&self) -> String {
         let headings = [
             "CALLS", "NUMBER", "MEAN ms", "P50", "P90", "P99", "P99.9", "MAX",
--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -1,4 +1,4 @@
-//! Sends calls at their due times, whether or not earlier ones have ended.
+//! Sends calls at their due times, whether or not earlier calls have ended.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,54 +19,56 @@
 use super::call_tally::CallOutcome;
 use super::call_tally::CallTally;
 
-/// Time to connect.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections are dropped well before the other side closes them at
-/// 75 s, so that no call is lost on one.
+/// Idle connections are closed well before the server closes them at 75 s, so
+/// that no call is lost to a connection closing under it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time that the last calls get to end after the last was sent.
+/// How long to wait for outstanding calls after the last one was sent.
 const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Pause between two looks whether the last calls have ended.
+/// Interval between checks for outstanding calls.
 const LAST_CALLS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Grain of the event loop's timer, twice over.
+/// Twice the resolution of the event loop's timer.
 const TIMER_MARGIN: Duration = Duration::from_millis(2);
 
-/// What to send.
+/// Targets, calls and rate of a run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// URLs, called in turn.
     pub targets: Vec<String>,
-    /// Another URL to compare with. It gets the calls of every other second:
-    /// at the same time the two would slow each other, and the difference
-    /// between them would be the tool's.
+    /// Another URL to compare with. It gets the calls of every other second: if
+    /// both were called at once they would slow each other down, and the tool
+    /// itself would distort the difference.
     pub baseline: Option<String>,
-    /// Method.
+    /// HTTP method of each call.
     pub method: Method,
-    /// Bytes of each body.
+    /// Size of each request body, in bytes.
     pub body_bytes: usize,
-    /// Customers, named `customer-0` and so on, called for in turn.
+    /// Number of customers, named `customer-0` and so on, used in turn; 0 sends
+    /// no customer.
     pub customers: u32,
-    /// Deadline of each call, if stated.
+    /// Deadline sent with each call, if any.
     pub deadline: Option<Duration>,
-    /// Calls a second over all threads.
+    /// Calls per second over all threads.
     pub rate: f64,
-    /// Length of the run.
+    /// Duration of the run.
     pub duration: Duration,
-    /// Calls at most over all threads, whatever rate and length say.
+    /// Upper bound of the number of calls over all threads.
     pub calls_max: u64,
-    /// Calls under way at once, per thread; more are counted as unsent.
+    /// Calls in flight at once, per thread; calls due beyond it are counted as
+    /// unsent.
     pub in_flight_max: usize,
     /// Sending threads.
     pub threads: u32,
-    /// Seed of the gaps between calls.
+    /// Seed of the intervals between calls.
     pub seed: u64,
 }
 
-/// Counts of a run and of what it is compared with.
+/// Results of a run, for the targets and for the URL compared with.
 #[derive(Clone, Debug, Default)]
 pub struct RunTallies {
     /// Calls to the targets.
@@ -75,7 +77,7 @@
     pub baseline: CallTally,
 }
 
-/// Runs the plan to its end; one client and one event loop a thread.
+/// Runs the plan to its end, with one client and one event loop per thread.
 pub fn run(plan: &LoadPlan) -> RunTallies {
     let mut senders = Vec::new();
     for number in 0..plan.threads.max(1) {
@@ -98,9 +100,10 @@
     tallies
 }
 
-/// Waits for a due time. The event loop's timer counts whole milliseconds,
-/// which would stand in every latency, so the last of them are spent
-/// yielding: a thread of the tool keeps one core busy.
+/// Waits until `due` after `started`. The event loop's timer has a resolution of
+/// one millisecond, an error that would appear in every latency. The last
+/// milliseconds are therefore spent yielding, which keeps one core per sending
+/// thread busy.
 async fn wait_until(started: Instant, due: Duration) {
     while let Some(wait) = due.checked_sub(started.elapsed()) {
         match wait.checked_sub(TIMER_MARGIN) {
@@ -145,8 +148,9 @@
             wait_until(started, due).await;
             self.send(started, due, sent);
             sent += 1;
-            // Exponential gaps: independent callers bunch, and a server
-            // that holds only under an even rate would look better.
+            // Exponential intervals (Poisson arrivals), as independent callers
+            // produce them: an even rate would hide a server that cannot
+            // cope with bursts.
             let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
             due += Duration::from_secs_f64(-uniform.ln() * mean_gap);
         }
--- a/crates/cli/src/local_fleet.rs
+++ b/crates/cli/src/local_fleet.rs
@@ -1,4 +1,5 @@
-//! A whole small fleet in one process, of the daemons' own parts.
+//! A small fleet in one process: real control instances and nodes, with
+//! stand-ins as backend servers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,42 +29,42 @@
 
 mod deployment;
 
-/// Control instances of a local fleet.
+/// Number of control instances of a local fleet.
 const CONTROL_INSTANCES: usize = 3;
 
-/// Version that the servers of a new local fleet run.
+/// Version of the backend servers that a local fleet starts with.
 const FIRST_VERSION: &str = "v1";
 
-/// Keys of a local fleet; it listens on loopback only.
+/// Access keys of a local fleet. They are no secret: it listens on loopback only.
 const OPERATOR_KEY: &str = "local-operator";
 const SYSTEM_KEY: &str = "local-system";
 
-/// A local fleet that cannot start.
+/// Why a local fleet could not start.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// A control instance cannot start.
+    /// A control instance failed to start.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// A socket or file fails.
+    /// A socket or file operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// One node and the stand-in beside it.
+/// A node and the stand-in that it serves.
 pub struct FleetNode {
     /// The node.
     pub node: NodeDaemon,
-    /// Its backend server.
+    /// The node's backend server.
     pub stand_in: StandIn,
-    /// Name of the instance.
+    /// Instance name of both.
     pub instance: Arc<str>,
 }
 
 /// A running local fleet.
 pub struct LocalFleet {
-    /// Control instances, all of them voting members.
+    /// The control instances, all of them voters.
     pub controls: Vec<ControlDaemon>,
-    /// Nodes with their stand-ins.
+    /// The nodes with their stand-ins.
     pub nodes: Vec<FleetNode>,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl LocalFleet {
-    /// Starts the fleet of `plan` with its state under `folder`.
+    /// Starts the fleet of `plan` and keeps its state under `folder`.
     pub async fn spawn(plan: &DeploymentPlan, folder: &Path) -> Result<Self, FleetError> {
         let controls = spawn_controls(plan, folder)?;
         let addresses = control_addresses(&controls);
@@ -91,7 +92,8 @@
         Ok(Self { controls, nodes })
     }
 
-    /// Starts servers of another version beside those of `service`.
+    /// Starts nodes and servers of another version of `service`, as many as the
+    /// plan has, beside the existing ones.
     pub async fn add_version(
         &mut self,
         plan: &DeploymentPlan,
@@ -112,12 +114,12 @@
         Ok(())
     }
 
-    /// Addresses of the control instances.
+    /// Returns the addresses of the control instances.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         control_addresses(&self.controls)
     }
 
-    /// An operator's client for this fleet.
+    /// Creates an operator's client of this fleet.
     pub fn operator(&self) -> ControlClient {
         ControlClient::new(self.addresses(), AccessKey::new(OPERATOR_KEY))
     }
@@ -162,7 +164,7 @@
     Ok(controls)
 }
 
-/// A server to start, with its node.
+/// A backend server to start together with its node.
 struct NewServer<'a> {
     service: &'a ServicePlan,
     number: usize,
--- a/crates/cli/src/local_fleet/deployment.rs
+++ b/crates/cli/src/local_fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! The two users' deployments of today.
+//! The deployments of the two users, as local fleets run them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 use cowslip_core::document::RouteSpec;
 use cowslip_core::document::ServiceSpec;
 
-/// One service and its servers.
+/// A service and the size of its deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct ServicePlan {
-    /// Name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Slots of each.
+    /// Slots of each backend server.
     pub slots: u32,
 }
 
-/// One route of a deployment.
+/// A route of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutePlan {
     path: &'static str,
@@ -33,11 +33,12 @@
 pub struct DeploymentPlan {
     /// Name on the command line.
     pub name: &'static str,
-    /// Failure domains; servers are spread over them in turn.
+    /// Failure domains; servers and control instances are assigned to them round
+    /// robin.
     pub failure_domains: &'static [&'static str],
-    /// Services.
+    /// Services of the deployment.
     pub services: &'static [ServicePlan],
-    /// Routes; the first two are called by `cowslip-local`.
+    /// Routes; `cowslip-local` calls those that are not internal.
     pub routes: &'static [RoutePlan],
 }
 
@@ -106,25 +107,26 @@
 }
 
 impl DeploymentPlan {
-    /// The deployment of this name, if there is one.
+    /// Returns the deployment with this name, if there is one.
     pub fn named(name: &str) -> Option<Self> {
         [SIDERTRE, COLMENARES]
             .into_iter()
             .find(|plan| plan.name == name)
     }
 
-    /// The failure domain of server or instance `number`.
+    /// Returns the failure domain of the server or control instance `number`,
+    /// counted from 0.
     pub fn failure_domain(&self, number: usize) -> Arc<str> {
         self.failure_domains[number % self.failure_domains.len()].into()
     }
 
-    /// Paths that outside callers may call.
+    /// Returns the paths of the routes that callers outside the fleet may call.
     pub fn external_paths(&self) -> Vec<&'static str> {
         let external = self.routes.iter().filter(|route| !route.internal);
         external.map(|route| route.path).collect()
     }
 
-    /// The document of this deployment.
+    /// Returns the fleet document of this deployment.
     pub fn document(&self) -> FleetDocument {
         let mut services = BTreeMap::new();
         for service in self.services {
--- a/crates/cli/src/operator_config.rs
+++ b/crates/cli/src/operator_config.rs
@@ -1,4 +1,4 @@
-//! What every subcommand shares: where to ask and how to print.
+//! Options that all subcommands share: control addresses, key and output format.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
 
-/// Options that stand before the subcommand.
+/// Options given before the subcommand.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
     controls: Vec<SocketAddr>,
@@ -22,20 +22,22 @@
 }
 
 impl OperatorConfig {
-    /// The parser of these options.
+    /// Returns the parser of these options.
     pub fn parser() -> impl Parser<Self> {
         let controls = long("control")
             .env("COWSLIP_CONTROL")
-            .help("Control instances, separated by commas")
+            .help("Addresses of the control instances, separated by commas")
             .argument::<String>("ADDR,ADDR")
             .parse(|text| parse_addresses(&text))
             .fallback(Vec::new());
         let key = long("key")
             .env("COWSLIP_KEY")
-            .help("Operators' key; better given in the environment")
+            .help("Operators' access key; better given in the environment")
             .argument::<String>("KEY")
             .fallback(String::new());
-        let json = long("json").help("Print one JSON document").switch();
+        let json = long("json")
+            .help("Print the result as one JSON document")
+            .switch();
         construct!(Self {
             controls,
             key,
@@ -43,8 +45,8 @@
         })
     }
 
-    /// A client for these control instances, which must be named, with the
-    /// key.
+    /// Creates a client of the control instances. Fails with a usage error where
+    /// no address or no key was given.
     pub fn client(&self) -> OperatorResult<ControlClient> {
         if self.controls.is_empty() {
             let problem = "expected --control=ADDR,ADDR or COWSLIP_CONTROL";
@@ -58,7 +60,7 @@
         Ok(ControlClient::new(self.controls.clone(), key))
     }
 
-    /// Prints `value` as JSON, or the text made for people.
+    /// Prints `value` as JSON, or as the text that `text` makes of it.
     pub fn print<T: Serialize>(
         &self,
         value: &T,
@@ -79,7 +81,8 @@
     let mut addresses = Vec::new();
     for part in text.split(',') {
         let address = part.trim().parse();
-        addresses.push(address.map_err(|_| format!("{part:?} is no IP:PORT"))?);
+        addresses
+            .push(address.map_err(|_| format!("{part:?} is not an IP:PORT address"))?);
     }
     Ok(addresses)
 }
--- a/crates/cli/src/operator_error.rs
+++ b/crates/cli/src/operator_error.rs
@@ -1,4 +1,4 @@
-//! The one error of the operators' command, with its exit status.
+//! The error type of the operators' command, and its exit statuses.
 
 use thiserror::Error;
 
@@ -6,42 +6,44 @@
 use cowslip_wire::peer_client::PeerError;
 use cowslip_wire::settings_file::SettingsError;
 
-/// What every part of the command gives back.
+/// Result of a subcommand or one of its steps.
 pub type OperatorResult<T> = Result<T, OperatorError>;
 
-/// Why a subcommand did not do what was asked.
+/// Why a subcommand failed.
 #[derive(Debug, Error)]
 pub enum OperatorError {
     /// The change was refused.
     #[error("{}", refusal_text(.0))]
     Refused(ChangeOutcome),
-    /// The move that was waited for was withdrawn.
+    /// The move that the command waited for was taken back.
     #[error("{0}")]
     TakenBack(String),
-    /// What was asked for does not exist.
+    /// The requested item does not exist, or a membership change was refused.
     #[error("{0}")]
     Missing(String),
-    /// A file or an argument cannot be used.
+    /// An argument, the access key or a file is unusable.
     #[error("{0}")]
     Usage(String),
-    /// No control instance answered before anything was sent.
+    /// No control instance could be reached, so no call was received; or a move
+    /// did not end within its wait.
     #[error("no control instance answered: {0}")]
     NoAnswer(String),
-    /// Something was sent and its answer was lost.
-    #[error("no whole answer: {0}")]
+    /// A call may have been received, but its answer was lost.
+    #[error("no complete answer: {0}")]
     AnswerLost(String),
-    /// The change may have been accepted; its answer was lost.
+    /// A change may have been accepted, but its answer was lost.
     #[error("no answer: {problem}; the change may have been accepted, repeat it with --request-id {request_id}")]
     MaybeAccepted {
-        /// What was seen.
+        /// The last failure.
         problem: String,
-        /// Identifier to repeat the change with.
+        /// Request identifier to repeat the change with.
         request_id: String,
     },
 }
 
 impl OperatorError {
-    /// Exit status, as the README lists them.
+    /// Exit status of the process: 1 refused, taken back or missing, 2 usage,
+    /// 3 no answer.
     pub fn exit_status(&self) -> i32 {
         match self {
             Self::Refused(_) | Self::TakenBack(_) | Self::Missing(_) => 1,
--- a/crates/cli/src/request_id.rs
+++ b/crates/cli/src/request_id.rs
@@ -1,8 +1,9 @@
-//! Identifiers that make resending a change harmless.
+//! Request identifiers, which make resending a change idempotent.
 
 use std::sync::Arc;
 
-/// A new identifier: 128 random bits, so two never meet.
+/// Returns a new identifier: 128 random bits in hexadecimal, so collisions are
+/// negligible.
 pub fn new_request_id() -> Arc<str> {
     let bits: u128 = rand::random();
     format!("{bits:032x}").into()
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -1,7 +1,8 @@
-//! A stand-in for a backend server: slots, cold start and drain.
+//! A stand-in for a backend server, with a limited number of slots and a slow
+//! start.
 //!
-//! It answers every request with its name and the request's own path and
-//! body, so that a caller can see that the answer is whole and its own.
+//! It echoes its service and version and the request's path and body, so that a
+//! caller can check that the answer is complete and belongs to its request.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -28,34 +29,34 @@
 
 use crate::call_chain::CallChain;
 
-/// Largest request body taken, in bytes.
+/// Largest request body accepted, in bytes.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Connections that a backend server takes, from the users' sizes.
+/// Connections that a backend server accepts at once, as the users' servers do.
 pub const CONNECTIONS_MAX: usize = 100;
 
-/// Requests during which a new server is slow.
+/// Number of first requests that take `cold_start_time` longer.
 const COLD_START_REQUESTS: u32 = 10;
 
-/// Header of a request that is to take longer, in milliseconds.
+/// Request header with extra processing time, in milliseconds.
 pub const DELAY_HEADER: &str = "stand-in-wait-ms";
 
-/// How a stand-in behaves.
+/// Identity and behavior of a stand-in.
 #[derive(Clone, Debug)]
 pub struct StandInConfig {
-    /// Instance it runs on.
+    /// Name of its instance.
     pub instance: Arc<str>,
     /// Service it belongs to.
     pub service: Arc<str>,
-    /// Version it runs.
+    /// Backend server version it reports.
     pub version: Arc<str>,
-    /// Requests it runs at once; more are shed with status 503.
+    /// Requests it processes at once; further ones are shed with status 503.
     pub slots: u32,
-    /// Connections it takes at once; more wait unaccepted.
+    /// Connections it accepts at once; further ones wait in the backlog.
     pub connections_max: usize,
-    /// Time that a request takes.
+    /// Processing time of a request.
     pub work_time: Duration,
-    /// Time added to each of the first requests.
+    /// Extra processing time of each of the first `COLD_START_REQUESTS` requests.
     pub cold_start_time: Duration,
 }
 
@@ -67,24 +68,23 @@
     chain: Rc<CallChain>,
 }
 
-/// What a stand-in has seen.
+/// Request counters of a stand-in.
 #[derive(Debug, Default)]
 pub struct StandInCounts {
-    /// Requests begun.
+    /// Requests admitted to a slot.
     pub begun: Cell<u32>,
-    /// Requests running now.
+    /// Requests in progress.
     pub running: Cell<u32>,
-    /// Requests shed because every slot was taken.
+    /// Requests shed because no slot was free.
     pub shed: Cell<u32>,
-    /// Requests of each hundred that it answers with status 500; a test
-    /// sets it.
+    /// Percentage of requests that it answers with status 500. Set by tests.
     pub failing_percent: Cell<u32>,
-    /// Requests begun, by idempotency key.
+    /// Requests admitted to a slot, by idempotency key.
     pub by_key: RefCell<HashMap<String, u32>>,
 }
 
 impl StandIn {
-    /// Starts serving on a free port.
+    /// Starts serving on a free loopback port.
     pub fn spawn(config: StandInConfig) -> io::Result<Self> {
         let counts = Rc::new(StandInCounts::default());
         let chain = Rc::new(CallChain::default());
@@ -104,17 +104,18 @@
         })
     }
 
-    /// Where it listens.
+    /// Address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// What it has seen so far.
+    /// Request counters so far.
     pub fn counts(&self) -> &StandInCounts {
         &self.counts
     }
 
-    /// Announces itself to its node.
+    /// Announces the stand-in to its node. Fails where the node refuses or cannot
+    /// be reached.
     pub async fn announce(&self, node: SocketAddr) -> io::Result<()> {
         self.chain.set_addresses(node, self.listener.address());
         let body = AnnounceBody {
@@ -175,7 +176,7 @@
         Duration::ZERO
     };
     let work = config.work_time + extra + delay;
-    // A sleep of nothing would still wait for the timer's next millisecond.
+    // A sleep of zero would still wait for the timer's next millisecond.
     if !work.is_zero() {
         actix_rt::time::sleep(work).await;
     }
@@ -193,7 +194,7 @@
     http_reply::with_type(StatusCode::OK, kind, answer.freeze())
 }
 
-/// Time that the caller asks the request to take, besides the config's.
+/// Extra processing time that the caller asked for in `DELAY_HEADER`.
 fn requested_delay(request: &Request) -> Duration {
     let millis = http_reply::header(request, DELAY_HEADER);
     let millis = millis.and_then(|text| text.parse().ok());
@@ -209,7 +210,7 @@
     }
 }
 
-/// Holds one of the stand-in's slots, also when its caller leaves.
+/// Occupies a slot until it is dropped, also when the caller disconnects.
 struct SlotGuard(Rc<StandInCounts>);
 
 impl SlotGuard {
--- a/crates/cli/src/text_table.rs
+++ b/crates/cli/src/text_table.rs
@@ -1,6 +1,6 @@
-//! Tables for people, columns aligned.
+//! Plain-text tables with aligned columns.
 
-/// Rows under a header.
+/// A table: a row of headings, then rows of cells.
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
@@ -22,7 +22,7 @@
         self.rows.push(cells);
     }
 
-    /// The whole table, a line each row.
+    /// Returns the table as text, one line per row.
     pub fn render(&self) -> String {
         let mut widths = Vec::new();
         for row in &self.rows {
--- a/crates/cli/tests/commands/cmd_move.rs
+++ b/crates/cli/tests/commands/cmd_move.rs
@@ -64,5 +64,5 @@
     let stderr = refused(REFUSED, "v1", "1h");
     assert!(stderr.contains("already"), "{stderr}");
     let stderr = refused(USAGE, "v9", "soon");
-    assert!(stderr.contains("is no time"), "{stderr}");
+    assert!(stderr.contains("is not a valid time"), "{stderr}");
 }
