--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -1,6 +1,6 @@
-//! What a claim costs a call: processor time by the number of holders in the
-//! roster, bytes on the wire, memory per thousand keys, and latency through
-//! the real nodes on loopback.
+//! Cost of a claim: processor time by the number of seats in the roster, bytes
+//! and messages on the wire, memory per key, and latency through real nodes on
+//! loopback.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -100,14 +100,15 @@
     })
 }
 
-/// Bytes and messages on the wire.
+/// Bytes and messages sent.
 #[derive(Default)]
 struct WireCost {
     bytes: usize,
     messages: usize,
 }
 
-/// Carries one phase to three holders; counts where asked.
+/// Sends one phase of a claim to its holders and handles their replies. Adds to
+/// `cost` if it is given.
 fn run_phase(
     proposal: &mut ClaimProposal,
     holders: &mut [ClaimHolder],
--- a/crates/cli/benches/convergence.rs
+++ b/crates/cli/benches/convergence.rs
@@ -1,5 +1,5 @@
-//! Time from a change's acceptance until the leader knows that every node
-//! has applied it: real control instances and nodes in one process.
+//! Time from the acceptance of a change until the leader knows that every node
+//! has applied it, with real control instances and nodes in one process.
 //! See docs/BENCHMARKS.md, "Distribution".
 
 use std::time::Duration;
@@ -17,16 +17,16 @@
 use cowslip_wire::messages::MovesCall;
 use cowslip_wire::messages::StatusCall;
 
-/// Changes measured at each size.
+/// Number of changes measured at each fleet size.
 const CHANGES: u64 = 30;
 
-/// Longest wait for one of them.
+/// Timeout of a change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between looks and between changes.
+/// Interval between queries, and pause between changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// 30, 100 and 300 nodes.
+/// Fleets of 30, 100 and 300 nodes.
 const FLEET_SIZES: [&[ServicePlan]; 3] = [
     &[plan("contract", 20), plan("records", 10)],
     &[plan("contract", 70), plan("records", 30)],
@@ -82,7 +82,8 @@
     Ok(())
 }
 
-/// Makes a change and waits until all `nodes` have it; the leader's figure.
+/// Makes a change, waits until all `nodes` have applied it and returns how long
+/// that took, in milliseconds, as measured by the leader.
 async fn change_and_wait(
     operator: &ControlClient,
     change: ConfigChange,
@@ -91,7 +92,7 @@
     let began = Instant::now();
     while operator.ask(&StatusCall {}).await.map_or(0, node_count) < nodes {
         if began.elapsed() > CHANGE_TIMEOUT {
-            return Err("not all nodes were heard of".into());
+            return Err("not all nodes have reported to control".into());
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `cowslip explain`: merges the log lines of several processes about one request.
+//! `cowslip explain`: the log lines of several processes about one request.
 
 use std::fs;
 use std::path::PathBuf;
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -61,7 +61,7 @@
         /// Reason for the move, stored with it
         #[bpaf(argument("TEXT"), fallback(String::new()))]
         reason: String,
-        /// If there are too few calls for evidence: finish in time, or hold the move
+        /// With too few calls for evidence: finish in time, or hold the move
         #[bpaf(argument::<String>("finish|hold"), parse(quiet_choice), fallback(QuietChoice::Finish))]
         if_quiet: QuietChoice,
     },
--- a/crates/cli/src/operator_error.rs
+++ b/crates/cli/src/operator_error.rs
@@ -29,7 +29,7 @@
     #[error("no control instance answered: {0}")]
     NoAnswer(String),
     /// A call may have been received, but its answer was lost.
-    #[error("no complete answer: {0}")]
+    #[error("the answer was lost: {0}")]
     AnswerLost(String),
     /// A change may have been accepted, but its answer was lost.
     #[error("no answer: {problem}; the change may have been accepted, repeat it with --request-id {request_id}")]
--- a/crates/cli/tests/calls/at_most_once.rs
+++ b/crates/cli/tests/calls/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Calls with a key through the real nodes on loopback: each runs at most
-//! once, also when it is sent again and again while nodes stop.
+//! Calls with an idempotency key run at most once, even if they are resent
+//! through several nodes while nodes stop or fail.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -29,10 +29,9 @@
     runs
 }
 
-// The answer to an acceptance was lost on the way. The clerk's program sends
-// it again through another node and must get the first answer, whole, from a
-// contract that was accepted once; the same key under another body is a
-// mistake and is told so.
+// The answer to a call is lost, and the caller resends it through other nodes. It
+// must get the first answer again, and the call must not run twice. The same key
+// with another body must be refused.
 #[test]
 fn a_resend_through_another_node_gets_the_first_answer() {
     actix_rt::System::new().block_on(async {
@@ -55,13 +54,13 @@
     });
 }
 
-/// What the callers of many calls got, by key.
+/// The answers that callers received, by idempotency key.
 type AnswersByKey = HashMap<String, Vec<CallAnswer>>;
 
 const KEYS: usize = 200;
 const SENDS: usize = 10;
 
-/// Sends each of the calls ten times, each time through another node.
+/// Sends each call `SENDS` times, each time through another node.
 fn send_all(
     fleet: &LocalFleet,
     keys: &[String],
@@ -89,8 +88,8 @@
     (callers, answers)
 }
 
-/// Sends the call until it has been answered. Refusals on the way are those
-/// of a loaded fleet that has just lost nodes.
+/// Sends the call until it is answered with status 200. A loaded fleet that has
+/// just lost nodes may refuse it a few times.
 async fn send_until_served(node: SocketAddr, key: &str, body: &str) {
     let began = Instant::now();
     loop {
@@ -106,8 +105,8 @@
     }
 }
 
-/// Every call ran once at most, and nobody whose call ran was told at the end
-/// that it did not.
+/// Asserts that no call ran twice, and that no call that ran got not-run as its
+/// last verdict.
 fn assert_at_most_once(runs: &HashMap<String, u32>, answers: &AnswersByKey) {
     for (key, count) in runs {
         assert_eq!(*count, 1, "{key} ran {count} times");
@@ -127,23 +126,24 @@
     }
 }
 
-// Two hundred batch sales are each sent ten times through all nodes, crossed
-// and at once, while the nodes of one failure domain stop one after the other.
-// A sale that runs twice invoices honey that was never shipped; a caller told
-// "not run" whose sale ran will sell it again. A planned stop leaves no call
-// unknown: whoever was refused is served when it comes back.
+// Two hundred calls are each sent ten times, concurrently and through all nodes,
+// while the nodes of one failure domain stop in turn. A call must not run twice,
+// nor end with the verdict not-run if it ran: its caller would repeat it. A
+// planned stop leaves no outcome unknown, so every refused call must be served
+// when it is resent.
 #[test]
-fn two_thousand_resends_run_two_hundred_calls_once() {
+fn resent_calls_run_once_during_a_planned_stop() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
         let keys: Vec<String> = (0..KEYS).map(new_key).collect();
         let (callers, answers) = send_all(&fleet, &keys);
         let mut stopped = Vec::new();
-        // One failure domain's: servers are spread over the three in turn.
+        // The nodes of one failure domain: servers are assigned to the three
+        // domains round robin.
         for at in [6, 3, 0] {
             let node = fleet.nodes.remove(at);
-            assert!(node.node.stop().await, "a planned stop cuts nothing");
+            assert!(node.node.stop().await, "the planned stop cut a call");
             stopped.push(node.stand_in);
         }
         for caller in callers {
@@ -164,12 +164,12 @@
     });
 }
 
-// The same while a whole failure domain is lost without a word: three nodes,
-// with calls in flight and a third of every key's holders. Calls that were
-// under way there may be unknown for good; none runs twice, and new ones are
-// served by the two failure domains that are left.
+// The same while a whole failure domain fails without warning: three nodes, with
+// calls in flight and a third of every key's claim holders. The outcome of calls
+// in flight there may stay unknown, but none may run twice, and the two remaining
+// domains must serve new calls.
 #[test]
-fn a_lost_failure_domain_runs_nothing_twice() {
+fn a_failed_domain_makes_no_call_run_twice() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
@@ -179,7 +179,8 @@
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
         let mut lost = Vec::new();
-        // Servers are spread over the failure domains in turn.
+        // The nodes of one failure domain: servers are assigned to the three
+        // domains round robin.
         for at in [6, 3, 0] {
             let node = fleet.nodes.remove(at);
             drop(node.node);
--- a/crates/cli/tests/calls/broken_server.rs
+++ b/crates/cli/tests/calls/broken_server.rs
@@ -1,4 +1,4 @@
-//! A backend server that fails in one stated way on every request.
+//! A backend server that fails every request in the same, configured way.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 
 const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
 
-/// What it does once a request's head is there.
+/// What the server does after it has received the head of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
     /// Closes the connection without an answer.
     Crash,
-    /// Closes in the middle of the answer's body.
+    /// Closes the connection in the middle of the answer's body.
     CrashInAnswer,
-    /// Answers nothing and keeps the connection open.
+    /// Sends no answer and keeps the connection open.
     Silent,
-    /// Answers the first request of each connection and then nothing on it.
+    /// Answers the first request on each connection and no later one.
     SilentLater,
-    /// Answers, says that it keeps the connection, and closes its half.
+    /// Answers without `connection: close` and then closes its sending half.
     HalfClose,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl BrokenServer {
-    /// Starts on a free port.
+    /// Starts the server on a free loopback port.
     pub async fn spawn(fault: ServerFault) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let socket = TcpListener::bind(any).await.expect("a free port");
@@ -49,7 +49,7 @@
         Self { address, requests }
     }
 
-    /// Requests that it has seen.
+    /// Returns the number of connections on which a request head has arrived.
     pub fn requests(&self) -> u32 {
         self.requests.get()
     }
@@ -72,7 +72,7 @@
         }
         ServerFault::Silent => std::future::pending().await,
         ServerFault::SilentLater => {
-            // Long enough for two requests to be on two connections.
+            // Long enough that concurrent requests use separate connections.
             actix_rt::time::sleep(Duration::from_millis(200)).await;
             let _ = stream.write_all(WHOLE).await;
             std::future::pending().await
--- a/crates/cli/tests/calls/faults.rs
+++ b/crates/cli/tests/calls/faults.rs
@@ -1,4 +1,4 @@
-//! Servers and connections that fail in the middle of a call.
+//! Servers and connections that fail during a call.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -24,7 +24,7 @@
     actix_rt::System::new().block_on(test);
 }
 
-/// A fleet whose tested service is one broken server.
+/// Starts a fleet in which the service `tested` has one, broken server.
 async fn broken_fleet(
     folder: &std::path::Path,
     fault: ServerFault,
@@ -35,7 +35,8 @@
     (fleet, server)
 }
 
-/// The first answer that is not about an endpoint still unknown.
+/// Repeats the call until the node knows an endpoint for it, and returns the
+/// first other answer.
 async fn send_until_known(node: SocketAddr, call: CallRequest<'_>) -> Option<CallAnswer> {
     let began = Instant::now();
     loop {
@@ -59,11 +60,11 @@
     }
 }
 
-// A sale reaches its backend server, which dies before it answers. The clerk
-// is told that the sale may have run; nothing sends it a second time, neither
-// the node by itself nor a resend under the same key.
+// A server crashes after it has received a request. The caller must get the
+// verdict may-have-run, and the request must not be sent again, neither as a
+// retry of the node nor for a resend with the same key.
 #[test]
-fn a_crash_in_a_call_is_never_tried_again() {
+fn a_call_is_not_retried_after_a_server_crash() {
     run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::Crash).await;
@@ -89,12 +90,12 @@
     });
 }
 
-// The backend server dies with half of its answer sent. A caller without a
-// key sees the answer break off or is told plainly, and never gets a short
-// one that looks whole; with a key the node has read the answer first, so it
-// always says what is known.
+// A server crashes in the middle of its answer. A caller without a key gets a
+// truncated answer or an error, never a short answer that looks complete. With a
+// key the node reads the whole answer first, so the caller always gets an error
+// with the verdict.
 #[test]
-fn a_crash_in_an_answer_never_looks_whole() {
+fn a_truncated_answer_never_looks_complete() {
     run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) =
@@ -113,11 +114,11 @@
     });
 }
 
-// The connection to the backend server goes silent after the request. The
-// caller is told at its deadline that the sale may have run, and the request
-// is not given to another connection.
+// A server stays silent after it has received a request. The caller must get
+// may-have-run at its deadline, and the request must not be sent again on another
+// connection.
 #[test]
-fn a_silent_server_ends_with_the_deadline() {
+fn a_call_to_a_silent_server_fails_at_its_deadline() {
     run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::Silent).await;
@@ -133,11 +134,11 @@
     });
 }
 
-// Every open connection to a server goes silent at once, while new ones work.
-// One call is lost on the first of them and told so at its deadline; the next
-// must not be lost on another.
+// All open connections to a server go silent at once, while new ones work. One
+// call fails at its deadline on the first of them; later calls must not fail on
+// the others.
 #[test]
-fn silent_connections_cost_one_call_and_not_one_each() {
+fn silent_connections_fail_one_call_in_total() {
     run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, _server) =
@@ -166,19 +167,19 @@
             statuses.push(answer.status);
         }
         statuses.sort_unstable();
-        // One went on the connection of the first call, which is silent now;
-        // the others opened two more, which are silent from here on.
+        // One call used the first call's connection, which is silent now. The
+        // others opened two new connections, which are silent from now on.
         assert_eq!(statuses, vec![200, 200, 504]);
         let next = call.send(entry, b"a batch").await.expect("an answer");
         assert_eq!(next.status, 200, "a second call was lost");
     });
 }
 
-// The server answers and closes its half of the connection without a word.
-// The next call must not be sent into it: it would be lost, or told that it
-// may have run.
+// A server answers and then closes its half of the connection without announcing
+// it. The next call must not reuse that connection: it would be lost, or fail as
+// may-have-run.
 #[test]
-fn a_half_closed_connection_gets_no_second_call() {
+fn a_half_closed_connection_is_not_reused() {
     run_async(async {
         let folder = tempfile::tempdir().expect("a folder");
         let (fleet, server) = broken_fleet(folder.path(), ServerFault::HalfClose).await;
@@ -193,11 +194,10 @@
     });
 }
 
-// A hundred calls are in flight at once and the last sent is answered first,
-// while a body of several megabytes goes both ways. Each caller must get its
-// own answer, whole.
+// Guards against mixed-up or truncated answers: a hundred calls are in flight and
+// answered in reverse order, while a body of several megabytes goes both ways.
 #[test]
-fn crossed_answers_and_a_large_body_reach_their_own_callers() {
+fn out_of_order_answers_and_a_large_body_reach_their_callers() {
     const CALLS: usize = 100;
     const LARGE: usize = 5 * 1024 * 1024;
     run_async(async {
@@ -246,15 +246,21 @@
             }));
         }
         for caller in callers {
-            caller.await.expect("each answer is whole and its own");
+            caller
+                .await
+                .expect("each answer is complete and matches its request");
         }
         let answer = moving.await.expect("it ends").expect("an answer");
         assert!(
             answer.body.ends_with(&large),
-            "the large body came back short"
+            "the large body came back truncated"
         );
         let order = order.borrow();
-        assert_ne!(order.first(), Some(&0), "the answers were not crossed");
+        assert_ne!(
+            order.first(),
+            Some(&0),
+            "the answers came in the order of the calls"
+        );
     });
 }
 
--- a/crates/cli/tests/calls/fleet_calls.rs
+++ b/crates/cli/tests/calls/fleet_calls.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback and calls through it.
+//! Starts a local fleet and sends calls through it.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,7 +24,7 @@
 use cowslip_node::local_handler::AnnounceBody;
 use cowslip_node::node_daemon::NodeDaemon;
 
-/// Longest wait for the fleet; only a broken one reaches it.
+/// Timeout of every wait for the fleet; only a broken one reaches it.
 pub const FLEET_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Largest answer read, in bytes.
@@ -32,7 +32,8 @@
 
 const PATH: &str = "/contracts/accept";
 
-/// A version 7 UUID: holders that started before it was made vote on it.
+/// Returns an idempotency key: a version 7 UUID, whose time tells claim holders
+/// whether they already ran when it was made and may vote on it.
 pub fn new_key(number: usize) -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.expect("a clock after 1970").as_millis() as u64;
@@ -40,7 +41,7 @@
     format!("{:08x}-{low:04x}-7000-8000-{number:012x}", millis >> 16)
 }
 
-/// What a caller gets.
+/// An answer as its caller receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallAnswer {
     pub status: u16,
@@ -59,7 +60,7 @@
     call.send(node, body.as_bytes()).await
 }
 
-/// A call as a caller makes it.
+/// A call as its caller sends it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallRequest<'a> {
     pub path: &'a str,
@@ -69,7 +70,8 @@
 }
 
 impl CallRequest<'_> {
-    /// The answer, where it came whole.
+    /// Sends the call and returns its answer, or none where no complete answer
+    /// arrived.
     pub async fn send(&self, node: SocketAddr, body: &[u8]) -> Option<CallAnswer> {
         let client = Client::builder().timeout(FLEET_TIMEOUT).finish();
         let mut request = client
@@ -102,7 +104,8 @@
     }
 }
 
-/// The deployment's document and a service that only tests announce.
+/// Returns the deployment's document with an additional service, `tested`, whose
+/// servers the tests announce.
 fn document(plan: &DeploymentPlan) -> FleetDocument {
     let mut document = plan.document();
     let spec = ServiceSpec {
@@ -118,14 +121,14 @@
         internal: false,
         ..RouteSpec::default()
     }));
-    // How long a call may wait is no matter of these tests, and on a busy
-    // machine a second is soon gone.
+    // These tests don't check queue timeouts, and on a busy machine calls may
+    // well wait longer than a second.
     document.defaults.set(TuningKey::QueueWaitMs, 60_000);
     document
 }
 
-/// Announces the server at `address` as one of the tested service to a node,
-/// and waits until another node routes calls there.
+/// Announces the server at `address` to a node as a server of the service
+/// `tested`. Other nodes learn of it later.
 pub async fn announce(node: &NodeDaemon, address: SocketAddr, slots: u32) {
     let body = AnnounceBody {
         service: "tested".into(),
@@ -140,7 +143,8 @@
     assert!(response.status().is_success());
 }
 
-/// A fleet with its document in force and its claim holders on duty.
+/// Starts a fleet and waits until its document is in force and every node can
+/// complete a call with an idempotency key.
 pub async fn fleet(folder: &Path) -> LocalFleet {
     let plan = DeploymentPlan::named("sidertre").expect("a known deployment");
     let fleet = LocalFleet::spawn(&plan, folder).await.expect("a fleet");
@@ -151,7 +155,10 @@
         .change(new_request_id(), None, change.clone())
         .await
     {
-        assert!(began.elapsed() < FLEET_TIMEOUT, "no document: {problem}");
+        assert!(
+            began.elapsed() < FLEET_TIMEOUT,
+            "the document is not accepted: {problem}"
+        );
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
     for (number, node) in fleet.nodes.iter().enumerate() {
@@ -161,7 +168,7 @@
             if answer.is_some_and(|answer| answer.status == 200) {
                 break;
             }
-            assert!(began.elapsed() < FLEET_TIMEOUT, "no claim is granted");
+            assert!(began.elapsed() < FLEET_TIMEOUT, "no keyed call is served");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
     }
--- a/crates/cli/tests/calls/main.rs
+++ b/crates/cli/tests/calls/main.rs
@@ -1,5 +1,5 @@
-//! Calls through the real nodes on loopback, and what becomes of them when
-//! servers, connections and nodes fail or stop.
+//! Calls through real nodes on loopback, while servers, connections and nodes
+//! fail or stop.
 
 mod at_most_once;
 mod broken_server;
--- a/crates/cli/tests/calls/malformed.rs
+++ b/crates/cli/tests/calls/malformed.rs
@@ -1,4 +1,4 @@
-//! Requests that are no requests, or not whole.
+//! Malformed and truncated requests, and requests for internal paths.
 
 use std::net::SocketAddr;
 
@@ -12,16 +12,16 @@
 use crate::fleet_calls::CallRequest;
 use crate::fleet_calls::FLEET_TIMEOUT;
 
-/// Sends the bytes, says that no more come, and reads what comes back.
+/// Sends the bytes, closes the sending half and returns everything received.
 async fn send_raw(node: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(node).await.expect("a connection");
-    // The node may close as soon as it has seen enough.
+    // The node may close the connection before it has read all bytes.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
     let ended = actix_rt::time::timeout(FLEET_TIMEOUT, reading).await;
-    assert!(ended.is_ok(), "the connection is held for ever");
+    assert!(ended.is_ok(), "the connection is never closed");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
@@ -30,11 +30,11 @@
     counts.map(|counts| counts.begun.get()).sum()
 }
 
-// Somebody sends noise, a header of a megabyte, lengths that are no numbers
-// or far too large, and a body that ends early. Each gets an error or a closed
-// connection, none reaches a backend server, and the node goes on serving.
+// Noise, a header of a megabyte, invalid or excessive content lengths, a
+// truncated body and an invalid deadline must each get an error or a closed
+// connection and not reach a backend server. The node must keep serving.
 #[test]
-fn malformed_requests_end_at_the_node() {
+fn malformed_requests_reach_no_backend_server() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
@@ -85,10 +85,10 @@
     });
 }
 
-// Callers' paths may look like the system's own. From outside they reach no
-// message of the system's, and a claim without the system's key is refused.
+// A caller uses the path of an internal message. The callers' listener must not
+// handle it, and the peer listener must refuse it without the system key.
 #[test]
-fn callers_cannot_reach_the_claims() {
+fn callers_cannot_send_claim_messages() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
--- a/crates/cli/tests/calls/planned_stop.rs
+++ b/crates/cli/tests/calls/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a node cuts no call.
+//! Planned stops of nodes and crashes of idle servers must not break calls.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,12 +13,11 @@
 use crate::fleet_calls::CallRequest;
 use crate::fleet_calls::FLEET_TIMEOUT;
 
-// A node is stopped for maintenance while it has calls in flight, both as
-// entry node and in front of its backend server. Every answer must reach its
-// caller whole; new calls are told at once that the node is stopping and that
-// nothing has run.
+// A node stops while it has calls in flight, as entry node and as node of its
+// backend server. Every answer must reach its caller completely; new calls must
+// be refused at once as stopping and not-run.
 #[test]
-fn calls_in_flight_end_whole_and_new_ones_are_told() {
+fn a_planned_stop_completes_calls_in_flight_and_refuses_new_ones() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
@@ -42,7 +41,7 @@
         while leaving.stand_in.counts().running.get() == 0 {
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
-        // Every call has reached its server, so none is new any more.
+        // By now every call has reached its server, so none counts as new.
         actix_rt::time::sleep(Duration::from_millis(300)).await;
         let stopping = actix_rt::spawn(leaving.node.stop());
         actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -63,12 +62,12 @@
     });
 }
 
-// A node has five seconds for its stop, and its backend server works four of
-// them on an export. The export's caller, at another node, must get it whole:
-// the node kept a part of its time for callers of its own and cut the work of
-// others before.
+// A node has five seconds to stop while its backend server works four seconds on
+// calls. These must complete, also those from other nodes. This guards against a
+// node that reserves part of its time for its own callers and cuts other calls
+// earlier.
 #[test]
-fn a_bounded_stop_leaves_long_work_its_time() {
+fn a_stop_with_a_timeout_does_not_cut_long_calls_early() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
@@ -76,7 +75,7 @@
         let own = leaving.node.callers();
         let other = fleet.nodes[0].node.callers();
         let mut calls = Vec::new();
-        // Enough of them that some run beside the node that leaves.
+        // Enough calls that some run on the leaving node's server.
         for number in 0..20 {
             let entry = if number % 2 == 0 { own } else { other };
             calls.push(actix_rt::spawn(async move {
@@ -102,16 +101,16 @@
     });
 }
 
-// A backend server crashes while nobody looks. The first call that finds
-// nothing listening is told "not run", and from then on the directory offers
-// the server to nobody, long before its lease would end.
+// An idle backend server crashes. The first call that cannot connect must get the
+// verdict not-run, and the directory must stop offering the server well before
+// its lease expires.
 #[test]
 fn a_crashed_server_is_withdrawn_by_its_node() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let fleet = fleet(folder.path()).await;
-        // On an IP number that nothing else here uses, so that the port stays
-        // closed: another test's server would answer for the crashed one.
+        // On a loopback address that no other test uses: otherwise the server of
+        // another test could take the port and answer for the crashed one.
         let socket = TcpListener::bind("127.0.0.77:0").await.expect("a port");
         let address = socket.local_addr().expect("its address");
         announce(&fleet.nodes[0].node, address, 10).await;
--- a/crates/cli/tests/commands/cmd_apply.rs
+++ b/crates/cli/tests/commands/cmd_apply.rs
@@ -5,7 +5,7 @@
 use crate::fleet_fixture::NODES;
 
 #[test]
-fn an_applied_document_is_shown_and_done_everywhere() {
+fn an_applied_document_is_shown_and_reaches_every_node() {
     let fixture = FleetFixture::with_fleet();
     fixture.write("fleet.yaml", DOCUMENT);
     let accepted = fixture.json(&["apply", "fleet.yaml"]);
@@ -18,15 +18,15 @@
         shown.starts_with(&format!("# version {version}\n")),
         "{shown}"
     );
-    // What is shown can be applied again as it is.
+    // The output of `show` can be applied unchanged.
     fixture.write("again.yaml", &shown);
     fixture.stdout(&["apply", "again.yaml"]);
 }
 
-// An operator applies a file with four mistakes. All four must come at
-// once, with their lines, and nothing of the file may be accepted.
+// Guards against reporting only the first fault of a document, or accepting
+// part of it. Faults carry their line numbers.
 #[test]
-fn a_faulty_document_is_refused_whole() {
+fn a_faulty_document_is_refused_with_all_faults() {
     let fixture = FleetFixture::with_fleet();
     let before = fixture.stdout(&["show"]);
     let text =
@@ -43,20 +43,20 @@
     assert_eq!(fixture.stdout(&["show"]), before);
 }
 
-// A route points at a service that the document does not have. The file is
-// well formed, so control refuses it, and the answer names the route.
+// A route names a service that the document lacks. The file is well formed, so
+// control has to refuse it, and the answer must name the route.
 #[test]
-fn a_route_without_its_service_is_refused() {
+fn a_route_to_an_unknown_service_is_refused() {
     let fixture = FleetFixture::with_fleet();
     fixture.write("fleet.yaml", "routes:\n  - path: /a\n    service: absent\n");
     let stderr = fixture.fails(1, &["apply", "fleet.yaml"]);
     assert!(stderr.contains("routes[0].service"), "{stderr}");
 }
 
-// Two operators start from the same version. The second must be told that
-// another change came first and which request made it.
+// Two operators change the same version. The second change must be refused as a
+// conflict instead of overwriting the first.
 #[test]
-fn a_change_from_an_old_version_is_refused() {
+fn a_change_to_an_old_version_is_refused() {
     let fixture = FleetFixture::with_fleet();
     fixture.write("fleet.yaml", DOCUMENT);
     let first = fixture.json(&["apply", "fleet.yaml"]);
--- a/crates/cli/tests/commands/cmd_default.rs
+++ b/crates/cli/tests/commands/cmd_default.rs
@@ -31,10 +31,11 @@
     );
 }
 
-// The answer to a change is lost and the operator repeats it with its
-// identifier. The first answer must come again, and no second version.
+// The answer to a change is lost and the operator repeats the change with the
+// same request identifier. It must be answered as before and make no second
+// version.
 #[test]
-fn a_repeated_request_gets_the_first_answer() {
+fn a_repeated_request_gets_the_same_answer() {
     let fixture = FleetFixture::with_fleet();
     let set = |value: &str| {
         let args = ["default", "set", "--request-id", "r-1", "tries_max", value];
--- a/crates/cli/tests/commands/cmd_explain.rs
+++ b/crates/cli/tests/commands/cmd_explain.rs
@@ -1,4 +1,4 @@
-//! `cowslip explain`: from logs of several processes to one story.
+//! `cowslip explain`.
 
 use std::fs;
 use std::process::Command;
@@ -14,9 +14,9 @@
 at_ms=1020 level=info event=call-refused process=node side=server request=9c41 reason=connection-broken verdict=may-have-run
 ";
 
-// A caller complains with a request's id and two processes' logs are at hand.
-// The lines of both must come in the order of time, in words, with damaged
-// ones counted; an id that no line names is told apart by the exit status.
+// The lines of two processes' logs about a request must be merged by time and
+// explained, and damaged lines counted. An id that no line names and a missing
+// log file have exit statuses of their own.
 #[test]
 fn a_request_is_explained_from_two_logs() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/cli/tests/commands/cmd_member.rs
+++ b/crates/cli/tests/commands/cmd_member.rs
@@ -18,7 +18,7 @@
     assert_eq!(members.as_array().map(Vec::len), Some(2));
     let stderr = fixture.fails(1, &["member", "remove", &name]);
     assert!(stderr.contains("no member has this name"), "{stderr}");
-    // Its folder still holds the log, so it is no new member.
+    // Its data folder still holds the log, so it cannot join as a new member.
     let address = silent.expect("two follow")["address"].as_str();
     let stderr = fixture.fails(1, &["member", "add", &name, address.expect("text")]);
     assert!(
@@ -27,10 +27,10 @@
     );
 }
 
-// An operator adds an instance before it runs. Taken, it would count as a
-// member that nobody can reach.
+// An operator adds an instance that does not run yet. If accepted, it would
+// count as a member that cannot be reached.
 #[test]
-fn an_instance_that_does_not_run_is_not_added() {
+fn an_unreachable_instance_is_not_added() {
     let fixture = FleetFixture::with_fleet();
     let stderr = fixture.fails(1, &["member", "add", "control-9", "127.0.0.1:9"]);
     assert!(stderr.contains("has not been heard of"), "{stderr}");
--- a/crates/cli/tests/commands/cmd_move.rs
+++ b/crates/cli/tests/commands/cmd_move.rs
@@ -10,10 +10,10 @@
 const USAGE: i32 = 2;
 const NO_ANSWER: i32 = 3;
 
-// An operator starts a move, looks at it, draws it and takes it back. Every
-// word of it must come back: reason, set time, state and cause.
+// Guards against losing what an operator enters or needs to see: a move's
+// reason, state and plot, and the cause of taking it back.
 #[test]
-fn a_move_is_started_shown_drawn_and_taken_back() {
+fn a_move_is_started_shown_plotted_and_taken_back() {
     let fixture = FleetFixture::with_versions();
     fixture.write("fleet.yaml", DOCUMENT);
     fixture.stdout(&["apply", "fleet.yaml"]);
@@ -48,10 +48,10 @@
     assert!(list.contains("taken back"), "{list}");
 }
 
-// A version nobody announced, a time too short and a word that is no time
-// are each refused with the exit status that scripts look at.
+// An unannounced version, the version already in use and an unparsable time are
+// each refused, with the exit status that scripts rely on.
 #[test]
-fn a_move_that_cannot_go_well_is_refused() {
+fn an_invalid_move_is_refused() {
     let fixture = FleetFixture::with_fleet();
     fixture.write("fleet.yaml", DOCUMENT);
     fixture.stdout(&["apply", "fleet.yaml"]);
--- a/crates/cli/tests/commands/cmd_status.rs
+++ b/crates/cli/tests/commands/cmd_status.rs
@@ -18,22 +18,22 @@
     assert!(table.contains("contract-6"), "{table}");
 }
 
-// An operator's key is mistyped. The command must say so at once instead of
-// looking for a leader.
+// A wrong key must be reported at once, instead of after a search for a leader
+// in vain.
 #[test]
-fn a_wrong_key_is_told() {
+fn a_wrong_key_is_reported() {
     let fixture = FleetFixture::with_fleet();
     let stderr = fixture.fails(2, &["--key", "something-else", "status"]);
     assert!(stderr.contains("key is missing or wrong"), "{stderr}");
 }
 
-// No control instance runs. The command must end with the status that
-// scripts tell from a refusal, and must not say that a change may have
-// been accepted: nothing was sent.
+// No control instance runs. The exit status must differ from that of a refusal,
+// and the message must not say that the change may have been accepted: nothing
+// was sent.
 #[test]
-fn no_control_instance_is_told_from_a_lost_answer() {
-    // On an IP number that nothing else here uses, so that the port stays
-    // closed: a fleet of another test would answer.
+fn an_unreachable_control_is_distinguished_from_a_lost_answer() {
+    // On a loopback address that no other test uses: otherwise the fleet of
+    // another test could take the port and answer.
     let closed = std::net::TcpListener::bind("127.0.0.78:0").expect("a free port");
     let address = closed.local_addr().expect("its address").to_string();
     drop(closed);
--- a/crates/cli/tests/commands/fleet_fixture.rs
+++ b/crates/cli/tests/commands/fleet_fixture.rs
@@ -1,4 +1,5 @@
-//! A folder, a running local fleet and the `cowslip` command over both.
+//! A running local fleet, a temporary folder, and the `cowslip` command run
+//! against them.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,13 +19,13 @@
 use cowslip_cli::local_fleet::LocalFleet;
 use cowslip_wire::messages::StatusCall;
 
-/// Nodes of Sidertre's local fleet.
+/// Number of nodes of the `sidertre` local fleet.
 pub const NODES: usize = 9;
 
-/// Longest wait for a fleet to be whole; only a broken one reaches it.
+/// Timeout of starting a fleet; only a broken one reaches it.
 const FLEET_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder with a fleet beside it.
+/// A temporary folder and a fleet that runs on a thread of its own.
 pub struct FleetFixture {
     folder: TempDir,
     controls: Vec<SocketAddr>,
@@ -33,12 +34,14 @@
 }
 
 impl FleetFixture {
-    /// Starts Sidertre's local fleet and waits until every node is heard of.
+    /// Starts the `sidertre` local fleet and waits until every node has reported
+    /// to control.
     pub fn with_fleet() -> Self {
         Self::start(None)
     }
 
-    /// The same, with servers of v2 beside those of the contract service.
+    /// Like `with_fleet`, with additional servers of the contract service that
+    /// run v2.
     pub fn with_versions() -> Self {
         Self::start(Some("v2"))
     }
@@ -74,19 +77,19 @@
         }
     }
 
-    /// A file of the folder.
+    /// Returns the path of a file in the folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// Writes a file into the folder.
+    /// Writes a file into the folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.path(name);
         fs::write(&path, text).expect("the folder can be written");
         path
     }
 
-    /// Runs `cowslip` with these arguments against the fleet.
+    /// Runs `cowslip` with these arguments against the fleet, in the folder.
     pub fn run(&self, args: &[&str]) -> Output {
         let controls: Vec<String> =
             self.controls.iter().map(ToString::to_string).collect();
@@ -99,7 +102,7 @@
             .expect("the command runs")
     }
 
-    /// Runs it, expects success and gives what it printed.
+    /// Runs `cowslip`, expects success and returns its standard output.
     pub fn stdout(&self, args: &[&str]) -> String {
         let output = self.run(args);
         let errors = String::from_utf8_lossy(&output.stderr);
@@ -107,7 +110,7 @@
         String::from_utf8(output.stdout).expect("it prints UTF-8")
     }
 
-    /// Runs it with `--json` and gives the document.
+    /// Runs `cowslip --json`, expects success and returns the parsed document.
     pub fn json(&self, args: &[&str]) -> Value {
         let mut all = vec!["--json"];
         all.extend_from_slice(args);
@@ -145,7 +148,7 @@
     }
 }
 
-/// A small document that the tests apply.
+/// A small fleet document that the tests apply.
 pub const DOCUMENT: &str = "services:
   contract:
     version: v1
--- a/crates/cli/tests/commands/main.rs
+++ b/crates/cli/tests/commands/main.rs
@@ -1,4 +1,5 @@
-//! The operators' command, a file for each subcommand.
+//! Tests of the `cowslip` command against a running local fleet, one module per
+//! subcommand.
 
 mod cmd_apply;
 mod cmd_default;
--- a/crates/cli/tests/example_settings.rs
+++ b/crates/cli/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The commented documents under settings/ are usable as they stand.
+//! The example documents under settings/ are valid.
 
 use std::path::PathBuf;
 
@@ -11,8 +11,8 @@
     root.join("../../settings").join(deployment).join(file)
 }
 
-// The example documents route as `cowslip-local` does, so that what a
-// newcomer has seen there is what the file says.
+// Guards against examples that differ from the deployments of `cowslip-local`,
+// which a newcomer sees first.
 #[test]
 fn document_examples_match_the_local_fleets() {
     for deployment in ["sidertre", "colmenares"] {
--- a/crates/cli/tests/internal_routes.rs
+++ b/crates/cli/tests/internal_routes.rs
@@ -1,4 +1,4 @@
-//! Routes for backend servers' own calls only, through real nodes.
+//! Internal routes, which only backend servers may call, through real nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use cowslip_cli::request_id::new_request_id;
 use cowslip_core::change::ConfigChange;
 
-/// Longest wait for the fleet; only a broken one reaches it.
+/// Timeout of starting the fleet; only a broken one reaches it.
 const FLEET_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn status_and_reason(node: SocketAddr, path: &str) -> (u16, String) {
@@ -31,12 +31,10 @@
     }
 }
 
-// A clerk's app guesses the path of the quality check, which only the
-// users' own services may call. From outside it must be refused as not run
-// at every node, under any path below it; from the backend server beside
-// the same node it must be served.
+// An outside caller guesses the path of an internal route. Every node must
+// refuse it, also for paths below it, and still serve its own backend server.
 #[test]
-fn the_quality_check_is_for_backend_servers_alone() {
+fn internal_routes_are_refused_to_outside_callers() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let plan = DeploymentPlan::named("colmenares").expect("a known deployment");
--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -1,5 +1,5 @@
-//! Moves of backend server versions over a whole local fleet: its control
-//! instances, nodes and stand-ins, with callers meanwhile.
+//! Moves of services to new backend server versions, through the control
+//! instances, nodes and stand-ins of a local fleet.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,16 +29,16 @@
 use cowslip_wire::messages::ShowCall;
 use cowslip_wire::messages::StatusCall;
 
-/// Longest wait for anything; only a broken fleet reaches it.
+/// Timeout of every wait; only a broken fleet reaches it.
 const FLEET_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time given to the moves.
+/// Time within which the moves must be done.
 const MOVE_TIME: Duration = Duration::from_secs(10);
 
-/// Callers that call all the time.
+/// Number of callers that call without pause.
 const CALLERS: usize = 6;
 
-/// Pause between two looks.
+/// Interval between queries while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn change(
@@ -137,7 +137,8 @@
     }
 }
 
-/// Puts the document in force on all nodes, with moves of five seconds.
+/// Waits for all nodes, applies the document and shortens moves to at least five
+/// seconds.
 async fn set_up(operator: &ControlClient, fleet: &LocalFleet, document: FleetDocument) {
     wait_for_nodes(operator, fleet.nodes.len()).await;
     change(operator, "apply", ConfigChange::Apply(document)).await;
@@ -146,9 +147,9 @@
     change(operator, "least", least).await;
 }
 
-// Two services get new versions at once while callers call. The contract
-// service's is sound and must take over; the records service's fails every
-// call and must be taken back, and get nothing more afterwards.
+// Two services move to new versions at once, under load. The sound version must
+// take over; the one that fails every call must be taken back and get no more
+// calls afterwards.
 #[test]
 fn a_good_version_takes_over_and_a_bad_one_is_taken_back() {
     actix_rt::System::new().block_on(two_moves_at_once());
@@ -197,7 +198,7 @@
     let services = &snapshot.document.services;
     assert_eq!(&*services["contract"].version, "v2");
     assert_eq!(&*services["records"].version, "v1");
-    // What was on its way when the moves ended is let through first.
+    // Calls already in flight when the moves ended may still reach a server.
     wait_for_calls(&fleet, "contract-v2", 100).await;
     let withdrawn = begun_requests(&fleet, "records-v2");
     let replaced = begun_requests(&fleet, "contract-1");
@@ -210,14 +211,14 @@
     }
 }
 
-// The leader is stopped in the middle of a move. The next leader knows it
-// from the agreed log and must bring it to its end, each step once.
+// The leader stops in the middle of a move. The next leader, which knows the
+// move from the replicated log, must finish it and take each step once.
 #[test]
-fn a_move_outlives_its_leader() {
-    actix_rt::System::new().block_on(leader_stopped());
+fn a_move_continues_under_the_next_leader() {
+    actix_rt::System::new().block_on(leader_stops_during_move());
 }
 
-async fn leader_stopped() {
+async fn leader_stops_during_move() {
     let plan = DeploymentPlan::named("sidertre").expect("a known deployment");
     let folder = tempfile::tempdir().expect("a folder for the test");
     let fleet = LocalFleet::spawn(&plan, folder.path()).await;
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes: 3 control instances, 9 nodes.
+//! A fleet of separate processes: 3 control instances and 9 nodes.
 
 use std::fs;
 use std::net::IpAddr;
@@ -27,7 +27,7 @@
 const CALLS: usize = 1_000;
 const CALLERS: usize = 16;
 
-/// Longest wait for anything; only a broken fleet reaches it.
+/// Timeout of every wait; only a broken fleet reaches it.
 const FLEET_TIMEOUT: Duration = Duration::from_secs(60);
 
 const DOCUMENT: &str = "services: {contract: {version: v1}, records: {version: v1}}
@@ -36,8 +36,9 @@
   - {path: /prices, service: records, priority: high}
 ";
 
-/// An address on a loopback IP number that only this test process uses, so
-/// that no outgoing connection can take the port before its owner binds it.
+/// Returns an unused address on a loopback IP address that only this test
+/// process uses, so that no outgoing connection can take the port before the
+/// started process binds it.
 fn unused_address(number: u8) -> SocketAddr {
     let pid = std::process::id().to_be_bytes();
     let own = IpAddr::V4(Ipv4Addr::new(127, pid[2] | 1, pid[3], number));
@@ -49,12 +50,13 @@
     let beside = Path::new(env!("CARGO_BIN_EXE_cowslip")).with_file_name(name);
     assert!(
         beside.exists(),
-        "{name}: run the tests of the whole workspace"
+        "{name} is not built: run the tests of the whole workspace"
     );
     beside
 }
 
-/// Processes that end with the test, also when it fails.
+/// The processes of a fleet. They are killed when the test ends, also if it
+/// fails.
 struct ProcessFleet {
     folder: TempDir,
     controls: Vec<SocketAddr>,
@@ -172,7 +174,7 @@
                 return;
             }
         }
-        panic!("the nodes were not all heard of");
+        panic!("not all nodes have reported to control");
     }
 }
 
@@ -202,7 +204,7 @@
     stand_ins
 }
 
-/// Sends the calls and gives what was wrong with those that were not whole.
+/// Sends the calls and describes those that failed or got a wrong answer.
 async fn send_calls(callers: Rc<Vec<SocketAddr>>) -> Vec<String> {
     let mut senders = Vec::new();
     for sender in 0..CALLERS {
@@ -244,12 +246,12 @@
     Err(format!("call {number}: {} {text}", response.status()))
 }
 
-// A grower's calls run while an operator changes a default. Every caller
-// must get the whole answer to their own request, and the move must read
-// back as done on every node. Then each process is asked to stop and must
-// end by itself with status 0.
+// Guards against a configuration change that disturbs calls: every caller must
+// get the complete answer to its own request, and the change must be reported
+// as applied on every node. Every process must then exit with status 0 on
+// SIGTERM.
 #[test]
-fn calls_are_whole_while_a_default_changes() {
+fn calls_succeed_while_a_default_changes() {
     let mut fleet = ProcessFleet::spawn();
     fleet.wait_for_nodes();
     fs::write(fleet.folder.path().join("fleet.yaml"), DOCUMENT).expect("a file");
@@ -258,7 +260,7 @@
     let (ready, calls_begin) = mpsc::channel();
     let running = &fleet;
     let (done, wrong) = thread::scope(|scope| {
-        // The command blocks its thread, so the change has one of its own.
+        // Running the command blocks, so the change gets a thread of its own.
         let change = scope.spawn(move || {
             calls_begin.recv().expect("the calls begin");
             running.change(&["default", "set", "deadline_ms", "7000"])
@@ -284,7 +286,7 @@
     stop_all(&mut fleet);
 }
 
-/// Waits until every node has heard of servers of both services.
+/// Waits until every node knows servers of both services.
 async fn wait_for_endpoints(callers: &[SocketAddr]) {
     let client = Client::default();
     let began = Instant::now();
@@ -302,7 +304,7 @@
 }
 
 fn stop_all(fleet: &mut ProcessFleet) {
-    // Nodes first: control instances hear of their leaving.
+    // Nodes first, so that they can still tell the control instances.
     for child in fleet.children.iter_mut().rev() {
         let pid = child.id().to_string();
         let asked = Command::new("kill").args(["-TERM", &pid]).status();
