--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -163,19 +163,19 @@
         black_box(roster.holder_sets(&key.digest));
     }
     let selection = started.elapsed();
-    let mut held = holders();
+    let mut holders = holders();
     let sets = roster.holder_sets(&KeyDigest::of(&[b"any"]));
     let started = Instant::now();
     for number in 0..KEYS {
         black_box(run_call(
             subject(number, sets.clone()),
-            &mut held,
+            &mut holders,
             &mut None,
         ));
     }
     let claims = started.elapsed();
     let mut cost = Some(WireCost::default());
-    run_call(subject(KEYS, sets), &mut held, &mut cost);
+    run_call(subject(KEYS, sets), &mut holders, &mut cost);
     let cost = cost.unwrap_or_default();
     println!(
         "{seats:5}  {:7.1}  {:16.1}  {:12}  {:15}",
@@ -193,12 +193,12 @@
 fn measure_memory() {
     for keys in [1_000, 5_000, 10_000] {
         let sets = roster(9).holder_sets(&KeyDigest::of(&[b"any"]));
-        let mut held = holders();
+        let mut holders = holders();
         let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
         for number in 0..keys {
             drop(run_call(
                 subject(number, sets.clone()),
-                &mut held,
+                &mut holders,
                 &mut None,
             ));
         }
@@ -207,7 +207,7 @@
         println!(
             "memory: {keys} keys with answers of {ANSWER_BYTES} bytes: {each:.0} bytes a key and holder"
         );
-        drop(held);
+        drop(holders);
     }
 }
 
--- a/crates/cli/benches/convergence.rs
+++ b/crates/cli/benches/convergence.rs
@@ -56,12 +56,12 @@
     plan.services = services;
     let nodes: usize = services.iter().map(|service| service.servers).sum();
     let folder = tempfile::tempdir()?;
-    let began = Instant::now();
+    let started = Instant::now();
     let fleet = LocalFleet::spawn(&plan, folder.path()).await?;
     let operator = fleet.operator();
     let document = ConfigChange::Apply(plan.document());
     change_and_wait(&operator, document, nodes).await?;
-    let whole = began.elapsed();
+    let startup = started.elapsed();
     let mut times = Vec::new();
     for value in 1..=CHANGES {
         let key = TuningKey::DeadlineMs;
@@ -74,7 +74,7 @@
     let at = |part: usize| times[(times.len() * part).div_ceil(100) - 1];
     println!(
         "{nodes:5}  {:10.1}  {} / {} / {}",
-        whole.as_secs_f64(),
+        startup.as_secs_f64(),
         at(50),
         at(99),
         at(100)
@@ -89,15 +89,15 @@
     change: ConfigChange,
     nodes: usize,
 ) -> Result<u64, AnyError> {
-    let began = Instant::now();
+    let started = Instant::now();
     while operator.ask(&StatusCall {}).await.map_or(0, node_count) < nodes {
-        if began.elapsed() > CHANGE_TIMEOUT {
+        if started.elapsed() > CHANGE_TIMEOUT {
             return Err("not all nodes have reported to control".into());
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let version = operator.change(new_request_id(), None, change).await?;
-    while began.elapsed() < CHANGE_TIMEOUT {
+    while started.elapsed() < CHANGE_TIMEOUT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
         let call = MovesCall {
             version: Some(version),
--- a/crates/cli/src/bin/cowslip-load.rs
+++ b/crates/cli/src/bin/cowslip-load.rs
@@ -129,13 +129,13 @@
     print!("{}", report.calls.text());
     if let Some(against) = &report.against {
         print!("\nagainst:\n{}", against.text());
-        let added = |theirs: f64, ours: f64| ours - theirs;
-        let ours = &report.calls.answered_latency;
-        let theirs = &against.answered_latency;
+        let added = |baseline: f64, targets: f64| targets - baseline;
+        let targets = &report.calls.answered_latency;
+        let baseline = &against.answered_latency;
         println!(
             "added: p50 {:.3} ms, p99 {:.3} ms",
-            added(theirs.p50_ms, ours.p50_ms),
-            added(theirs.p99_ms, ours.p99_ms)
+            added(baseline.p50_ms, targets.p50_ms),
+            added(baseline.p99_ms, targets.p99_ms)
         );
     }
 }
--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -127,9 +127,9 @@
     passed &= wait_for_move(operator, second, nodes).await?;
     let third = change(operator, ConfigChange::AddException(exception(plan))).await?;
     passed &= wait_for_move(operator, third, nodes).await?;
-    let whole = calls.await?;
-    println!("calls    {whole} of {CALLS} answered whole");
-    Ok(passed && whole == CALLS)
+    let complete = calls.await?;
+    println!("calls    {complete} of {CALLS} answered whole");
+    Ok(passed && complete == CALLS)
 }
 
 fn exception(plan: &DeploymentPlan) -> ExceptionEntry {
@@ -214,19 +214,20 @@
         let paths = paths.clone();
         callers.push(actix_rt::spawn(async move {
             let client = Client::default();
-            let mut whole = 0;
+            let mut complete = 0;
             for number in (caller..CALLS).step_by(CALLERS) {
                 let path = paths[number % paths.len()];
-                whole += usize::from(call_answered(&fleet, &client, path, number).await);
+                complete +=
+                    usize::from(call_answered(&fleet, &client, path, number).await);
             }
-            whole
+            complete
         }));
     }
-    let mut whole = 0;
+    let mut complete = 0;
     for caller in callers {
-        whole += caller.await.unwrap_or(0);
+        complete += caller.await.unwrap_or(0);
     }
-    whole
+    complete
 }
 
 async fn call_answered(
@@ -249,9 +250,10 @@
     };
     let own = format!("{path}/{number}\n");
     let text: Arc<str> = String::from_utf8_lossy(&answer).into();
-    let whole = text.contains(&own) && text.ends_with(&*String::from_utf8_lossy(&body));
-    if !whole {
+    let complete =
+        text.contains(&own) && text.ends_with(&*String::from_utf8_lossy(&body));
+    if !complete {
         println!("call     {number}: {} {}", response.status(), text.trim());
     }
-    whole
+    complete
 }
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -181,7 +181,7 @@
 async fn wait(
     config: &OperatorConfig,
     version: ConfigVersion,
-    patience: Duration,
+    timeout: Duration,
 ) -> OperatorResult<()> {
     let started = Instant::now();
     loop {
@@ -191,10 +191,10 @@
             MoveState::TakenBack => return report_taken_back(config, &entry),
             MoveState::InProgress => {}
         }
-        if started.elapsed() >= patience {
+        if started.elapsed() >= timeout {
             return Err(OperatorError::NoAnswer(format!(
                 "{version} is still in progress after {} s",
-                patience.as_secs()
+                timeout.as_secs()
             )));
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
--- a/crates/cli/tests/calls/at_most_once.rs
+++ b/crates/cli/tests/calls/at_most_once.rs
@@ -91,14 +91,14 @@
 /// Sends the call until it is answered with status 200. A loaded fleet that has
 /// just lost nodes may refuse it a few times.
 async fn send_until_served(node: SocketAddr, key: &str, body: &str) {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let answer = send(node, key, body).await;
         if answer.as_ref().is_some_and(|answer| answer.status == 200) {
             return;
         }
         assert!(
-            began.elapsed() < FLEET_TIMEOUT,
+            started.elapsed() < FLEET_TIMEOUT,
             "{key} is never served: {answer:?}"
         );
         actix_rt::time::sleep(Duration::from_millis(50)).await;
--- a/crates/cli/tests/calls/faults.rs
+++ b/crates/cli/tests/calls/faults.rs
@@ -38,7 +38,7 @@
 /// Repeats the call until the node knows an endpoint for it, and returns the
 /// first other answer.
 async fn send_until_known(node: SocketAddr, call: CallRequest<'_>) -> Option<CallAnswer> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let answer = call.send(node, b"a batch").await;
         let unknown = answer.as_ref().is_some_and(|answer| {
@@ -47,7 +47,10 @@
         if !unknown {
             return answer;
         }
-        assert!(began.elapsed() < FLEET_TIMEOUT, "the server is never found");
+        assert!(
+            started.elapsed() < FLEET_TIMEOUT,
+            "the server is never found"
+        );
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/cli/tests/calls/fleet_calls.rs
+++ b/crates/cli/tests/calls/fleet_calls.rs
@@ -150,13 +150,13 @@
     let fleet = LocalFleet::spawn(&plan, folder).await.expect("a fleet");
     let operator = fleet.operator();
     let change = ConfigChange::Apply(document(&plan));
-    let began = Instant::now();
+    let started = Instant::now();
     while let Err(problem) = operator
         .change(new_request_id(), None, change.clone())
         .await
     {
         assert!(
-            began.elapsed() < FLEET_TIMEOUT,
+            started.elapsed() < FLEET_TIMEOUT,
             "the document is not accepted: {problem}"
         );
         actix_rt::time::sleep(Duration::from_millis(100)).await;
@@ -168,7 +168,7 @@
             if answer.is_some_and(|answer| answer.status == 200) {
                 break;
             }
-            assert!(began.elapsed() < FLEET_TIMEOUT, "no keyed call is served");
+            assert!(started.elapsed() < FLEET_TIMEOUT, "no keyed call is served");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
     }
--- a/crates/cli/tests/calls/planned_stop.rs
+++ b/crates/cli/tests/calls/planned_stop.rs
@@ -49,9 +49,9 @@
             path: "/contracts/new",
             ..CallRequest::default()
         };
-        if let Some(told) = new.send(own, b"new").await {
-            assert_eq!((told.status, &*told.reason), (503, "stopping"));
-            assert_eq!(told.verdict, "not-run");
+        if let Some(answer) = new.send(own, b"new").await {
+            assert_eq!((answer.status, &*answer.reason), (503, "stopping"));
+            assert_eq!(answer.verdict, "not-run");
         }
         for call in calls {
             let answer = call.await.expect("it ends").expect("a whole answer");
@@ -120,7 +120,7 @@
             ..CallRequest::default()
         };
         let entry = fleet.nodes[4].node.callers();
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             let answer = call.send(entry, b"a batch").await.expect("an answer");
             assert_eq!(answer.verdict, "not-run");
@@ -134,7 +134,7 @@
                 break;
             }
             assert!(
-                began.elapsed() < FLEET_TIMEOUT,
+                started.elapsed() < FLEET_TIMEOUT,
                 "the server is never withdrawn"
             );
             actix_rt::time::sleep(Duration::from_millis(50)).await;
--- a/crates/cli/tests/internal_routes.rs
+++ b/crates/cli/tests/internal_routes.rs
@@ -24,9 +24,9 @@
 
 /// Waits until the node has the document and knows a server of each service.
 async fn wait_until_served(node: SocketAddr, path: &str) {
-    let began = Instant::now();
+    let started = Instant::now();
     while status_and_reason(node, path).await.0 != 200 {
-        assert!(began.elapsed() < FLEET_TIMEOUT, "{path} is never served");
+        assert!(started.elapsed() < FLEET_TIMEOUT, "{path} is never served");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -64,29 +64,29 @@
     operator: &ControlClient,
     id: &str,
     change: ConfigChange,
-    word: &str,
+    expected: &str,
 ) {
     let outcome = operator.change(Arc::from(id), None, change).await;
     let Err(OperatorError::Refused(ChangeOutcome::Invalid { faults })) = outcome else {
         panic!("not refused: {outcome:?}");
     };
-    assert!(faults[0].problem.contains(word), "{faults:?}");
+    assert!(faults[0].problem.contains(expected), "{faults:?}");
 }
 
 async fn wait_for_nodes(operator: &ControlClient, nodes: usize) {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let status = operator.ask(&StatusCall {}).await.expect("a leader");
         if status.nodes.len() >= nodes {
             return;
         }
-        assert!(began.elapsed() < FLEET_TIMEOUT, "{status:?}");
+        assert!(started.elapsed() < FLEET_TIMEOUT, "{status:?}");
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn wait_for_end(operator: &ControlClient, rollout: ConfigVersion) -> RolloutLine {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let call = RolloutsCall {
             rollout: Some(rollout),
@@ -98,7 +98,7 @@
         if line.state != MoveState::InProgress {
             return line;
         }
-        assert!(began.elapsed() < FLEET_TIMEOUT, "{line:?}");
+        assert!(started.elapsed() < FLEET_TIMEOUT, "{line:?}");
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -130,9 +130,9 @@
 
 async fn wait_for_calls(fleet: &LocalFleet, prefix: &str, calls: u32) {
     let target = begun_requests(fleet, prefix) + calls;
-    let began = Instant::now();
+    let started = Instant::now();
     while begun_requests(fleet, prefix) < target {
-        assert!(began.elapsed() < FLEET_TIMEOUT, "no calls at {prefix}");
+        assert!(started.elapsed() < FLEET_TIMEOUT, "no calls at {prefix}");
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -233,9 +233,9 @@
         .await
         .expect("a leader")
         .instance;
-    let began = Instant::now();
+    let started = Instant::now();
     while rollout_share(&operator, rollout).await < 20 {
-        assert!(began.elapsed() < FLEET_TIMEOUT, "no step is taken");
+        assert!(started.elapsed() < FLEET_TIMEOUT, "no step is taken");
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let number: usize = leader
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -166,8 +166,8 @@
     }
 
     fn wait_for_nodes(&self) {
-        let began = Instant::now();
-        while began.elapsed() < FLEET_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < FLEET_TIMEOUT {
             let status = self.cowslip(&["status"]).unwrap_or_default();
             let heard = status["nodes"].as_array().map_or(0, Vec::len);
             if heard == usize::from(NODES) {
@@ -192,10 +192,10 @@
             cold_start_time: Duration::ZERO,
         });
         let stand_in = stand_in.expect("a stand-in");
-        let began = Instant::now();
+        let started = Instant::now();
         while stand_in.announce(*local).await.is_err() {
             assert!(
-                began.elapsed() < FLEET_TIMEOUT,
+                started.elapsed() < FLEET_TIMEOUT,
                 "node {number} takes no announcement"
             );
         }
@@ -289,12 +289,12 @@
 /// Waits until every node knows servers of both services.
 async fn wait_for_endpoints(callers: &[SocketAddr]) {
     let client = Client::default();
-    let began = Instant::now();
+    let started = Instant::now();
     for (number, address) in callers.iter().enumerate() {
         for path in [number * 2, number * 2 + 1] {
             while send_call(&client, *address, path).await.is_err() {
                 assert!(
-                    began.elapsed() < FLEET_TIMEOUT,
+                    started.elapsed() < FLEET_TIMEOUT,
                     "node {number} finds no server"
                 );
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
