--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -1,4 +1,4 @@
-//! `cowslip-local`: a whole small fleet in one process, for a first look.
+//! `cowslip-local`: a demonstration fleet in one process.
 
 use std::process::exit;
 use std::rc::Rc;
@@ -27,29 +27,30 @@
 use cowslip_wire::process_log;
 use cowslip_wire::stop_signal;
 
-/// Calls sent while the configuration changes.
+/// Number of calls sent while the configuration changes.
 const CALLS: usize = 1_000;
 
-/// Calls under way at once.
+/// Number of callers; each has one call in flight.
 const CALLERS: usize = 16;
 
-/// Longest wait for a move; ten times the promise of seconds.
-const MOVE_PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a move: ten times the few seconds in which a change should be in
+/// force on every node.
+const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between looks at a move.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between queries while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts a small fleet on loopback, sends calls through it, changes its
-/// configuration and prints what came of it.
+/// Starts a small fleet on loopback, sends calls through it while its
+/// configuration changes, and prints the results.
 ///
 /// Example: cowslip-local --deployment colmenares --once
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct LocalArgs {
-    /// Whose deployment: sidertre or colmenares
+    /// Deployment to run: sidertre or colmenares
     #[bpaf(argument("NAME"), fallback("sidertre".to_owned()))]
     deployment: String,
-    /// End by itself; exit 0 only where everything held
+    /// Exit when done, with status 0 only if everything succeeded
     once: bool,
 }
 
@@ -62,7 +63,7 @@
     }
     process_log::start();
     let Some(plan) = DeploymentPlan::named(&args.deployment) else {
-        eprintln!("cowslip-local: no deployment {:?}", args.deployment);
+        eprintln!("cowslip-local: unknown deployment {:?}", args.deployment);
         exit(2);
     };
     match actix_rt::System::new().block_on(run(plan, args.once)) {
@@ -80,10 +81,10 @@
     let fleet = Rc::new(LocalFleet::spawn(&plan, folder.path()).await?);
     print_fleet(&fleet);
     let operator = fleet.operator();
-    let held = show(&fleet, &operator, &plan).await?;
+    let passed = run_demo(&fleet, &operator, &plan).await?;
     println!(
         "{}",
-        if held {
+        if passed {
             "all of it held"
         } else {
             "something did not hold"
@@ -93,7 +94,7 @@
         println!("running until Ctrl-C");
         stop_signal::wait().await?;
     }
-    Ok(held)
+    Ok(passed)
 }
 
 fn print_fleet(fleet: &LocalFleet) {
@@ -111,7 +112,7 @@
     }
 }
 
-async fn show(
+async fn run_demo(
     fleet: &Rc<LocalFleet>,
     operator: &ControlClient,
     plan: &DeploymentPlan,
@@ -119,16 +120,16 @@
     let nodes = fleet.nodes.len() as u32;
     wait_for_nodes(operator, fleet.nodes.len()).await?;
     let first = change(operator, ConfigChange::Apply(plan.document())).await?;
-    let mut held = wait_for_move(operator, first, nodes).await?;
-    let calls = actix_rt::spawn(send_calls(Rc::clone(fleet), plan.open_paths()));
+    let mut passed = wait_for_move(operator, first, nodes).await?;
+    let calls = actix_rt::spawn(send_calls(Rc::clone(fleet), plan.external_paths()));
     let key = TuningKey::DeadlineMs;
     let second = change(operator, ConfigChange::SetDefault { key, value: 5_000 }).await?;
-    held &= wait_for_move(operator, second, nodes).await?;
+    passed &= wait_for_move(operator, second, nodes).await?;
     let third = change(operator, ConfigChange::AddException(exception(plan))).await?;
-    held &= wait_for_move(operator, third, nodes).await?;
-    let whole = calls.await?;
-    println!("calls    {whole} of {CALLS} answered whole");
-    Ok(held && whole == CALLS)
+    passed &= wait_for_move(operator, third, nodes).await?;
+    let complete = calls.await?;
+    println!("calls    {complete} of {CALLS} answered whole");
+    Ok(passed && complete == CALLS)
 }
 
 fn exception(plan: &DeploymentPlan) -> ExceptionEntry {
@@ -151,18 +152,18 @@
     Ok(operator.change(new_request_id(), None, change).await?)
 }
 
-/// Waits until every node has been heard of, so that a move's count of
-/// live nodes is the whole fleet's.
+/// Waits until every node has reported to control, so that the live nodes of a
+/// move are the whole fleet.
 async fn wait_for_nodes(operator: &ControlClient, nodes: usize) -> Result<(), AnyError> {
-    let began = Instant::now();
-    while began.elapsed() < MOVE_PATIENCE {
+    let started = Instant::now();
+    while started.elapsed() < MOVE_TIMEOUT {
         let status = operator.ask(&StatusCall {}).await?;
         if status.nodes.len() >= nodes {
             return Ok(());
         }
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    Err(format!("fewer than {nodes} nodes were heard of").into())
+    Err(format!("fewer than {nodes} nodes have reported to control").into())
 }
 
 async fn wait_for_move(
@@ -170,7 +171,7 @@
     version: ConfigVersion,
     nodes: u32,
 ) -> Result<bool, AnyError> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let call = MovesCall {
             version: Some(version),
@@ -183,11 +184,11 @@
                 return Ok(true);
             }
         }
-        if began.elapsed() > MOVE_PATIENCE {
-            println!("move     {version} not done in {MOVE_PATIENCE:?}");
+        if started.elapsed() > MOVE_TIMEOUT {
+            println!("move     {version} not done in {MOVE_TIMEOUT:?}");
             return Ok(false);
         }
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -204,7 +205,8 @@
     );
 }
 
-/// Sends the calls and counts those whose answer was whole and their own.
+/// Sends the calls and returns how many got the complete answer to their own
+/// request.
 async fn send_calls(fleet: Rc<LocalFleet>, paths: Vec<&'static str>) -> usize {
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
@@ -212,22 +214,23 @@
         let paths = paths.clone();
         callers.push(actix_rt::spawn(async move {
             let client = Client::default();
-            let mut whole = 0;
+            let mut complete = 0;
             for number in (caller..CALLS).step_by(CALLERS) {
                 let path = paths[number % paths.len()];
-                whole += usize::from(one_call(&fleet, &client, path, number).await);
+                complete +=
+                    usize::from(call_answered(&fleet, &client, path, number).await);
             }
-            whole
+            complete
         }));
     }
-    let mut whole = 0;
+    let mut complete = 0;
     for caller in callers {
-        whole += caller.await.unwrap_or(0);
+        complete += caller.await.unwrap_or(0);
     }
-    whole
+    complete
 }
 
-async fn one_call(
+async fn call_answered(
     fleet: &LocalFleet,
     client: &Client,
     path: &str,
@@ -247,9 +250,10 @@
     };
     let own = format!("{path}/{number}\n");
     let text: Arc<str> = String::from_utf8_lossy(&answer).into();
-    let whole = text.contains(&own) && text.ends_with(&*String::from_utf8_lossy(&body));
-    if !whole {
+    let complete =
+        text.contains(&own) && text.ends_with(&*String::from_utf8_lossy(&body));
+    if !complete {
         println!("call     {number}: {} {}", response.status(), text.trim());
     }
-    whole
+    complete
 }
--- a/crates/cli/src/bin/cowslip-stand-in.rs
+++ b/crates/cli/src/bin/cowslip-stand-in.rs
@@ -1,4 +1,4 @@
-//! `cowslip-stand-in`: a stand-in backend server for trying things out.
+//! `cowslip-stand-in`: a stand-in backend server, for tests and measurements.
 
 use std::net::SocketAddr;
 use std::process::exit;
@@ -7,37 +7,37 @@
 use bpaf::Bpaf;
 
 use cowslip_cli::stand_in::StandIn;
-use cowslip_cli::stand_in::StandInPlan;
+use cowslip_cli::stand_in::StandInConfig;
 use cowslip_cli::stand_in::CONNECTIONS_MAX;
 use cowslip_wire::command_args;
 use cowslip_wire::process_log;
 use cowslip_wire::stop_signal;
 
-/// Runs a stand-in backend server, announced to a node.
+/// Runs a stand-in backend server and announces it to a node.
 ///
 /// Example: cowslip-stand-in --node 127.0.0.1:7302 --service contract
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct StandInArgs {
-    /// Local listener of the node beside it
+    /// Local listener of its node
     #[bpaf(argument("ADDR"))]
     node: SocketAddr,
     /// Service it belongs to
     #[bpaf(argument("SERVICE"))]
     service: String,
-    /// Backend server version it runs
+    /// Backend server version it announces
     #[bpaf(argument("VERSION"), fallback("v1".to_owned()))]
     version_run: String,
-    /// Requests it runs at once
+    /// Requests it processes at once
     #[bpaf(argument("SLOTS"), fallback(10))]
     slots: u32,
-    /// Connections it takes at once
+    /// Connections it accepts at once
     #[bpaf(argument("CONNECTIONS"), fallback(CONNECTIONS_MAX))]
     connections: usize,
-    /// Time that a request takes
+    /// Processing time of a request
     #[bpaf(argument("MS"), fallback(2))]
     work_ms: u64,
-    /// Time added to each of the first requests
+    /// Extra processing time of each of the first requests
     #[bpaf(argument("MS"), fallback(0))]
     cold_ms: u64,
 }
@@ -52,14 +52,14 @@
 }
 
 async fn run(args: StandInArgs) -> std::io::Result<()> {
-    let server = StandIn::spawn(StandInPlan {
+    let server = StandIn::spawn(StandInConfig {
         instance: format!("{}-stand-in", args.service).into(),
         service: args.service.into(),
         version: args.version_run.into(),
         slots: args.slots,
-        connections: args.connections,
-        work: Duration::from_millis(args.work_ms),
-        cold: Duration::from_millis(args.cold_ms),
+        connections_max: args.connections,
+        work_time: Duration::from_millis(args.work_ms),
+        cold_start_time: Duration::from_millis(args.cold_ms),
     })?;
     server.announce(args.node).await?;
     println!("{}", server.address());
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `cowslip apply`.
+//! `cowslip apply`: replaces the whole configuration.
 
 use std::path::PathBuf;
 
@@ -6,14 +6,14 @@
 
 use cowslip_core::change::ConfigChange;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::document_file;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 
-const USAGE: &str = "Replaces the whole configuration by a YAML document";
+const USAGE: &str = "Replaces the whole configuration with a YAML document";
 const EXAMPLE: &str = "Example: cowslip apply --expect 1.4 fleet.yaml";
 
 #[derive(Clone, Debug, Bpaf)]
@@ -21,12 +21,12 @@
 pub struct ApplyArgs {
     #[bpaf(external(change_args))]
     change: ChangeArgs,
-    /// Document with services, routes, defaults and exceptions
+    /// YAML document with services, routes, defaults and exceptions
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
 
 pub async fn run(config: &OperatorConfig, args: ApplyArgs) -> OperatorResult<()> {
     let document = document_file::read(&args.file)?;
-    accepted::send(config, args.change, ConfigChange::Apply(document)).await
+    change_request::send(config, args.change, ConfigChange::Apply(document)).await
 }
--- a/crates/cli/src/cmd/default.rs
+++ b/crates/cli/src/cmd/default.rs
@@ -1,4 +1,4 @@
-//! `cowslip default set|list`.
+//! `cowslip default set|list`: the fleet-wide values of the tuning keys.
 
 use bpaf::Bpaf;
 use bpaf::Parser;
@@ -8,9 +8,9 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_wire::messages::ShowCall;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
@@ -21,23 +21,24 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(default_action))]
 pub enum DefaultArgs {
-    /// Sets one figure for the whole fleet
+    /// Sets a tuning key for the whole fleet
     #[bpaf(command("set"), footer(EXAMPLE))]
     Set {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Which figure; see `default list`
+        /// Tuning key; see `default list`
         #[bpaf(positional("KEY"))]
         key: TuningKey,
-        /// Its value, in the unit of the key's name
+        /// Value, in the unit given by the key's name
         #[bpaf(positional("VALUE"))]
         value: u64,
     },
-    /// Lists every figure with its value and range
+    /// Lists every tuning key with its value, built-in value and range
     #[bpaf(command("list"), footer("Example: cowslip default list"))]
     List,
 }
 
+/// A tuning key with its value in force, built-in value and accepted range.
 #[derive(Debug, Serialize)]
 struct DefaultLine {
     key: TuningKey,
@@ -47,7 +48,7 @@
     most: u64,
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn default_args() -> impl Parser<DefaultArgs> {
     default_action()
         .to_options()
@@ -59,7 +60,8 @@
 pub async fn run(config: &OperatorConfig, args: DefaultArgs) -> OperatorResult<()> {
     match args {
         DefaultArgs::Set { change, key, value } => {
-            accepted::send(config, change, ConfigChange::SetDefault { key, value }).await
+            change_request::send(config, change, ConfigChange::SetDefault { key, value })
+                .await
         }
         DefaultArgs::List => list(config).await,
     }
--- a/crates/cli/src/cmd/exception.rs
+++ b/crates/cli/src/cmd/exception.rs
@@ -1,4 +1,4 @@
-//! `cowslip exception add|remove|list`.
+//! `cowslip exception add|remove|list`: exceptions to the defaults.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
 use cowslip_core::tuning::TuningKey;
 use cowslip_wire::messages::ShowCall;
 
-use super::accepted;
-use super::accepted::change_args;
-use super::accepted::ChangeArgs;
+use super::change_request;
+use super::change_request::change_args;
+use super::change_request::ChangeArgs;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
 
-const USAGE: &str = "Adds, removes or lists departures from the fleet's defaults";
+const USAGE: &str = "Adds, removes or lists exceptions to the fleet's defaults";
 const EXAMPLE: &str =
     "Example: cowslip exception add --id slow-season --service contract \
 --reason 'acceptances take longer while the presses run' deadline_ms 8000";
@@ -31,25 +31,25 @@
     Add {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Name to remove it by
+        /// Name of the exception, by which it can be removed
         #[bpaf(argument("ID"))]
         id: String,
-        /// Why; it is kept with the exception
+        /// Reason for the exception, stored with it
         #[bpaf(argument("TEXT"))]
         reason: String,
-        /// Only calls to this service
+        /// Restrict the exception to calls to this service
         #[bpaf(argument("SERVICE"))]
         service: Option<String>,
-        /// Only calls on the route with this path
+        /// Restrict the exception to calls on the route with this path
         #[bpaf(argument("PATH"))]
         route: Option<String>,
-        /// Only nodes in this failure domain
+        /// Restrict the exception to nodes in this failure domain
         #[bpaf(argument("DOMAIN"))]
         failure_domain: Option<String>,
-        /// Which figure; see `default list`
+        /// Tuning key; see `default list`
         #[bpaf(positional("KEY"))]
         key: TuningKey,
-        /// Its value, in the unit of the key's name
+        /// Value, in the unit given by the key's name
         #[bpaf(positional("VALUE"))]
         value: u64,
     },
@@ -61,7 +61,7 @@
     Remove {
         #[bpaf(external(change_args))]
         change: ChangeArgs,
-        /// Its name
+        /// Name of the exception
         #[bpaf(positional("ID"))]
         id: String,
     },
@@ -70,7 +70,7 @@
     List,
 }
 
-/// The parser of this subcommand.
+/// Returns the parser of this subcommand.
 pub fn exception_args() -> impl Parser<ExceptionArgs> {
     exception_action()
         .to_options()
@@ -103,11 +103,12 @@
                 value,
                 reason,
             };
-            accepted::send(config, change, ConfigChange::AddException(entry)).await
+            change_request::send(config, change, ConfigChange::AddException(entry)).await
         }
         ExceptionArgs::Remove { change, id } => {
             let id = id.into();
-            accepted::send(config, change, ConfigChange::RemoveException { id }).await
+            change_request::send(config, change, ConfigChange::RemoveException { id })
+                .await
         }
         ExceptionArgs::List => list(config).await,
     }
@@ -119,7 +120,7 @@
 }
 
 fn table(entries: &[ExceptionEntry]) -> String {
-    let heads = [
+    let headings = [
         "ID",
         "SERVICE",
         "ROUTE",
@@ -128,13 +129,13 @@
         "VALUE",
         "REASON",
     ];
-    let mut table = TextTable::new(&heads);
+    let mut table = TextTable::new(&headings);
     for entry in entries {
         table.row(vec![
             entry.id.to_string(),
-            any(&entry.scope.service),
-            any(&entry.scope.route),
-            any(&entry.scope.failure_domain),
+            name_or_any(&entry.scope.service),
+            name_or_any(&entry.scope.route),
+            name_or_any(&entry.scope.failure_domain),
             entry.key.to_string(),
             entry.value.to_string(),
             entry.reason.clone(),
@@ -143,6 +144,6 @@
     table.render()
 }
 
-fn any(name: &Option<Arc<str>>) -> String {
+fn name_or_any(name: &Option<Arc<str>>) -> String {
     name.as_deref().unwrap_or("any").to_owned()
 }
--- a/crates/cli/src/cmd/moves/move_entry.rs
+++ b/crates/cli/src/cmd/moves/move_entry.rs
@@ -1,5 +1,5 @@
-//! One move as it is listed and shown: a change of the configuration, with
-//! the move of a backend server version that it started, if it did.
+//! Moves as listed and shown: a configuration change, together with the move to
+//! a new backend server version if it started one.
 
 use serde::Serialize;
 
@@ -12,26 +12,27 @@
 use cowslip_wire::messages::MoveLine;
 use cowslip_wire::messages::MovesCall;
 
-use super::move_time::clock_text;
-use super::move_time::length_text;
+use super::due_time::format_length;
+use super::due_time::format_timestamp;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorError;
 use crate::operator_error::OperatorResult;
 use crate::text_table::TextTable;
 
-/// A move, whichever kind it is.
+/// A configuration change and its progress.
 #[derive(Debug, Serialize)]
 pub struct MoveEntry {
-    /// The change; its state is that of the whole move.
+    /// The change. If it started a move to another backend server version, its
+    /// progress is that of the whole move.
     #[serde(flatten)]
     pub line: MoveLine,
-    /// The move of a backend server version.
+    /// The move to another backend server version that the change started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rollout: Option<RolloutLine>,
 }
 
-/// Every move that is kept, the newest last.
-pub async fn all(config: &OperatorConfig) -> OperatorResult<Vec<MoveEntry>> {
+/// Fetches all moves still on record, newest last.
+pub async fn fetch_all(config: &OperatorConfig) -> OperatorResult<Vec<MoveEntry>> {
     let client = config.client()?;
     let lines = client.ask(&MovesCall { version: None }).await?;
     let mut rollouts = client.ask(&RolloutsCall::default()).await?;
@@ -41,13 +42,15 @@
             .iter()
             .position(|rollout| rollout.record.rollout == line.version);
         let rollout = found.map(|at| rollouts.swap_remove(at));
-        entries.push(MoveEntry::of(line, rollout));
+        entries.push(MoveEntry::new(line, rollout));
     }
     Ok(entries)
 }
 
-/// The move that made `version`; with its course for a plot.
-pub async fn find(
+/// Fetches the move of configuration version `version`, with its course over
+/// time if `course` is set. Fails with [`OperatorError::Missing`] if there is
+/// none.
+pub async fn fetch(
     config: &OperatorConfig,
     version: ConfigVersion,
     course: bool,
@@ -57,7 +60,7 @@
         version: Some(version),
     };
     let mut lines = client.ask(&call).await?;
-    let missing = OperatorError::Missing(format!("no move made version {version}"));
+    let missing = OperatorError::Missing(format!("no move has version {version}"));
     let line = lines.pop().ok_or(missing)?;
     let call = RolloutsCall {
         rollout: Some(version),
@@ -65,11 +68,11 @@
         course,
     };
     let rollout = client.ask(&call).await?.pop();
-    Ok(MoveEntry::of(line, rollout))
+    Ok(MoveEntry::new(line, rollout))
 }
 
 impl MoveEntry {
-    fn of(mut line: MoveLine, rollout: Option<RolloutLine>) -> Self {
+    fn new(mut line: MoveLine, rollout: Option<RolloutLine>) -> Self {
         if let Some(rollout) = &rollout {
             line.progress = rollout.nodes;
             line.progress.state = rollout.state;
@@ -78,12 +81,12 @@
         Self { line, rollout }
     }
 
-    /// State of the whole move.
+    /// Returns the state of the whole move.
     pub fn state(&self) -> MoveState {
         self.line.progress.state
     }
 
-    /// Why it was taken back, if it was.
+    /// Returns the cause if the move was taken back.
     pub fn cause(&self) -> Option<String> {
         match &self.rollout.as_ref()?.record.end {
             Some(RolloutEnd::TakenBack { cause }) => Some(cause.to_string()),
@@ -92,10 +95,10 @@
     }
 }
 
-/// The table of several moves.
+/// Formats moves as a table, one row per move.
 pub fn table(entries: &[MoveEntry]) -> String {
-    let heads = ["VERSION", "STATE", "NODES", "REFUSED", "AFTER", "WHAT"];
-    let mut table = TextTable::new(&heads);
+    let headings = ["VERSION", "STATE", "NODES", "REFUSED", "AFTER", "WHAT"];
+    let mut table = TextTable::new(&headings);
     for entry in entries {
         let progress = entry.line.progress;
         let after = entry.line.done_after_ms.map(|after| format!("{after} ms"));
@@ -125,7 +128,7 @@
     )
 }
 
-/// All that is known of one move.
+/// Formats one move in full.
 pub fn text(entry: &MoveEntry) -> String {
     let mut text = table(std::slice::from_ref(entry));
     let Some(rollout) = &entry.rollout else {
@@ -139,8 +142,8 @@
         }
     };
     add("reason", record.reason.clone());
-    add("started", clock_text(record.started_ms));
-    add("set time", set_time(rollout));
+    add("started", format_timestamp(record.started_ms));
+    add("set time", due_text(rollout));
     add(
         "waits for",
         rollout.wait.map_or("", |wait| wait.as_str()).to_owned(),
@@ -161,30 +164,30 @@
         let share = step.share_per_mille;
         add(
             "share",
-            format!("{share} of 1000 after {}", length_text(after)),
+            format!("{share} of 1000 after {}", format_length(after)),
         );
     }
     text
 }
 
-/// The set time, and whether it was met and why not.
-fn set_time(rollout: &RolloutLine) -> String {
+/// Formats the due time, and whether it was met and if not, why.
+fn due_text(rollout: &RolloutLine) -> String {
     let record = &rollout.record;
-    let due = clock_text(record.due_ms);
+    let due = format_timestamp(record.due_ms);
     let given = record.due_ms.saturating_sub(record.started_ms);
     let met = match (rollout.state, rollout.ended_after_ms) {
         (MoveState::Done, Some(after)) if after <= given => {
-            let early = length_text(given - after);
+            let early = format_length(given - after);
             format!("met, {early} before")
         }
-        (MoveState::Done, _) => format!("missed: {}", missed_why(record)),
+        (MoveState::Done, _) => format!("missed: {}", missed_reason(record)),
         (MoveState::TakenBack, _) => "not met: taken back".to_owned(),
         (MoveState::InProgress, _) => "in progress".to_owned(),
     };
     format!("{due} ({met})")
 }
 
-fn missed_why(record: &RolloutRecord) -> &'static str {
+fn missed_reason(record: &RolloutRecord) -> &'static str {
     match &record.end {
         Some(RolloutEnd::Finished { waited: Some(wait) }) => wait.as_str(),
         _ => "the last change reached some nodes late",
--- a/crates/cli/src/load/load_plot.rs
+++ b/crates/cli/src/load/load_plot.rs
@@ -1,4 +1,4 @@
-//! Draws a run as SVG: calls answered and failed, and latency, by second.
+//! Plots a run as SVG: answered and failed calls and latency in each second.
 
 use std::path::Path;
 
@@ -6,17 +6,17 @@
 
 use super::call_tally::CallTally;
 
-/// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (900, 600);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (900, 600);
 
-/// A picture that cannot be drawn or written.
+/// Error of drawing or writing a plot.
 pub type PlotError = Box<dyn std::error::Error>;
 
-/// Writes the picture to `file`.
+/// Plots `tally` into `file`.
 pub fn draw(tally: &CallTally, file: &Path) -> Result<(), PlotError> {
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let (above, below) = area.split_vertically(SIZE.1 as i32 / 2);
+    let (upper, lower) = area.split_vertically(PLOT_SIZE.1 as i32 / 2);
     let mut answered = Vec::new();
     let mut failed = Vec::new();
     let mut p50 = Vec::new();
@@ -33,19 +33,19 @@
         PlotLine::new("answered", answered, GREEN),
         PlotLine::new("failed", failed, RED),
     ];
-    draw_lines(&above, "calls a second", calls)?;
+    draw_lines(&upper, "calls a second", calls)?;
     let latencies = [
         PlotLine::new("p50", p50, BLUE),
         PlotLine::new("p99", p99, MAGENTA),
     ];
-    draw_lines(&below, "latency, ms", latencies)?;
+    draw_lines(&lower, "latency, ms", latencies)?;
     area.present()?;
     Ok(())
 }
 
 type PlotArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-/// One curve of a chart.
+/// A line of a chart.
 struct PlotLine {
     name: &'static str,
     points: Vec<(f64, f64)>,
--- a/crates/cli/src/text_table.rs
+++ b/crates/cli/src/text_table.rs
@@ -1,15 +1,20 @@
-//! Tables for people, columns aligned.
+//! Plain-text tables with aligned columns.
 
-/// Rows under a header.
+/// A table: a row of headings, then rows of cells.
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with these column heads.
-    pub fn new(heads: &[&str]) -> Self {
-        let heads = heads.iter().map(|head| (*head).to_owned()).collect();
-        Self { rows: vec![heads] }
+    /// A table with these column headings.
+    pub fn new(headings: &[&str]) -> Self {
+        let headings = headings
+            .iter()
+            .map(|heading| (*heading).to_owned())
+            .collect();
+        Self {
+            rows: vec![headings],
+        }
     }
 
     /// Adds a row.
@@ -17,7 +22,7 @@
         self.rows.push(cells);
     }
 
-    /// The whole table, a line each row.
+    /// Returns the table as text, one line per row.
     pub fn render(&self) -> String {
         let mut widths = Vec::new();
         for row in &self.rows {
--- a/crates/cli/tests/calls/at_most_once.rs
+++ b/crates/cli/tests/calls/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Calls with a key through the real nodes on loopback: each runs at most
-//! once, also when it is sent again and again while nodes stop.
+//! Calls with an idempotency key run at most once, even if they are resent
+//! through several nodes while nodes stop or fail.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,9 +17,9 @@
 use crate::fleet_calls::new_key;
 use crate::fleet_calls::send;
 use crate::fleet_calls::CallAnswer;
-use crate::fleet_calls::PATIENCE;
+use crate::fleet_calls::FLEET_TIMEOUT;
 
-fn runs(fleet: &LocalFleet) -> HashMap<String, u32> {
+fn runs_by_key(fleet: &LocalFleet) -> HashMap<String, u32> {
     let mut runs = HashMap::new();
     for node in &fleet.nodes {
         for (key, count) in &*node.stand_in.counts().by_key.borrow() {
@@ -29,10 +29,9 @@
     runs
 }
 
-// The answer to an acceptance was lost on the way. The clerk's program sends
-// it again through another node and must get the first answer, whole, from a
-// contract that was accepted once; the same key under another body is a
-// mistake and is told so.
+// The answer to a call is lost, and the caller resends it through other nodes. It
+// must get the first answer again, and the call must not run twice. The same key
+// with another body must be refused.
 #[test]
 fn a_resend_through_another_node_gets_the_first_answer() {
     actix_rt::System::new().block_on(async {
@@ -51,17 +50,17 @@
         let other = send(fleet.nodes[1].node.callers(), &key, "130 crates").await;
         let other = other.expect("an answer");
         assert_eq!((other.status, &*other.reason), (422, "key-reused"));
-        assert_eq!(runs(&fleet).get(&key), Some(&1));
+        assert_eq!(runs_by_key(&fleet).get(&key), Some(&1));
     });
 }
 
-/// What the callers of many calls got, by key.
+/// The answers that callers received, by idempotency key.
 type AnswersByKey = HashMap<String, Vec<CallAnswer>>;
 
 const KEYS: usize = 200;
 const SENDS: usize = 10;
 
-/// Sends each of the calls ten times, each time through another node.
+/// Sends each call `SENDS` times, each time through another node.
 fn send_all(
     fleet: &LocalFleet,
     keys: &[String],
@@ -89,25 +88,25 @@
     (callers, answers)
 }
 
-/// Sends the call until it has been answered. Refusals on the way are those
-/// of a loaded fleet that has just lost nodes.
-async fn served(node: SocketAddr, key: &str, body: &str) {
-    let began = Instant::now();
+/// Sends the call until it is answered with status 200. A loaded fleet that has
+/// just lost nodes may refuse it a few times.
+async fn send_until_served(node: SocketAddr, key: &str, body: &str) {
+    let started = Instant::now();
     loop {
         let answer = send(node, key, body).await;
         if answer.as_ref().is_some_and(|answer| answer.status == 200) {
             return;
         }
         assert!(
-            began.elapsed() < PATIENCE,
+            started.elapsed() < FLEET_TIMEOUT,
             "{key} is never served: {answer:?}"
         );
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Every call ran once at most, and nobody whose call ran was told at the end
-/// that it did not.
+/// Asserts that no call ran twice, and that no call that ran got not-run as its
+/// last verdict.
 fn assert_at_most_once(runs: &HashMap<String, u32>, answers: &AnswersByKey) {
     for (key, count) in runs {
         assert_eq!(*count, 1, "{key} ran {count} times");
@@ -127,36 +126,37 @@
     }
 }
 
-// Two hundred batch sales are each sent ten times through all nodes, crossed
-// and at once, while the nodes of one failure domain stop one after the other.
-// A sale that runs twice invoices honey that was never shipped; a caller told
-// "not run" whose sale ran will sell it again. A planned stop leaves no call
-// unknown: whoever was refused is served when it comes back.
+// Two hundred calls are each sent ten times, concurrently and through all nodes,
+// while the nodes of one failure domain stop in turn. A call must not run twice,
+// nor end with the verdict not-run if it ran: its caller would repeat it. A
+// planned stop leaves no outcome unknown, so every refused call must be served
+// when it is resent.
 #[test]
-fn two_thousand_resends_run_two_hundred_calls_once() {
+fn resent_calls_run_once_during_a_planned_stop() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
         let keys: Vec<String> = (0..KEYS).map(new_key).collect();
         let (callers, answers) = send_all(&fleet, &keys);
         let mut stopped = Vec::new();
-        // One failure domain's: servers are spread over the three in turn.
+        // The nodes of one failure domain: servers are assigned to the three
+        // domains round robin.
         for at in [6, 3, 0] {
             let node = fleet.nodes.remove(at);
-            assert!(node.node.stop().await, "a planned stop cuts nothing");
+            assert!(node.node.stop().await, "the planned stop cut a call");
             stopped.push(node.stand_in);
         }
         for caller in callers {
             caller.await.expect("a caller ends");
         }
-        let mut runs = runs(&fleet);
+        let mut runs = runs_by_key(&fleet);
         add_runs(&mut runs, &stopped);
         assert_at_most_once(&runs, &answers.borrow());
         for (number, key) in keys.iter().enumerate() {
             let node = &fleet.nodes[number % fleet.nodes.len()];
-            served(node.node.callers(), key, "a batch").await;
+            send_until_served(node.node.callers(), key, "a batch").await;
         }
-        let mut runs = self::runs(&fleet);
+        let mut runs = self::runs_by_key(&fleet);
         add_runs(&mut runs, &stopped);
         for key in &keys {
             assert_eq!(runs.get(key), Some(&1), "{key}");
@@ -164,12 +164,12 @@
     });
 }
 
-// The same while a whole failure domain is lost without a word: three nodes,
-// with calls in flight and a third of every key's holders. Calls that were
-// under way there may be unknown for good; none runs twice, and new ones are
-// served by the two failure domains that are left.
+// The same while a whole failure domain fails without warning: three nodes, with
+// calls in flight and a third of every key's claim holders. The outcome of calls
+// in flight there may stay unknown, but none may run twice, and the two remaining
+// domains must serve new calls.
 #[test]
-fn a_lost_failure_domain_runs_nothing_twice() {
+fn a_failed_domain_makes_no_call_run_twice() {
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let mut fleet = fleet(folder.path()).await;
@@ -179,7 +179,8 @@
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
         let mut lost = Vec::new();
-        // Servers are spread over the failure domains in turn.
+        // The nodes of one failure domain: servers are assigned to the three
+        // domains round robin.
         for at in [6, 3, 0] {
             let node = fleet.nodes.remove(at);
             drop(node.node);
@@ -188,12 +189,12 @@
         for caller in callers {
             caller.await.expect("a caller ends");
         }
-        let mut runs = runs(&fleet);
+        let mut runs = runs_by_key(&fleet);
         add_runs(&mut runs, &lost);
         assert_at_most_once(&runs, &answers.borrow());
         for (number, node) in fleet.nodes.iter().enumerate() {
             let key = new_key(KEYS + number);
-            served(node.node.callers(), &key, "a new sale").await;
+            send_until_served(node.node.callers(), &key, "a new sale").await;
         }
     });
 }
--- a/crates/cli/tests/commands/main.rs
+++ b/crates/cli/tests/commands/main.rs
@@ -1,4 +1,5 @@
-//! The operators' command, a file for each subcommand.
+//! Tests of the `cowslip` command against a running local fleet, one module per
+//! subcommand.
 
 mod cmd_apply;
 mod cmd_default;
@@ -7,4 +8,4 @@
 mod cmd_member;
 mod cmd_move;
 mod cmd_status;
-mod work_dir;
+mod fleet_fixture;
--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -1,5 +1,5 @@
-//! Moves of backend server versions over a whole local fleet: its control
-//! instances, nodes and stand-ins, with callers meanwhile.
+//! Moves of services to new backend server versions, through the control
+//! instances, nodes and stand-ins of a local fleet.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,17 +29,17 @@
 use cowslip_wire::messages::ShowCall;
 use cowslip_wire::messages::StatusCall;
 
-/// Longest wait for anything; only a broken fleet reaches it.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout of every wait; only a broken fleet reaches it.
+const FLEET_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time given to the moves.
+/// Time within which the moves must be done.
 const MOVE_TIME: Duration = Duration::from_secs(10);
 
-/// Callers that call all the time.
+/// Number of callers that call without pause.
 const CALLERS: usize = 6;
 
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between queries while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn change(
     operator: &ControlClient,
@@ -60,28 +60,33 @@
     })
 }
 
-async fn refused(operator: &ControlClient, id: &str, change: ConfigChange, word: &str) {
+async fn expect_refusal(
+    operator: &ControlClient,
+    id: &str,
+    change: ConfigChange,
+    expected: &str,
+) {
     let outcome = operator.change(Arc::from(id), None, change).await;
     let Err(OperatorError::Refused(ChangeOutcome::Invalid { faults })) = outcome else {
         panic!("not refused: {outcome:?}");
     };
-    assert!(faults[0].problem.contains(word), "{faults:?}");
+    assert!(faults[0].problem.contains(expected), "{faults:?}");
 }
 
 async fn wait_for_nodes(operator: &ControlClient, nodes: usize) {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let status = operator.ask(&StatusCall {}).await.expect("a leader");
         if status.nodes.len() >= nodes {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{status:?}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        assert!(started.elapsed() < FLEET_TIMEOUT, "{status:?}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn wait_for_end(operator: &ControlClient, rollout: ConfigVersion) -> RolloutLine {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let call = RolloutsCall {
             rollout: Some(rollout),
@@ -93,8 +98,8 @@
         if line.state != MoveState::InProgress {
             return line;
         }
-        assert!(began.elapsed() < PATIENCE, "{line:?}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        assert!(started.elapsed() < FLEET_TIMEOUT, "{line:?}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -113,7 +118,7 @@
     }
 }
 
-fn begun(fleet: &LocalFleet, prefix: &str) -> u32 {
+fn begun_requests(fleet: &LocalFleet, prefix: &str) -> u32 {
     let mut begun = 0;
     for node in &fleet.nodes {
         if node.instance.starts_with(prefix) {
@@ -124,16 +129,17 @@
 }
 
 async fn wait_for_calls(fleet: &LocalFleet, prefix: &str, calls: u32) {
-    let target = begun(fleet, prefix) + calls;
-    let began = Instant::now();
-    while begun(fleet, prefix) < target {
-        assert!(began.elapsed() < PATIENCE, "no calls at {prefix}");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+    let target = begun_requests(fleet, prefix) + calls;
+    let started = Instant::now();
+    while begun_requests(fleet, prefix) < target {
+        assert!(started.elapsed() < FLEET_TIMEOUT, "no calls at {prefix}");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Puts the document in force on all nodes, with moves of five seconds.
-async fn begin(operator: &ControlClient, fleet: &LocalFleet, document: FleetDocument) {
+/// Waits for all nodes, applies the document and shortens moves to at least five
+/// seconds.
+async fn set_up(operator: &ControlClient, fleet: &LocalFleet, document: FleetDocument) {
     wait_for_nodes(operator, fleet.nodes.len()).await;
     change(operator, "apply", ConfigChange::Apply(document)).await;
     let key = TuningKey::MoveLeastSeconds;
@@ -141,9 +147,9 @@
     change(operator, "least", least).await;
 }
 
-// Two services get new versions at once while callers call. The contract
-// service's is sound and must take over; the records service's fails every
-// call and must be taken back, and get nothing more afterwards.
+// Two services move to new versions at once, under load. The sound version must
+// take over; the one that fails every call must be taken back and get no more
+// calls afterwards.
 #[test]
 fn a_good_version_takes_over_and_a_bad_one_is_taken_back() {
     actix_rt::System::new().block_on(two_moves_at_once());
@@ -165,8 +171,8 @@
     }
     let fleet = Rc::new(fleet);
     let operator = fleet.operator();
-    begin(&operator, &fleet, plan.document()).await;
-    refused(&operator, "none", start("contract", "v3"), "announced").await;
+    set_up(&operator, &fleet, plan.document()).await;
+    expect_refusal(&operator, "none", start("contract", "v3"), "announced").await;
     let stop = Rc::new(Cell::new(false));
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
@@ -175,7 +181,7 @@
     }
     let good = change(&operator, "good", start("contract", "v2")).await;
     let bad = change(&operator, "bad", start("records", "v2")).await;
-    refused(&operator, "two", start("contract", "v2"), "in progress").await;
+    expect_refusal(&operator, "two", start("contract", "v2"), "in progress").await;
 
     let line = wait_for_end(&operator, bad).await;
     assert_eq!(line.state, MoveState::TakenBack, "{line:?}");
@@ -192,27 +198,27 @@
     let services = &snapshot.document.services;
     assert_eq!(&*services["contract"].version, "v2");
     assert_eq!(&*services["records"].version, "v1");
-    // What was on its way when the moves ended is let through first.
+    // Calls already in flight when the moves ended may still reach a server.
     wait_for_calls(&fleet, "contract-v2", 100).await;
-    let withdrawn = begun(&fleet, "records-v2");
-    let replaced = begun(&fleet, "contract-1");
+    let withdrawn = begun_requests(&fleet, "records-v2");
+    let replaced = begun_requests(&fleet, "contract-1");
     wait_for_calls(&fleet, "contract-v2", 100).await;
-    assert_eq!(begun(&fleet, "records-v2"), withdrawn);
-    assert_eq!(begun(&fleet, "contract-1"), replaced);
+    assert_eq!(begun_requests(&fleet, "records-v2"), withdrawn);
+    assert_eq!(begun_requests(&fleet, "contract-1"), replaced);
     stop.set(true);
     for caller in callers {
         caller.await.expect("a caller ends");
     }
 }
 
-// The leader is stopped in the middle of a move. The next leader knows it
-// from the agreed log and must bring it to its end, each step once.
+// The leader stops in the middle of a move. The next leader, which knows the
+// move from the replicated log, must finish it and take each step once.
 #[test]
-fn a_move_outlives_its_leader() {
-    actix_rt::System::new().block_on(leader_stopped());
+fn a_move_continues_under_the_next_leader() {
+    actix_rt::System::new().block_on(leader_stops_during_move());
 }
 
-async fn leader_stopped() {
+async fn leader_stops_during_move() {
     let plan = DeploymentPlan::named("sidertre").expect("a known deployment");
     let folder = tempfile::tempdir().expect("a folder for the test");
     let fleet = LocalFleet::spawn(&plan, folder.path()).await;
@@ -220,17 +226,17 @@
     let added = fleet.add_version(&plan, &plan.services[0], "v2").await;
     added.expect("servers of the new version");
     let operator = fleet.operator();
-    begin(&operator, &fleet, plan.document()).await;
+    set_up(&operator, &fleet, plan.document()).await;
     let rollout = change(&operator, "move", start("contract", "v2")).await;
     let leader = operator
         .ask(&StatusCall {})
         .await
         .expect("a leader")
         .instance;
-    let began = Instant::now();
-    while share(&operator, rollout).await < 20 {
-        assert!(began.elapsed() < PATIENCE, "no step is taken");
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+    let started = Instant::now();
+    while rollout_share(&operator, rollout).await < 20 {
+        assert!(started.elapsed() < FLEET_TIMEOUT, "no step is taken");
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let number: usize = leader
         .trim_start_matches("control-")
@@ -249,7 +255,7 @@
     }
 }
 
-async fn share(operator: &ControlClient, rollout: ConfigVersion) -> u16 {
+async fn rollout_share(operator: &ControlClient, rollout: ConfigVersion) -> u16 {
     let call = RolloutsCall {
         rollout: Some(rollout),
         ..RolloutsCall::default()
