--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -320,7 +320,7 @@
         fleet.advance();
     }
     let held = fleet.leader.current().version;
-    let progress = fleet.leader.board().progress(held);
+    let progress = fleet.leader.move_tracker().progress(held);
     assert_eq!(progress.nodes_applied as usize, nodes);
     let changes = CHANGES as usize;
     let relays = changes * fleet.relays.len();
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -254,7 +254,7 @@
     }
 
     fn moves(&self, changes: Vec<AcceptedChange>) -> Vec<MoveLine> {
-        let board = self.source.board();
+        let board = self.source.move_tracker();
         let mut lines = Vec::with_capacity(changes.len());
         for change in changes {
             let done_after = board.done_after(change.version);
@@ -270,7 +270,7 @@
     }
 
     fn progress(&self, version: ConfigVersion) -> VersionProgress {
-        let board = self.source.board();
+        let board = self.source.move_tracker();
         let done_after = board.done_after(version);
         VersionProgress {
             progress: board.progress(version),
@@ -280,7 +280,7 @@
 
     fn status(&self, now: Duration) -> FleetStatus {
         let mut nodes = Vec::new();
-        for (age, report) in self.source.board().live(now) {
+        for (age, report) in self.source.move_tracker().live(now) {
             nodes.push(NodeLine {
                 report: report.clone(),
                 age_ms: age.as_millis() as u64,
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -102,7 +102,7 @@
     history: ConfigHistory,
     directory: EndpointDirectory,
     leases: LeaseTable,
-    board: MoveTracker,
+    move_tracker: MoveTracker,
     applied: AppliedVersions,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
@@ -124,7 +124,7 @@
             history: ConfigHistory::default(),
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
-            board: MoveTracker::default(),
+            move_tracker: MoveTracker::default(),
             applied: AppliedVersions::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
@@ -141,7 +141,7 @@
 
     /// Sets how long nodes count as live after they were last heard from.
     pub fn set_presence(&mut self, presence: NodePresence) {
-        self.board.set_presence(presence);
+        self.move_tracker.set_presence(presence);
         self.aggregator.set_presence(presence);
     }
 
@@ -151,8 +151,8 @@
     }
 
     /// Which version each node has applied.
-    pub fn board(&self) -> &MoveTracker {
-        &self.board
+    pub fn move_tracker(&self) -> &MoveTracker {
+        &self.move_tracker
     }
 
     /// The directory of backend servers.
@@ -192,7 +192,7 @@
     pub fn publish(&mut self, now: Duration, snapshot: ConfigSnapshot) {
         let version = snapshot.version;
         if self.history.publish(snapshot) {
-            self.board.await_version(now, version);
+            self.move_tracker.await_version(now, version);
             self.queue.note_update();
         }
     }
@@ -205,7 +205,7 @@
             self.aggregator.record_report(now, &report);
             self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.record_report(now, report);
+            self.move_tracker.record_report(now, report);
         }
         let sync =
             DirectorySync::choose(&self.directory, self.identity.run, &call.directory);
@@ -294,7 +294,7 @@
         for report in batch.reports() {
             self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.record_report(now, report);
+            self.move_tracker.record_report(now, report);
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
@@ -358,7 +358,7 @@
 
     /// Advances the time to `now` and returns the answers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<SharedAnswer> {
-        self.board.mark_done(now);
+        self.move_tracker.mark_done(now);
         self.expire_leases(now);
         let due = self.queue.due(now, &self.freshness);
         self.answer(now, due);
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -368,7 +368,7 @@
     }
     leader.report(ms(20), relay.take_reports(ms(20)));
     leader.tick(ms(20));
-    assert_eq!(leader.board().progress(at(1)).nodes_live, 300);
+    assert_eq!(leader.move_tracker().progress(at(1)).nodes_live, 300);
     for node in 0..300 {
         relay.follow(
             ms(30),
@@ -381,7 +381,7 @@
     relay.put_back(lost);
     leader.report(ms(50), relay.take_reports(ms(50)));
     leader.tick(ms(50));
-    let progress = leader.board().progress(at(1));
+    let progress = leader.move_tracker().progress(at(1));
     assert_eq!(progress.state, MoveState::Done);
     assert_eq!(progress.nodes_applied, 300);
 }
@@ -424,7 +424,7 @@
     leader.follow(ms(60_100), refusing);
     leader.follow(ms(60_100), call("node-2", 2, request));
     assert_eq!(due(&mut leader, ms(60_100)).0.len(), 0);
-    let progress = leader.board().progress(at(2));
+    let progress = leader.move_tracker().progress(at(2));
     assert_eq!(progress.state, MoveState::InProgress);
     assert_eq!((progress.nodes_applied, progress.nodes_refused), (1, 1));
 }
