--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -231,10 +231,10 @@
             FanoutMessage::Report(batch) => self.source.report(now, batch),
             FanoutMessage::TakeReports(reply) => {
                 if let Err(batch) = reply.send(self.source.take_reports(now)) {
-                    self.source.put_back(batch);
+                    self.source.requeue_reports(batch);
                 }
             }
-            FanoutMessage::ReturnReports(batch) => self.source.put_back(batch),
+            FanoutMessage::ReturnReports(batch) => self.source.requeue_reports(batch),
             FanoutMessage::Install(update) => self.install(now, *update),
             FanoutMessage::SetPresence(presence) => self.source.set_presence(presence),
             FanoutMessage::WatchLeader(leader) => self.leader = Some(leader),
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -163,7 +163,7 @@
 
     /// Returns a batch that did not arrive. Its records are queued again, and
     /// its nodes are reported by a refresh that is due at once.
-    pub fn put_back(&mut self, batch: ReportBatch) {
+    pub fn requeue_reports(&mut self, batch: ReportBatch) {
         self.refresh_at = Duration::ZERO;
         for record in batch.endpoints {
             self.record_endpoint(record);
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -347,8 +347,8 @@
     }
 
     /// Returns a batch that did not reach the leader, to be sent again.
-    pub fn put_back(&mut self, batch: ReportBatch) {
-        self.aggregator.put_back(batch);
+    pub fn requeue_reports(&mut self, batch: ReportBatch) {
+        self.aggregator.requeue_reports(batch);
     }
 
     /// Records that the process was late by `lag` with a tick.
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -378,7 +378,7 @@
     let lost = relay.take_reports(ms(40));
     assert_eq!(lost.groups.len(), 1);
     assert_eq!(lost.groups[0].nodes.len(), 300);
-    relay.put_back(lost);
+    relay.requeue_reports(lost);
     leader.report(ms(50), relay.take_reports(ms(50)));
     leader.tick(ms(50));
     let progress = leader.move_tracker().progress(at(1));
