--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -202,7 +202,7 @@
 /// again.
 pub fn answer(bytes: &[u8]) -> Result<FollowAnswer, Duration> {
     match codec::decode(bytes).expect("an answer decodes") {
-        FollowReply::News(answer) => Ok(*answer),
+        FollowReply::Update(answer) => Ok(*answer),
         FollowReply::Later(after_ms) => Err(Duration::from_millis(after_ms)),
     }
 }
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -139,7 +139,7 @@
         let sent_at = BootInstant::now();
         let reply = self.client.send(address, &call, CALL_TIMEOUT).await?;
         let answer = match reply {
-            FollowReply::News(answer) => *answer,
+            FollowReply::Update(answer) => *answer,
             FollowReply::Later(after_ms) => {
                 self.waited = true;
                 actix_rt::time::sleep(Duration::from_millis(after_ms)).await;
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -68,7 +68,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowReply {
     /// Updates; empty if there were none within the wait.
-    News(Box<FollowAnswer>),
+    #[serde(rename = "News")]
+    Update(Box<FollowAnswer>),
     /// Too many followers are reconnecting; retry after this many
     /// milliseconds.
     Later(u64),
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -107,7 +107,7 @@
         directory: DirectoryUpdate,
     ) -> FollowReply {
         let config = self.history.update_for(&key.state);
-        FollowReply::News(Box::new(FollowAnswer {
+        FollowReply::Update(Box::new(FollowAnswer {
             source: self.proof(now, follower.asked_at),
             chunk: self.history.first_chunk(&config),
             config,
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -109,7 +109,7 @@
     answers.extend(source.tick(now + REQUEST_INTERVAL));
     let own = answers.into_iter().find(|one| one.followers.contains(&id));
     match own.expect("every request is answered").reply {
-        FollowReply::News(answer) => *answer,
+        FollowReply::Update(answer) => *answer,
         FollowReply::Later(_) => panic!("request rate is far below the limit"),
     }
 }
@@ -213,7 +213,7 @@
             if !one.followers.contains(&id) {
                 continue;
             }
-            if let FollowReply::News(answer) = one.reply {
+            if let FollowReply::Update(answer) = one.reply {
                 self.delayed.push(DelayedAnswer {
                     node: at,
                     run_number,
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -125,13 +125,13 @@
                     busy_until = now + cost / 10;
                     coming.push(Reverse((now + ms(after.max(1)), number)));
                 }
-                FollowReply::News(news) if !started => {
+                FollowReply::Update(news) if !started => {
                     busy_until = now + cost;
                     directory.take(news.directory);
                     last = last.max(busy_until);
                     coming.push(Reverse((busy_until + ms(2), number)));
                 }
-                FollowReply::News(_) => {}
+                FollowReply::Update(_) => {}
             }
         }
     }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -233,7 +233,7 @@
             .send(address, &call, self.timing.answer_timeout)
             .await?
         {
-            FollowReply::News(answer) => *answer,
+            FollowReply::Update(answer) => *answer,
             FollowReply::Later(after_ms) => {
                 return Ok(PollOutcome::RetryAfter(Duration::from_millis(after_ms)))
             }
