--- a/crates/control/benches/fanout_cost/fleet_model.rs
+++ b/crates/control/benches/fanout_cost/fleet_model.rs
@@ -203,6 +203,6 @@
 pub fn answer(bytes: &[u8]) -> Result<FollowAnswer, Duration> {
     match codec::decode(bytes).expect("an answer decodes") {
         FollowReply::Update(answer) => Ok(*answer),
-        FollowReply::Later(after_ms) => Err(Duration::from_millis(after_ms)),
+        FollowReply::RetryAfter(after_ms) => Err(Duration::from_millis(after_ms)),
     }
 }
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -140,7 +140,7 @@
         let reply = self.client.send(address, &call, CALL_TIMEOUT).await?;
         let answer = match reply {
             FollowReply::Update(answer) => *answer,
-            FollowReply::Later(after_ms) => {
+            FollowReply::RetryAfter(after_ms) => {
                 self.waited = true;
                 actix_rt::time::sleep(Duration::from_millis(after_ms)).await;
                 return Ok(true);
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -72,7 +72,8 @@
     Update(Box<FollowAnswer>),
     /// Too many followers are reconnecting; retry after this many
     /// milliseconds.
-    Later(u64),
+    #[serde(rename = "Later")]
+    RetryAfter(u64),
 }
 
 /// Updates since the follower's last request.
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -225,7 +225,7 @@
         let id = self.queue.enqueue(now, now + wait, state);
         self.names.insert(id, Arc::clone(&call.follower));
         if let Err(after) = self.admit(now, &call, &state) {
-            self.answer_with_reply(id, FollowReply::Later(after.as_millis() as u64));
+            self.answer_with_reply(id, FollowReply::RetryAfter(after.as_millis() as u64));
             return id;
         }
         match sync {
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -110,7 +110,7 @@
     let own = answers.into_iter().find(|one| one.followers.contains(&id));
     match own.expect("every request is answered").reply {
         FollowReply::Update(answer) => *answer,
-        FollowReply::Later(_) => panic!("request rate is far below the limit"),
+        FollowReply::RetryAfter(_) => panic!("request rate is far below the limit"),
     }
 }
 
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/news_source.rs
@@ -121,7 +121,7 @@
 fn news(reply: FollowReply) -> FollowAnswer {
     match reply {
         FollowReply::Update(answer) => *answer,
-        FollowReply::Later(after) => panic!("told to come back after {after} ms"),
+        FollowReply::RetryAfter(after) => panic!("told to come back after {after} ms"),
     }
 }
 
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -119,7 +119,7 @@
                 continue;
             }
             match answer.reply {
-                FollowReply::Later(after) => {
+                FollowReply::RetryAfter(after) => {
                     *waited = true;
                     // A deferral is a few bytes and costs little.
                     busy_until = now + cost / 10;
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -234,7 +234,7 @@
             .await?
         {
             FollowReply::Update(answer) => *answer,
-            FollowReply::Later(after_ms) => {
+            FollowReply::RetryAfter(after_ms) => {
                 return Ok(PollOutcome::RetryAfter(Duration::from_millis(after_ms)))
             }
         };
