--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -68,7 +68,7 @@
     /// Time from sending the request until the answer or the failure.
     pub took: Duration,
     /// Outcome of the attempt.
-    pub end: TryOutcome,
+    pub outcome: TryOutcome,
     /// Whether the server's node reports the server as past its cold start.
     /// Latencies of cold servers are ignored, because every new version starts
     /// cold and would look slow.
@@ -115,7 +115,7 @@
 impl VersionTally {
     /// Counts one attempt.
     pub fn record(&mut self, attempt: &MeasuredTry) {
-        match attempt.end {
+        match attempt.outcome {
             TryOutcome::NotRun => return,
             TryOutcome::Abandoned => {
                 self.abandoned += 1;
@@ -125,7 +125,7 @@
         }
         self.calls += 1;
         self.busy_us += attempt.took.as_micros() as u64;
-        if attempt.end == TryOutcome::Failed {
+        if attempt.outcome == TryOutcome::Failed {
             self.failures += 1;
         } else if attempt.warm {
             self.latency.record(attempt.took);
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_ledger.rs
@@ -86,7 +86,7 @@
             }
             let measured = MeasuredTry {
                 took: Duration::from_millis(drawn.millis),
-                end: match drawn.failed {
+                outcome: match drawn.failed {
                     _ if drawn.millis % 5 == 0 => TryOutcome::Abandoned,
                     true => TryOutcome::Failed,
                     false => TryOutcome::Answered,
@@ -145,7 +145,7 @@
         for took in &micros {
             let measured = MeasuredTry {
                 took: Duration::from_micros(*took),
-                end: TryOutcome::Answered,
+                outcome: TryOutcome::Answered,
                 warm: true,
             };
             tally.record(&route, true, &measured);
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -37,14 +37,14 @@
     document
 }
 
-fn ended(version: &str, end: TryOutcome) -> EndedTry {
+fn ended(version: &str, outcome: TryOutcome) -> EndedTry {
     EndedTry {
         service: "ledger".into(),
         route: "/sales".into(),
         version: version.into(),
         measured: MeasuredTry {
             took: Duration::from_millis(8),
-            end,
+            outcome,
             warm: true,
         },
     }
@@ -53,13 +53,13 @@
 /// Creates a guard for move 5 of `ledger` to v2. Before each of the evaluations
 /// it records ten attempts of each version; those of the new version end with
 /// `end`.
-fn guard_after(evaluations: u32, end: TryOutcome) -> NodeGuard {
+fn guard_after(evaluations: u32, outcome: TryOutcome) -> NodeGuard {
     let mut guard = NodeGuard::default();
     guard.install(&document("v1", Some(("v2", 500, 5))));
     for evaluation in 1..=evaluations {
         for _ in 0..10 {
             guard.record(&ended("v1", TryOutcome::Answered));
-            guard.record(&ended("v2", end));
+            guard.record(&ended("v2", outcome));
         }
         guard.tick(EVALUATION_INTERVAL * evaluation);
     }
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -354,7 +354,7 @@
                 version: Arc::clone(version),
                 measured: MeasuredTry {
                     took: call.took,
-                    end: call.end,
+                    outcome: call.outcome,
                     warm: !new || served >= COLD_CALLS,
                 },
             };
--- a/crates/core/tests/rollout_study/traffic.rs
+++ b/crates/core/tests/rollout_study/traffic.rs
@@ -63,7 +63,7 @@
     /// Duration of the call.
     pub took: Duration,
     /// Outcome of the call.
-    pub end: TryOutcome,
+    pub outcome: TryOutcome,
     /// Whether a fault of the new version affected the call.
     pub harmed: bool,
 }
@@ -123,7 +123,7 @@
         let slowed = factor >= 1.5;
         DrawnCall {
             took: Duration::from_micros((millis * 1_000.0) as u64),
-            end: if failed {
+            outcome: if failed {
                 TryOutcome::Failed
             } else {
                 TryOutcome::Answered
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -466,7 +466,7 @@
         if !planned.measured {
             return;
         }
-        let (end, warm) = match tried {
+        let (outcome, warm) = match tried {
             Ok(answer) => {
                 let warm = answer.head.headers().get(call_headers::WARM);
                 let status = answer.head.status.as_u16();
@@ -475,7 +475,14 @@
             }
             Err(failure) => (TryOutcome::from_failure(failure), false),
         };
-        let ended = ended_try(planned, MeasuredTry { took, end, warm });
+        let ended = ended_try(
+            planned,
+            MeasuredTry {
+                took,
+                outcome,
+                warm,
+            },
+        );
         // The entry task ends only with the node.
         let _ = self.entry.send(EntryMessage::Measured(ended)).await;
     }
--- a/crates/node/src/entry_handler/try_guard.rs
+++ b/crates/node/src/entry_handler/try_guard.rs
@@ -36,7 +36,7 @@
         let instance = Arc::clone(&planned.server.instance);
         let abandoned = MeasuredTry {
             took: Duration::ZERO,
-            end: TryOutcome::Abandoned,
+            outcome: TryOutcome::Abandoned,
             warm: false,
         };
         Self {
