--- a/crates/core/src/agreement/bootstrap.rs
+++ b/crates/core/src/agreement/bootstrap.rs
@@ -70,16 +70,17 @@
         self.try_bootstrap(now);
     }
 
-    /// True if this instance leads, or is a member that hears from a leader.
+    /// True if this instance leads, or is a member that receives messages from
+    /// a leader.
     fn has_leader(&self, now: Duration) -> bool {
         if self.is_leader() {
             return true;
         }
-        let heard = self
-            .leader_heard_at
+        let leader_live = self
+            .leader_message_at
             .is_some_and(|at| now < at + STEP_DOWN_TIMEOUT);
         let own = &self.identity;
-        heard
+        leader_live
             && self.can_participate()
             && self.log.members().contains(&own.instance, own.folder)
     }
@@ -171,8 +172,8 @@
         if *greeted != self.identity.start {
             return;
         }
-        // The answer also shows whether its sender lost its folder: the sender's
-        // own hello may have been sent before this instance listened.
+        // The answer also shows whether its sender lost its folder: the
+        // sender's own hello may have been sent before this instance listened.
         self.record_hello(now, &message, *fresh);
         if !self.seeds.iter().any(|(name, _)| *name == message.from) {
             return;
--- a/crates/core/src/agreement/election.rs
+++ b/crates/core/src/agreement/election.rs
@@ -50,10 +50,10 @@
 
 impl AgreementMember {
     /// True if it is time to ask whether all voters have restarted. This is
-    /// done only during the wait after the own start and until a leader is
-    /// heard.
+    /// done only during the wait after the own start and until a leader's first
+    /// message.
     pub(super) fn is_restart_poll_due(&self, now: Duration) -> bool {
-        let starting = now < self.no_vote_until && self.leader_heard_at.is_none();
+        let starting = now < self.no_vote_until && self.leader_message_at.is_none();
         starting && now >= self.restart_poll_at && self.is_voter()
     }
 
@@ -73,14 +73,14 @@
     /// disk, neither wins.
     pub(super) fn delay_restart_poll(&mut self, now: Duration, delay: Duration) {
         let voters: Vec<_> = self.log.members().voters().collect();
-        let place = voters
+        let position = voters
             .iter()
             .position(|voter| **voter == self.identity.instance);
-        let part = RESTART_POLL_SPREAD / voters.len().max(1) as u32;
-        let jitter = part.as_millis() as u64 / RESTART_POLL_JITTER_DIVISOR;
+        let slot = RESTART_POLL_SPREAD / voters.len().max(1) as u32;
+        let jitter = slot.as_millis() as u64 / RESTART_POLL_JITTER_DIVISOR;
         let jitter = self.random.random_range(0..jitter.max(1));
-        let turn = part * place.unwrap_or_default() as u32;
-        self.restart_poll_at = now + delay + turn + Duration::from_millis(jitter);
+        let offset = slot * position.unwrap_or_default() as u32;
+        self.restart_poll_at = now + delay + offset + Duration::from_millis(jitter);
     }
 
     /// Asks the voters whether this member would win an election, without
@@ -195,15 +195,15 @@
     /// vote. Without this, a fleet that restarts with one lost disk waits half
     /// a second for leases that nobody holds.
     ///
-    /// Once a leader is heard, hellos are no evidence any more: the member list
-    /// may name a folder that is newer than the hello.
+    /// After a leader's first message hellos are no evidence any more: the
+    /// member list may name a folder that is newer than the hello.
     fn has_lost_folder(&self, voter: &str) -> bool {
         let record = self.log.members().get(voter);
         let hello = self.received_hellos.get(voter);
         let (Some(record), Some(hello)) = (record, hello) else {
             return false;
         };
-        self.leader_heard_at.is_none() && record.folder != hello.folder
+        self.leader_message_at.is_none() && record.folder != hello.folder
     }
 
     /// Raises the term and requests votes in it.
@@ -318,8 +318,8 @@
         if let ElectionState::Leader(leadership) = &self.election_state {
             return !leadership.is_confirmed(self, now);
         }
-        let heard = self.leader_heard_at;
-        heard.is_none_or(|at| now >= at + ELECTION_TIMEOUT_MIN)
+        let message_at = self.leader_message_at;
+        message_at.is_none_or(|at| now >= at + ELECTION_TIMEOUT_MIN)
     }
 
     /// True if the sender is a member and has the data folder in the member
--- a/crates/core/src/agreement/follower.rs
+++ b/crates/core/src/agreement/follower.rs
@@ -58,7 +58,7 @@
             // Clocks of different leaders are not comparable.
             self.leader_sent_at = Duration::ZERO;
         }
-        self.leader_heard_at = Some(now);
+        self.leader_message_at = Some(now);
         self.leader_folder = message.folder;
         self.leader = Some(LeaderContact {
             instance: Arc::clone(&message.from),
--- a/crates/core/src/agreement/leadership.rs
+++ b/crates/core/src/agreement/leadership.rs
@@ -52,10 +52,11 @@
     /// Latest send time, on the leader's clock, that the member acknowledged.
     acked_sent_at: Option<Duration>,
     /// Time of the last answer.
-    last_heard: Option<Duration>,
+    answered_at: Option<Duration>,
     /// Index of an unacknowledged snapshot, and when its timeout ends.
     installing: Option<(u64, Duration)>,
-    /// Entries were missing: one message at a time is sent until the logs match.
+    /// Entries were missing: one message at a time is sent until the logs
+    /// match.
     probing: bool,
     /// A message was sent since the last heartbeat; while probing, no other
     /// entries are sent before the next heartbeat.
@@ -67,13 +68,13 @@
 impl PeerProgress {
     /// True if the member answered within [`PEER_LIVE_TIMEOUT`].
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        self.last_heard
+        self.answered_at
             .is_some_and(|at| now < at + PEER_LIVE_TIMEOUT)
     }
 
     /// Time of the member's last answer.
-    pub(super) fn last_heard(&self) -> Option<Duration> {
-        self.last_heard
+    pub(super) fn answered_at(&self) -> Option<Duration> {
+        self.answered_at
     }
 
     /// True if a snapshot may be sent: the member answers heartbeats, and no
@@ -298,7 +299,7 @@
         let Some(peer) = leadership.peers.get_mut(&message.from) else {
             return;
         };
-        peer.last_heard = Some(now);
+        peer.answered_at = Some(now);
         if sent_at > Duration::ZERO {
             peer.acked_sent_at = peer.acked_sent_at.max(Some(sent_at));
         }
@@ -396,8 +397,8 @@
             return progress;
         }
         let last = self.log.last().index;
-        let news = progress.sent_commit < self.commit;
-        let mut due = heartbeat || news;
+        let commit_advanced = progress.sent_commit < self.commit;
+        let mut due = heartbeat || commit_advanced;
         while due || progress.may_send_entries(last) {
             due = false;
             let previous = self.log.version_at(progress.next - 1);
@@ -415,8 +416,8 @@
         progress
     }
 
-    /// True if the log still holds the entry before the next one to send, and no
-    /// snapshot is in flight.
+    /// True if the log still holds the entry before the next one to send, and
+    /// no snapshot is in flight.
     fn can_append_to(&self, progress: &PeerProgress) -> bool {
         let held = self.log.version_at(progress.next - 1).is_some();
         held && progress.installing.is_none()
--- a/crates/core/src/agreement/member.rs
+++ b/crates/core/src/agreement/member.rs
@@ -116,7 +116,8 @@
     pub(super) leader_folder: u64,
     /// Leader named in a hello answer, and the time of that answer.
     pub(super) leader_hint: Option<(LeaderContact, Duration)>,
-    pub(super) leader_heard_at: Option<Duration>,
+    /// When the leader's last message arrived; `None` before the first one.
+    pub(super) leader_message_at: Option<Duration>,
     /// Last index known to match the leader's log.
     pub(super) matched_index: u64,
     /// Send time of the leader's latest message, on the leader's clock.
@@ -169,7 +170,7 @@
             leader: None,
             leader_folder: 0,
             leader_hint: None,
-            leader_heard_at: None,
+            leader_message_at: None,
             matched_index: 0,
             leader_sent_at: Duration::ZERO,
             // Guards against two leaders that answer as fresh at once: this
@@ -248,8 +249,8 @@
                 lease_until,
             };
         }
-        let heard = self
-            .leader_heard_at
+        let leader_live = self
+            .leader_message_at
             .is_some_and(|at| now < at + STEP_DOWN_TIMEOUT);
         let hint = self
             .leader_hint
@@ -257,7 +258,7 @@
             .filter(|(_, at)| now < *at + STEP_DOWN_TIMEOUT);
         let hinted = hint.map(|(leader, _)| leader.clone());
         LeaderStatus {
-            leader: self.leader.clone().filter(|_| heard).or(hinted),
+            leader: self.leader.clone().filter(|_| leader_live).or(hinted),
             leading: false,
             lease_until: None,
         }
--- a/crates/core/src/agreement/member_message.rs
+++ b/crates/core/src/agreement/member_message.rs
@@ -50,7 +50,7 @@
 /// Type and contents of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is not a member, or hears from no leader.
+    /// The sender is not a member, or receives no messages from a leader.
     Hello {
         /// True if the sender has never held an entry.
         fresh: bool,
@@ -88,7 +88,8 @@
     Vote {
         /// Version of the sender's last entry.
         last: ConfigVersion,
-        /// The leader of the previous term handed leadership over to the sender.
+        /// The leader of the previous term handed leadership over to the
+        /// sender.
         handed_over: bool,
         /// Every voter was idle in the previous term.
         #[serde(default)]
@@ -122,9 +123,9 @@
     },
     /// Answer to entries, a heartbeat or a snapshot.
     AppendAnswer {
-        /// `Ok` with the last index that matches the leader's log and is synced,
-        /// or `Err` with the last committed index if the previous entry is
-        /// missing.
+        /// `Ok` with the last index that matches the leader's log and is
+        /// synced, or `Err` with the last committed index if the previous entry
+        /// is missing.
         matched: Result<u64, u64>,
         /// Latest send time received from the leader, on the leader's clock.
         sent_at: Duration,
--- a/crates/core/src/agreement/member_outbox.rs
+++ b/crates/core/src/agreement/member_outbox.rs
@@ -66,7 +66,7 @@
     }
 
     /// True if the sender's data folder holds at least what it acknowledged.
-    /// Otherwise tells the sender that it has lost entries.
+    /// Otherwise informs the sender that it has lost entries.
     pub(super) fn trusts(&mut self, message: &MemberMessage) -> bool {
         let reported = FolderWatermark {
             start: message.start,
--- a/crates/core/src/agreement/membership.rs
+++ b/crates/core/src/agreement/membership.rs
@@ -24,8 +24,8 @@
 use crate::version::ConfigVersion;
 
 /// Maximum number of live members, all of which become voters. Each voter costs
-/// the leader another copy of every change, and five voters already tolerate two
-/// failures.
+/// the leader another copy of every change, and five voters already tolerate
+/// two failures.
 const LIVE_MEMBERS_MAX: usize = 7;
 
 /// A change of membership requested by an operator.
@@ -55,8 +55,8 @@
     /// The leader has received no recent hello from the instance.
     #[error("the instance has not been heard of; start it with an empty data folder and these members in its settings first")]
     NotHeard,
-    /// The instance's data folder holds entries and is not known to be from this
-    /// log.
+    /// The instance's data folder holds entries and is not known to be from
+    /// this log.
     #[error("the instance's data folder is not empty; stop it, remove the folder, start it and retry")]
     NotEmpty,
     /// No member has this name.
@@ -120,7 +120,7 @@
     pub role: MemberRole,
     /// True for the leader.
     pub leads: bool,
-    /// True if the leader heard from it within the last second.
+    /// True if the leader received an answer from it within the last second.
     pub live: bool,
     /// Last index that it is known to have synced.
     pub synced: u64,
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Decides on the next membership change, and records a verdict that differs
-    /// from the last one.
+    /// Decides on the next membership change, and records a verdict that
+    /// differs from the last one.
     fn plan_voter_change(&mut self, now: Duration) -> PlanVerdict {
         let members = self.observed_members(now);
         let candidates = self.join_candidates(now);
@@ -285,12 +285,14 @@
         };
         let mut observed = Vec::new();
         for (instance, record) in self.log.members().iter() {
-            let heard = if *instance == self.identity.instance {
+            let answered_at = if *instance == self.identity.instance {
                 Some(now)
             } else {
-                self.progress(instance).and_then(|peer| peer.last_heard())
+                self.progress(instance).and_then(|peer| peer.answered_at())
             };
-            let since = heard.unwrap_or(Duration::ZERO).max(leadership.since());
+            let since = answered_at
+                .unwrap_or(Duration::ZERO)
+                .max(leadership.since());
             observed.push(ObservedMember {
                 instance: Arc::clone(instance),
                 role: record.role,
@@ -310,8 +312,8 @@
             }
             // A delayed hello, sent before the member returned, must not
             // replace the data folder that the member has now.
-            let heard = self.progress(instance).and_then(|peer| peer.last_heard());
-            if heard.is_some_and(|heard| heard > hello.at) {
+            let answered_at = self.progress(instance).and_then(|peer| peer.answered_at());
+            if answered_at.is_some_and(|answered_at| answered_at > hello.at) {
                 continue;
             }
             candidates.push(JoinCandidate {
--- a/crates/core/src/agreement/state_replica.rs
+++ b/crates/core/src/agreement/state_replica.rs
@@ -109,7 +109,7 @@
     /// with `outcome`.
     ///
     /// Guards against another leader's entry at the same index: the operator
-    /// would get the outcome of someone else's change.
+    /// would get the outcome of another operator's change.
     fn answer_committed(
         &self,
         entry: &LogEntry,
@@ -151,7 +151,7 @@
     state: Arc<ControlState>,
     applied: ConfigVersion,
     published: ConfigVersion,
-    bare: LabelStripper,
+    label_stripper: LabelStripper,
     leader_status: LeaderStatus,
     members: MemberList,
     barred: bool,
@@ -168,7 +168,7 @@
             state: Arc::default(),
             applied: ConfigVersion::ZERO,
             published: ConfigVersion::ZERO,
-            bare: LabelStripper::default(),
+            label_stripper: LabelStripper::default(),
             leader_status: LeaderStatus::default(),
             members: MemberList::default(),
             barred: false,
@@ -365,7 +365,7 @@
             // thirds of the bytes that every node would check and hold.
             let published = ConfigSnapshot {
                 version: snapshot.version,
-                document: self.bare.strip(&snapshot.document),
+                document: self.label_stripper.strip(&snapshot.document),
             };
             self.actions.push(ReplicaAction::Publish(published));
         }
--- a/crates/core/src/agreement/timing.rs
+++ b/crates/core/src/agreement/timing.rs
@@ -51,7 +51,7 @@
 pub const LEASE_DURATION: Duration = Duration::from_millis(450);
 
 /// A leader whose heartbeats are not acknowledged by a majority for this long
-/// steps down and tells waiting operators that the outcome of their changes
+/// steps down and answers waiting operators that the outcome of their changes
 /// is unknown. Longer than the lease, so that a short stall does not cause an
 /// election.
 pub const STEP_DOWN_TIMEOUT: Duration = Duration::from_millis(1_200);
--- a/crates/core/src/agreement/voter_plan.rs
+++ b/crates/core/src/agreement/voter_plan.rs
@@ -15,7 +15,7 @@
 pub(super) struct ObservedMember {
     pub(super) instance: Arc<str>,
     pub(super) role: MemberRole,
-    /// Time since the leader last heard from it, at most the time since the
+    /// Time since its last answer to the leader, at most the time since the
     /// leader's election.
     pub(super) silent: Duration,
 }
@@ -32,7 +32,8 @@
 pub(super) struct JoinCandidate {
     pub(super) instance: Arc<str>,
     pub(super) address: SocketAddr,
-    /// False if its folder holds entries that are not known to be from this log.
+    /// False if its folder holds entries that are not known to be from this
+    /// log.
     pub(super) admissible: bool,
 }
 
--- a/crates/core/src/applied_versions.rs
+++ b/crates/core/src/applied_versions.rs
@@ -11,9 +11,10 @@
 
 use crate::version::ConfigVersion;
 
-/// Largest number of nodes kept; the least recently heard is evicted first.
-/// Three times the fleet of 5,200, so that a week in which 1,500 servers a
-/// day are replaced does not evict a node that still runs; about 2 MB.
+/// Largest number of nodes kept; the node that reported least recently is
+/// evicted first. Three times the fleet of 5,200, so that a week in which 1,500
+/// servers a day are replaced does not evict a node that still runs; about 2
+/// MB.
 const NODES_MAX: usize = 16_384;
 
 /// Highest version each node is known to have applied.
@@ -21,13 +22,13 @@
 pub struct AppliedVersions {
     acks: HashMap<Arc<str>, HeldAck>,
     by_age: BTreeMap<u64, Arc<str>>,
-    heard: u64,
+    sequence: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct HeldAck {
     version: ConfigVersion,
-    heard: u64,
+    sequence: u64,
 }
 
 impl AppliedVersions {
@@ -37,12 +38,12 @@
         let mut version = version;
         if let Some(held) = self.acks.get(node) {
             version = version.max(held.version);
-            self.by_age.remove(&held.heard);
+            self.by_age.remove(&held.sequence);
         }
-        self.heard += 1;
-        let heard = self.heard;
-        self.by_age.insert(heard, Arc::clone(node));
-        let ack = HeldAck { version, heard };
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.by_age.insert(sequence, Arc::clone(node));
+        let ack = HeldAck { version, sequence };
         self.acks.insert(Arc::clone(node), ack);
         if self.acks.len() <= NODES_MAX {
             return;
--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -259,7 +259,7 @@
         if self.every_set(|tally| tally.votes_for >= tally.majority) {
             return self.majority_reached();
         }
-        if self.every_set(|tally| tally.votes_against <= tally.seats - tally.majority) {
+        if self.every_set(|tally| tally.votes_against <= tally.holders - tally.majority) {
             return ClaimStep::Wait;
         }
         if self.outbid.is_some() {
@@ -376,7 +376,7 @@
 
 /// Number of votes in one set of holders.
 struct SetTally {
-    seats: usize,
+    holders: usize,
     majority: usize,
     votes_for: usize,
     votes_against: usize,
@@ -385,7 +385,7 @@
 impl SetTally {
     fn of(set: &[Arc<str>], votes: &BTreeMap<Arc<str>, HolderVote>) -> Self {
         let mut tally = Self {
-            seats: set.len(),
+            holders: set.len(),
             majority: set.len() / 2 + 1,
             votes_for: 0,
             votes_against: 0,
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -31,8 +31,8 @@
 use crate::load::server_load::ReportedLoad;
 use crate::load::server_pool::SearchCosts;
 use crate::load::server_pool::ServerCriteria;
+use crate::load::server_pool::ServerOutcome;
 use crate::load::server_pool::SlotSearch;
-use crate::load::server_pool::TryOutcome;
 use crate::load::service_load::ServiceLoad;
 use crate::refusal::RefusalReason;
 use crate::rollout::last_server::is_last_old_server;
@@ -57,8 +57,8 @@
 const WHOLE_PER_MILLE: u16 = 1_000;
 
 /// Divisor of the cost settings, which are in thousandths of an answer's
-/// worth.
-const WORTH_PARTS: f64 = 1_000.0;
+/// value.
+const COST_DIVISOR: f64 = 1_000.0;
 
 /// Sender of a call to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -174,13 +174,13 @@
         Ok(true)
     }
 
-    /// Guard that counts the calls and outcomes of services under a rollout.
+    /// Guard that counts the calls and outcomes of services under a move.
     pub fn guard(&mut self) -> &mut NodeGuard {
         &mut self.guard
     }
 
     /// True if `instance` is the last server of the old version and must run
-    /// until the rollout ends.
+    /// until the move ends.
     pub fn is_last_old_server(&self, instance: &str) -> bool {
         is_last_old_server(&self.snapshot.document, &self.directory, instance)
     }
@@ -199,16 +199,16 @@
 
     /// Bounds of the queue at a backend server of `service`.
     pub fn queue_bounds(&self, service: &str) -> QueueBounds {
-        let place = CallContext {
+        let context = CallContext {
             service,
             route: "",
             failure_domain: &self.failure_domain,
         };
         let document = &self.snapshot.document;
-        let wait_ms = document.tuning(TuningKey::QueueWaitMs, &place);
+        let wait_ms = document.tuning(TuningKey::QueueWaitMs, &context);
         QueueBounds {
-            slots_floor: document.tuning(TuningKey::SlotsFloor, &place) as u32,
-            calls: document.tuning(TuningKey::QueueCalls, &place) as usize,
+            slots_floor: document.tuning(TuningKey::SlotsFloor, &context) as u32,
+            calls: document.tuning(TuningKey::QueueCalls, &context) as usize,
             wait: Duration::from_millis(wait_ms),
         }
     }
@@ -238,20 +238,20 @@
             return Err(RefusalReason::InternalOnly);
         }
         let service = draw_service(route, &mut self.rng);
-        let place = CallContext {
+        let context = CallContext {
             service,
             route: &route.path,
             failure_domain: &self.failure_domain,
         };
         let document = &self.snapshot.document;
-        let default_ms = document.tuning(TuningKey::DeadlineMs, &place);
+        let default_ms = document.tuning(TuningKey::DeadlineMs, &context);
         let allowed = head.deadline.unwrap_or(Duration::from_millis(default_ms));
         let timeout = route.timeout_ms.map(Duration::from_millis);
         let allowed = allowed.min(timeout.unwrap_or(allowed));
-        let percent = document.tuning(TuningKey::RetryPercent, &place);
-        let burst = document.tuning(TuningKey::RetryBurst, &place);
-        let tries = document.tuning(TuningKey::TriesMax, &place);
-        let probes = document.tuning(TuningKey::SlotProbes, &place);
+        let percent = document.tuning(TuningKey::RetryPercent, &context);
+        let burst = document.tuning(TuningKey::RetryBurst, &context);
+        let tries = document.tuning(TuningKey::TriesMax, &context);
+        let probes = document.tuning(TuningKey::SlotProbes, &context);
         let idempotent = match route.repeat {
             Some(rule) => rule == RepeatRule::Idempotent,
             None => head.idempotent,
@@ -276,13 +276,13 @@
             idempotent,
             origin: head.origin,
             repeats: RepeatProbability::FIRST,
-            first_asked_at: now.saturating_sub(age),
+            first_sent_at: now.saturating_sub(age),
             caller_deadline_at: head.deadline.map(|deadline| now + deadline),
             target_at: target.map(|target| now + target.saturating_sub(age)),
             tries: TryAllowance::of(route, tries),
             probes_slots: probes > 0,
             probes_left: probes,
-            far_cost_per_kb: document.tuning(TuningKey::FarCostPerKb, &place),
+            far_cost_per_kb: document.tuning(TuningKey::FarCostPerKb, &context),
             version: None,
             probed_servers: Vec::new(),
             tried_servers: Vec::new(),
@@ -298,8 +298,8 @@
             self.record_refusal(now, &plan);
             return Err(RefusalReason::CustomerLimit);
         }
-        let terms = BudgetConfig::of(percent, burst, self.directory.len());
-        service_load.budget.earn(now, terms);
+        let config = BudgetConfig::of(percent, burst, self.directory.len());
+        service_load.budget.earn(now, config);
         Ok(plan)
     }
 
@@ -318,13 +318,13 @@
             return;
         };
         if let Some(service_load) = self.service_loads.get_mut(&plan.service) {
-            service_load.record_refusal(now, &plan.route, plan.first_asked_at, until);
+            service_load.record_refusal(now, &plan.route, plan.first_sent_at, until);
         }
     }
 
-    /// Chooses the server for the call's next try. The try counts as outstanding
-    /// at that server until [`EntryRouter::failed`], [`EntryRouter::ended`] or
-    /// [`EntryRouter::abandoned`] is called.
+    /// Chooses the server for the call's next try. The try counts as
+    /// outstanding at that server until [`EntryRouter::failed`],
+    /// [`EntryRouter::ended`] or [`EntryRouter::abandoned`] is called.
     ///
     /// # Errors
     ///
@@ -362,7 +362,7 @@
             value: AnswerValue {
                 target_left: plan.target_left(now),
                 left: plan.deadline_at.saturating_sub(now),
-                far: kilobytes * plan.far_cost_per_kb as f64 / WORTH_PARTS,
+                far: kilobytes * plan.far_cost_per_kb as f64 / COST_DIVISOR,
             },
         };
         let mut searches = vec![SlotSearch::ByScore];
@@ -395,15 +395,15 @@
                 let is_candidate = candidate.version == *version;
                 is_candidate.then_some(candidate.share_per_mille)
             });
-            let among = share.map(|share| pool.subset_for_share(share));
+            let allowed = share.map(|share| pool.subset_for_share(share));
             for search in &searches {
-                let need = ServerCriteria {
+                let criteria = ServerCriteria {
                     tried: &plan.tried_servers,
                     idempotent: plan.idempotent,
                     search: *search,
-                    allowed: among.as_deref(),
+                    allowed: allowed.as_deref(),
                 };
-                chosen = chosen.or_else(|| pool.choose(now, &need, &mut self.rng));
+                chosen = chosen.or_else(|| pool.choose(now, &criteria, &mut self.rng));
             }
         }
         // If every server has been tried, the last failure is more specific
@@ -420,8 +420,8 @@
     }
 
     /// Records a failed try and decides what follows. A retry needs remaining
-    /// tries, time and retry budget; a call that may have run is retried only if
-    /// it is idempotent and came from outside.
+    /// tries, time and retry budget; a call that may have run is retried only
+    /// if it is idempotent and came from outside.
     pub fn failed(
         &mut self,
         now: Duration,
@@ -443,8 +443,8 @@
         server: &ServerTry,
         failure: TryFailure,
     ) -> NextStep {
-        let evidence = server_evidence(failure);
-        self.servers.end(now, &server.instance, evidence);
+        let outcome = server_outcome(failure);
+        self.servers.end(now, &server.instance, outcome);
         plan.verdict = plan.verdict.max(failure.verdict);
         plan.last_failure = Some(failure.reason);
         if server.wait_max.is_some() && failure.reason != RefusalReason::NoFreeSlot {
@@ -454,7 +454,7 @@
         }
         let service_load = self.service_loads.entry(Arc::clone(&plan.service));
         let service_load = service_load.or_default();
-        if evidence == TryOutcome::Full {
+        if outcome == ServerOutcome::Full {
             service_load.record_overload(now, &mut self.rng);
         }
         if failure.reached_server() {
@@ -473,10 +473,10 @@
         if !plan.may_repeat(failure.verdict) {
             return NextStep::Refuse(failure.reason);
         }
-        // A refusal by a server's node does not reach the server. For calls that
-        // probe for slots it is part of the search, which the allowed tries
-        // bound, and costs nothing of the retry budget.
-        let full = evidence == TryOutcome::Full && !plan.probes_slots;
+        // A refusal by a server's node does not reach the server. For calls
+        // that probe for slots it is part of the search, which the allowed
+        // tries bound, and does not use the retry budget.
+        let full = outcome == ServerOutcome::Full && !plan.probes_slots;
         let uses_budget = failure.reached_server() || full;
         if uses_budget && !service_load.budget.spend(&mut self.rng) {
             return NextStep::Refuse(match plan.verdict {
@@ -498,10 +498,10 @@
     pub fn ended(&mut self, now: Duration, report: &TryReport) {
         let service_load = self.service_loads.entry(Arc::clone(&report.service));
         let service_load = service_load.or_default();
-        let evidence = match report.status {
+        let outcome = match report.status {
             STATUS_SHED => {
                 service_load.record_overload(now, &mut self.rng);
-                TryOutcome::Full
+                ServerOutcome::Full
             }
             status => {
                 service_load.accepted(now, &report.customer, report.priority);
@@ -511,7 +511,7 @@
                 service_load.outcome(report, STATUS_FAILED.contains(&status))
             }
         };
-        self.servers.end(now, &report.instance, evidence);
+        self.servers.end(now, &report.instance, outcome);
     }
 
     /// Records the load that a server's node reported with its answer to a call
@@ -526,30 +526,30 @@
         self.servers.record_load(now, instance, route, load);
     }
 
-    /// Records a try whose caller went away before any answer.
+    /// Records a try whose caller disconnected before any answer.
     pub fn abandoned(&mut self, now: Duration, instance: &str) {
-        self.servers.end(now, instance, TryOutcome::Nothing);
+        self.servers.end(now, instance, ServerOutcome::Nothing);
     }
 }
 
-/// Evidence about a server that a failed try gives.
-fn server_evidence(failure: TryFailure) -> TryOutcome {
+/// What a failed try shows about its server.
+fn server_outcome(failure: TryFailure) -> ServerOutcome {
     match failure.reason {
         RefusalReason::QueueFull
         | RefusalReason::QueueTimeout
-        | RefusalReason::ServerRefused => TryOutcome::Full,
+        | RefusalReason::ServerRefused => ServerOutcome::Full,
         RefusalReason::Draining
         | RefusalReason::Stopping
-        | RefusalReason::NotAnnounced => TryOutcome::Unavailable,
+        | RefusalReason::NotAnnounced => ServerOutcome::Unavailable,
         RefusalReason::ConnectFailed
         | RefusalReason::ConnectionBroken
-        | RefusalReason::ServerFailed => TryOutcome::Failed,
+        | RefusalReason::ServerFailed => ServerOutcome::Failed,
         // The server did not answer in time. A call refused because its
         // deadline had passed says nothing about the server.
         RefusalReason::DeadlinePassed if failure.verdict != CallVerdict::NotRun => {
-            TryOutcome::Failed
+            ServerOutcome::Failed
         }
-        _ => TryOutcome::Nothing,
+        _ => ServerOutcome::Nothing,
     }
 }
 
--- a/crates/core/src/entry_router/call_plan.rs
+++ b/crates/core/src/entry_router/call_plan.rs
@@ -33,12 +33,13 @@
     /// Probability that the next try repeats work at a backend server.
     pub repeats: RepeatProbability,
     pub(super) idempotent: bool,
-    /// Estimated time at which the caller first asked, earlier calls included.
-    pub(super) first_asked_at: Duration,
+    /// Estimated time at which the caller first sent the call, before any
+    /// resend.
+    pub(super) first_sent_at: Duration,
     /// Deadline that the caller stated, if it did.
     pub(super) caller_deadline_at: Option<Duration>,
-    /// Time from which the answer is worth less, if the route sets a target
-    /// latency.
+    /// Time from which the answer has less than its full value, if the route
+    /// sets a target latency.
     pub target_at: Option<Duration>,
     pub(super) tries: TryAllowance,
     /// True if the call is offered to servers for a free slot before it waits.
--- a/crates/core/src/follow_exchange.rs
+++ b/crates/core/src/follow_exchange.rs
@@ -27,8 +27,8 @@
     /// True if a delta could not be applied and a whole snapshot is needed.
     #[serde(default, skip_serializing_if = "is_false")]
     pub whole: bool,
-    /// True if this source told the follower when to retry and the follower
-    /// has waited until then.
+    /// True if this source gave the follower a retry time and the follower has
+    /// waited for it.
     #[serde(default, skip_serializing_if = "is_false")]
     pub waited: bool,
     /// Request for directory updates.
--- a/crates/core/src/follower_queue.rs
+++ b/crates/core/src/follower_queue.rs
@@ -52,7 +52,7 @@
     /// What the follower holds.
     pub state: FollowerState,
     /// When the request was made.
-    pub asked_at: Duration,
+    pub requested_at: Duration,
 }
 
 /// Waiting followers, indexed by the end of their wait.
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 struct WaitingFollower {
     state: FollowerState,
-    asked_at: Duration,
+    requested_at: Duration,
     until: Duration,
 }
 
@@ -78,7 +78,7 @@
     /// Adds a follower that waits until `until`, and returns a new id.
     pub fn enqueue(
         &mut self,
-        asked_at: Duration,
+        requested_at: Duration,
         until: Duration,
         state: FollowerState,
     ) -> FollowerId {
@@ -86,7 +86,7 @@
         let id = self.next;
         let follower = WaitingFollower {
             state,
-            asked_at,
+            requested_at,
             until,
         };
         self.waiting.insert(id, follower);
@@ -97,8 +97,9 @@
         id
     }
 
-    /// Records that the source has been late by `lag` since the last wake, which
-    /// shows that it is still busy with the answers, and delays the next wake.
+    /// Records that the source has been late by `lag` since the last wake,
+    /// which shows that it is still busy with the answers, and delays the next
+    /// wake.
     ///
     /// This happens when hundreds of servers come back within seconds: each
     /// change wakes all followers, and answering them takes longer than the
@@ -185,7 +186,7 @@
         let mut ready = Vec::new();
         for id in &self.starting {
             let follower = self.waiting.get(id);
-            if follower.is_some_and(|follower| follower.asked_at <= proved_at) {
+            if follower.is_some_and(|follower| follower.requested_at <= proved_at) {
                 ready.push(*id);
             }
         }
@@ -196,7 +197,7 @@
         let mut ready = Vec::with_capacity(self.waiting.len());
         for (id, follower) in &self.waiting {
             let starting = follower.state.held == ConfigVersion::ZERO;
-            if !starting || freshness.confirms(follower.asked_at) {
+            if !starting || freshness.confirms(follower.requested_at) {
                 ready.push(*id);
             }
         }
@@ -220,7 +221,7 @@
             due.push(DueFollower {
                 id: *id,
                 state: follower.state,
-                asked_at: follower.asked_at,
+                requested_at: follower.requested_at,
             });
         }
         due
--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -7,8 +7,8 @@
 //!
 //! Calls wait in lanes, one for each combination of priority and job length.
 //! Lanes take turns by [`FairTags`], weighted by priority, so that an urgent
-//! call goes next in nearly every turn and yet no lane starves. A lane of long
-//! jobs is skipped while long jobs hold all the slots they are allowed.
+//! call is started next in nearly every turn and yet no lane starves. A lane of
+//! long jobs is skipped while long jobs hold all the slots they are allowed.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -35,9 +35,9 @@
 const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Without any measurement, the limit rises by a quarter at this interval.
-/// Guards against a limit that was cut during a past slowdown at a server whose
-/// jobs all wait for other services: no job would give information about the
-/// server, and it would keep a quarter of its slots for ever.
+/// Guards against a limit that was lowered during a past slowdown at a server
+/// whose jobs all wait for other services: no job would give information about
+/// the server, and it would keep a quarter of its slots for ever.
 const RECOVER_INTERVAL: Duration = Duration::from_secs(1);
 const RECOVER_FACTOR: f64 = 1.25;
 
@@ -48,7 +48,7 @@
 const FLOOR_DIVISOR: u32 = 4;
 
 /// Number of decreases after which their effect is evaluated.
-const TRIAL_CUTS: u32 = 3;
+const TRIAL_DECREASES: u32 = 3;
 
 /// If concurrency is what slows the jobs, half of it halves their time. Jobs
 /// that still take more than this fraction of the earlier time have not become
@@ -64,13 +64,13 @@
 
 /// Cap on the ratio of a single job in the mean. Half of any excess that one
 /// job adds is gone within six jobs, before a trial ends, and a server at 16
-/// times its baseline can still be told from one at 8 times.
+/// times its baseline can still be distinguished from one at 8 times.
 const RATIO_MAX: f64 = 16.0;
 
 /// A series of decreases whose effect is not known yet.
 #[derive(Clone, Copy, Debug)]
-struct CutTrial {
-    cuts: u32,
+struct DecreaseTrial {
+    decreases: u32,
     limit_before: f64,
     /// Highest mean ratio since the first decrease. The mean lags behind the
     /// jobs, so its value at the first decrease is too low.
@@ -84,7 +84,7 @@
     limit: f64,
     changed_at: Option<Duration>,
     ratio: f64,
-    trial: Option<CutTrial>,
+    trial: Option<DecreaseTrial>,
     paused_until: Duration,
     floor: u32,
 }
@@ -126,7 +126,7 @@
     pub fn observe(&mut self, now: Duration, slowdown: f64, ratio: f64, in_flight: u32) {
         self.ratio += (ratio.min(RATIO_MAX) - self.ratio) * RATIO_WEIGHT;
         if slowdown > SLOWDOWN_MAX {
-            self.cut(now);
+            self.decrease(now);
             return;
         }
         self.trial = None;
@@ -149,20 +149,20 @@
         self.change(now, CHANGE_INTERVAL, self.limit * DECREASE_FACTOR);
     }
 
-    fn cut(&mut self, now: Duration) {
+    fn decrease(&mut self, now: Duration) {
         if let Some(trial) = &mut self.trial {
             trial.ratio_max = trial.ratio_max.max(self.ratio);
         }
         if now < self.paused_until || self.is_recent(now, CHANGE_INTERVAL) {
             return;
         }
-        let mut trial = self.trial.unwrap_or(CutTrial {
-            cuts: 0,
+        let mut trial = self.trial.unwrap_or(DecreaseTrial {
+            decreases: 0,
             limit_before: self.limit,
             ratio_max: self.ratio,
         });
-        if trial.cuts < TRIAL_CUTS {
-            trial.cuts += 1;
+        if trial.decreases < TRIAL_DECREASES {
+            trial.decreases += 1;
             self.trial = Some(trial);
             self.change(now, CHANGE_INTERVAL, self.limit * DECREASE_FACTOR);
             return;
--- a/crates/core/src/load/fair_tags.rs
+++ b/crates/core/src/load/fair_tags.rs
@@ -1,10 +1,10 @@
 //! Start-time fair queueing: whose turn it is by work already received.
 //!
 //! Load pattern: one customer sends a hundred times as many calls as the
-//! others. In a single queue its calls would take all places, and all others
+//! others. In a single queue its calls would fill the queue, and all others
 //! would wait behind them. Here each key has a finish tag, the work it has
 //! received divided by its weight, and the backlogged key with the lowest start
-//! tag goes next.
+//! tag is served next.
 //!
 //! A key without a backlog earns no credit: its start tag is never below the
 //! virtual time, so that a customer that was idle cannot lock others out
--- a/crates/core/src/load/fleet_servers.rs
+++ b/crates/core/src/load/fleet_servers.rs
@@ -7,8 +7,8 @@
 use crate::directory::EndpointRecord;
 use crate::directory::EndpointStanding;
 use crate::load::server_load::ReportedLoad;
+use crate::load::server_pool::ServerOutcome;
 use crate::load::server_pool::ServerPool;
-use crate::load::server_pool::TryOutcome;
 
 /// The pool that an instance belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,8 @@
     pub fn largest_pool(&mut self, service: &str) -> Option<&mut ServerPool> {
         let versions = self.pools.get_mut(service)?;
         let pools = versions.iter_mut();
-        // Ties go to the version with the lower name, so that all nodes agree.
+        // Among equals the version with the lower name is taken, so that all
+        // nodes agree.
         let largest = pools.max_by(|(name, pool), (other, rival)| {
             pool.len().cmp(&rival.len()).then(other.cmp(name))
         });
@@ -82,7 +83,7 @@
     }
 
     /// Ends a try at an instance and records its outcome.
-    pub fn end(&mut self, now: Duration, instance: &str, outcome: TryOutcome) {
+    pub fn end(&mut self, now: Duration, instance: &str, outcome: ServerOutcome) {
         let Some(pool_key) = self.pool_keys.get(instance) else {
             return;
         };
--- a/crates/core/src/load/late_call_limit.rs
+++ b/crates/core/src/load/late_call_limit.rs
@@ -1,4 +1,4 @@
-//! Limits how much of a server goes to calls that are already late.
+//! Limits the slots of a server that calls which are already late may take.
 //!
 //! Load pattern: a server cannot answer all its calls in time, because of a
 //! burst, because other servers were lost, or because it is cold and takes
@@ -10,7 +10,7 @@
 //! elsewhere at once.
 //!
 //! Late calls therefore leave part of the slots free for new calls, and only a
-//! few of them may wait; the others are told to come back later.
+//! few of them may wait; the others are refused, with a time to retry.
 
 /// Divisor for the part of the slots that late calls leave free.
 const RESERVED_DIVISOR: u32 = 3;
--- a/crates/core/src/load/outlier_detector.rs
+++ b/crates/core/src/load/outlier_detector.rs
@@ -117,7 +117,7 @@
         let EjectionState::Ejected(until) = self.state else {
             return false;
         };
-        // Ignores answers to calls sent before the ejection, which tell nothing
+        // Ignores answers to calls sent before the ejection, which say nothing
         // about the current state of the server.
         if now < until {
             return false;
--- a/crates/core/src/load/queue_order.rs
+++ b/crates/core/src/load/queue_order.rs
@@ -6,8 +6,8 @@
 //! before it is served or refused. A burst may therefore use the whole queue,
 //! but a standing queue only a small part of it.
 //!
-//! The oldest call goes first. In a queue kept short this answers at least as
-//! many calls in time as newest first, and it refuses sooner
+//! The oldest call is started first. In a queue kept short this answers at
+//! least as many calls in time as newest first, and it refuses sooner
 //! (docs/design/load.md).
 
 use std::time::Duration;
--- a/crates/core/src/load/repeat_probability.rs
+++ b/crates/core/src/load/repeat_probability.rs
@@ -7,8 +7,8 @@
 //!
 //! A retry is therefore marked for the server's node, and calls that the server
 //! makes meanwhile are charged to the retry budget of the service they go to.
-//! The node cannot tell which running request made a call, so it uses the share
-//! of running requests that are repeats.
+//! The node does not know which running request made a call, so it uses the
+//! share of running requests that are repeats.
 
 /// A certain repeat, in thousandths.
 const WHOLE: u16 = 1_000;
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -73,13 +73,13 @@
 
 impl RetryBudget {
     /// Earns a first try's fraction of a retry.
-    pub fn earn(&mut self, now: Duration, terms: BudgetConfig) {
+    pub fn earn(&mut self, now: Duration, config: BudgetConfig) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        self.fractional = terms.saved_max < 1.0;
-        let saved = self.saved.unwrap_or(terms.saved_max);
-        let earned = terms.per_try + passed * terms.per_second;
-        self.saved = Some((saved + earned).min(terms.saved_max));
+        self.fractional = config.saved_max < 1.0;
+        let saved = self.saved.unwrap_or(config.saved_max);
+        let earned = config.per_try + passed * config.per_second;
+        self.saved = Some((saved + earned).min(config.saved_max));
     }
 
     /// Charges for an incoming call that may repeat earlier work. The call is
--- a/crates/core/src/load/retry_delay.rs
+++ b/crates/core/src/load/retry_delay.rs
@@ -1,4 +1,4 @@
-//! When a refused caller is told to retry.
+//! The retry time sent to a refused caller.
 //!
 //! Load pattern: a burst is refused, and all its callers retry at the same
 //! moment as the next burst arrives. Without a retry time they retry at once,
--- a/crates/core/src/load/returning_callers.rs
+++ b/crates/core/src/load/returning_callers.rs
@@ -35,13 +35,13 @@
 }
 
 impl ReturningCallers {
-    /// Records a refused call on `route` that was first sent at `asked_at` and
-    /// whose deadline is `deadline_at`.
+    /// Records a refused call on `route` whose caller first sent it at
+    /// `first_sent_at` and whose deadline is `deadline_at`.
     pub fn record_refusal(
         &mut self,
         now: Duration,
         route: &Arc<str>,
-        asked_at: Duration,
+        first_sent_at: Duration,
         deadline_at: Duration,
     ) {
         if !self.routes.contains_key(route) && self.routes.len() >= ROUTES_MAX {
@@ -52,13 +52,13 @@
             calls.pop_first();
         }
         if calls.len() < CALLS_MAX {
-            calls.insert(deadline_at, asked_at);
+            calls.insert(deadline_at, first_sent_at);
         }
     }
 
     /// Returns when a call on `route` with a deadline of `deadline_at` was
     /// first sent, and forgets it; `None` if no such call was refused here.
-    pub fn take_asked_at(
+    pub fn take_first_sent_at(
         &mut self,
         route: &str,
         deadline_at: Duration,
--- a/crates/core/src/load/server_load.rs
+++ b/crates/core/src/load/server_load.rs
@@ -127,8 +127,8 @@
             return *work;
         }
         let ramp = slow_start::share(now.saturating_sub(self.ramp_start));
-        let taken = f64::from(self.outstanding) / f64::from(self.slots.max(1));
-        usual.mul_f64(self.slowness(now) * (1.0 + taken) / ramp.max(RAMP_MIN))
+        let utilization = f64::from(self.outstanding) / f64::from(self.slots.max(1));
+        usual.mul_f64(self.slowness(now) * (1.0 + utilization) / ramp.max(RAMP_MIN))
     }
 
     /// Number of outstanding calls of this node.
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -49,11 +49,11 @@
 
 /// Servers examined on each side for a free slot. Two, as in the choice by
 /// score, so that nodes with the same data do not all pick the same server.
-const FREE_DRAWS: usize = 2;
+const FREE_SLOT_DRAWS: usize = 2;
 
 /// Servers examined on each side if the call will wait at the chosen one. More
-/// than [`FREE_DRAWS`], because the servers' nodes have just reported their
-/// waits.
+/// than [`FREE_SLOT_DRAWS`], because the servers' nodes have just reported
+/// their waits.
 const WAIT_DRAWS: usize = 8;
 
 /// Fraction of one server's load by which the servers chosen for a small
@@ -114,9 +114,10 @@
     }
 }
 
-/// What a try revealed about its server.
+/// What a try showed about its server; see
+/// [`crate::rollout::evidence::TryOutcome`] for the version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TryOutcome {
+pub enum ServerOutcome {
     /// The server answered; the response time as a multiple of the route's
     /// baseline.
     Answered(f64),
@@ -334,7 +335,7 @@
         let mut best_far_loss: Option<f64> = None;
         for side in [NEAR, FAR] {
             let servers = &self.sides[side];
-            let draws = if free { FREE_DRAWS } else { WAIT_DRAWS };
+            let draws = if free { FREE_SLOT_DRAWS } else { WAIT_DRAWS };
             let first = rng.random_range(0..servers.len().max(1));
             let mut drawn = 0;
             for step in 0..servers.len() {
@@ -442,7 +443,7 @@
     }
 
     /// Ends a try and records its outcome.
-    pub fn end(&mut self, now: Duration, instance: &str, outcome: TryOutcome) {
+    pub fn end(&mut self, now: Duration, instance: &str, outcome: ServerOutcome) {
         let ejected = self.ejected_if_failed(outcome);
         let ejected_max = self.ejected_max();
         let mut outcomes = self.outcomes;
@@ -451,14 +452,14 @@
         };
         server.load.end();
         match outcome {
-            TryOutcome::Answered(ratio) => {
+            ServerOutcome::Answered(ratio) => {
                 outcomes.add(now, false);
                 server.load.answered(now, ratio);
                 if server.detector.answered(now) {
                     server.load.restart(now);
                 }
             }
-            TryOutcome::Failed => {
+            ServerOutcome::Failed => {
                 outcomes.add(now, true);
                 server.load.failed(now);
                 let already_ejected = server.detector.is_ejected();
@@ -467,16 +468,18 @@
                     server.detector.eject(now);
                 }
             }
-            TryOutcome::Full => server.load.overloaded(now),
-            TryOutcome::Unavailable => server.unavailable_until = now + UNAVAILABLE_TIME,
-            TryOutcome::Nothing => {}
+            ServerOutcome::Full => server.load.overloaded(now),
+            ServerOutcome::Unavailable => {
+                server.unavailable_until = now + UNAVAILABLE_TIME
+            }
+            ServerOutcome::Nothing => {}
         }
         self.outcomes = outcomes;
     }
 
-    fn ejected_if_failed(&self, outcome: TryOutcome) -> usize {
+    fn ejected_if_failed(&self, outcome: ServerOutcome) -> usize {
         match outcome {
-            TryOutcome::Failed => self.ejected(),
+            ServerOutcome::Failed => self.ejected(),
             _ => 0,
         }
     }
--- a/crates/core/src/load/service_load.rs
+++ b/crates/core/src/load/service_load.rs
@@ -13,7 +13,7 @@
 use crate::load::customer_throttle::CustomerThrottle;
 use crate::load::retry_budget::RetryBudget;
 use crate::load::returning_callers::ReturningCallers;
-use crate::load::server_pool::TryOutcome;
+use crate::load::server_pool::ServerOutcome;
 use crate::load::service_times::ServiceTimes;
 
 /// The throttle is dropped when no server has refused a call for this long,
@@ -66,13 +66,13 @@
 
     /// Returns the outcome of an answered try: a failure if `failed`, otherwise
     /// the response time as a multiple of the baseline of its route.
-    pub fn outcome(&mut self, report: &TryReport, failed: bool) -> TryOutcome {
+    pub fn outcome(&mut self, report: &TryReport, failed: bool) -> ServerOutcome {
         if failed {
-            return TryOutcome::Failed;
+            return ServerOutcome::Failed;
         }
         self.times.observe(&report.route, report.taken, true);
         let ratio = self.times.ratio(&report.route, report.taken);
-        TryOutcome::Answered(ratio)
+        ServerOutcome::Answered(ratio)
     }
 
     /// Returns how long ago a call that has `deadline` left was first sent.
@@ -83,21 +83,21 @@
         deadline: Duration,
     ) -> Duration {
         let min_age = self.ages.age(now, route, deadline);
-        let known = self.returning.take_asked_at(route, now + deadline);
-        known.map_or(min_age, |asked_at| now.saturating_sub(asked_at))
+        let known = self.returning.take_first_sent_at(route, now + deadline);
+        known.map_or(min_age, |first_sent_at| now.saturating_sub(first_sent_at))
     }
 
-    /// Records a refused call on `route` that was first sent at `asked_at` and
-    /// whose deadline is `deadline_at`.
+    /// Records a refused call on `route` whose caller first sent it at
+    /// `first_sent_at` and whose deadline is `deadline_at`.
     pub fn record_refusal(
         &mut self,
         now: Duration,
         route: &Arc<str>,
-        asked_at: Duration,
+        first_sent_at: Duration,
         deadline_at: Duration,
     ) {
         self.returning
-            .record_refusal(now, route, asked_at, deadline_at);
+            .record_refusal(now, route, first_sent_at, deadline_at);
     }
 
     /// Sets a prior for job times on `route` from a call's target.
--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -1,7 +1,7 @@
 //! Job times at one backend server, by route.
 //!
 //! Load patterns: deadlines too short to be met, long jobs among short ones,
-//! and a server that slows down. The estimates tell which work cannot end in
+//! and a server that slows down. The estimates show which work cannot end in
 //! time (it is refused before it takes a slot), which routes have long jobs,
 //! and how current times compare with the baseline.
 
--- a/crates/core/src/load/timely_queue.rs
+++ b/crates/core/src/load/timely_queue.rs
@@ -1,5 +1,5 @@
 //! Calls that wait for one backend server. Calls that can still meet their
-//! target go first, and late calls use the remaining capacity.
+//! target are started first, and late calls use the remaining capacity.
 //!
 //! Load pattern: more calls than the server can answer, each with full value
 //! only within its target and little after it. In a single queue, oldest first,
--- a/crates/core/src/move_tracker.rs
+++ b/crates/core/src/move_tracker.rs
@@ -19,7 +19,7 @@
 
 /// Maximum number of pending and of done versions kept: the length of the
 /// change history.
-const MOVES_KEPT: usize = 1_000;
+const VERSIONS_MAX: usize = 1_000;
 
 /// Status that a node sends with every request for updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 ///
 /// With 5,200 nodes the leader receives some thousand reports per second while
 /// a version spreads. Iterating over all nodes for each pending version on
-/// every report would use up the leader's processor. The tracker therefore
+/// every report would use up the leader's CPU time. The tracker therefore
 /// maintains the number of nodes per version and reads only those counts: a
 /// report costs a few tree operations, however many versions are pending.
 #[derive(Clone, Debug, Default)]
@@ -203,7 +203,7 @@
     /// applied it.
     pub fn await_version(&mut self, now: Duration, version: ConfigVersion) {
         self.pending.insert(version, now);
-        if self.pending.len() > MOVES_KEPT {
+        if self.pending.len() > VERSIONS_MAX {
             self.pending.pop_first();
         }
     }
@@ -224,7 +224,7 @@
             let progress = self.progress(version);
             self.pending.remove(&version);
             self.done.insert(version, DoneMove { after, progress });
-            if self.done.len() > MOVES_KEPT {
+            if self.done.len() > VERSIONS_MAX {
                 self.done.pop_first();
             }
         }
--- a/crates/core/src/node_presence.rs
+++ b/crates/core/src/node_presence.rs
@@ -1,4 +1,4 @@
-//! How long a node counts as live after it was last heard from.
+//! How long a node counts as live after its last report.
 //!
 //! Nodes are restarted and replaced all the time, and a move is done only when
 //! every live node routes by its final version. A node that has left delays
@@ -36,7 +36,7 @@
 }
 
 impl NodePresence {
-    /// How long a relay reports a follower after it was last heard from.
+    /// How long a relay reports a follower after the follower's last request.
     pub fn reported_for(self) -> Duration {
         self.live_for.mul_f64(REPORT_FRACTION)
     }
--- a/crates/core/src/reconnect_admission.rs
+++ b/crates/core/src/reconnect_admission.rs
@@ -2,11 +2,12 @@
 //! serves now, and when the others shall retry.
 //!
 //! When a control instance dies or a failure domain comes back, hundreds or
-//! thousands of followers ask the remaining instances within a second. If
-//! all were answered at once, those that hold nothing would each need the
-//! whole document and directory, about 1 MB, and would saturate the link and
-//! the CPU. Followers that only wait for the next change would be delayed
-//! behind them, and those that time out would ask again and add to the load.
+//! thousands of followers send requests to the remaining instances within a
+//! second. If all were answered at once, those that hold nothing would each
+//! need the whole document and directory, about 1 MB, and would saturate the
+//! link and the CPU. Followers that only wait for the next change would be
+//! delayed behind them, and those that time out would ask again and add to the
+//! load.
 //!
 //! So followers that need a full copy are admitted up to the number that the
 //! source can serve without slowing each of them down ([`CatchUpWindow`]),
@@ -40,7 +41,7 @@
 
 /// Longest wait given to a follower. After a longer one the source may no
 /// longer exist, so the follower asks again and may be given another wait.
-const LATER_MAX: Duration = Duration::from_secs(30);
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(30);
 
 /// Admission control of one source.
 #[derive(Clone, Debug)]
@@ -73,7 +74,7 @@
             ReconnectCost::Light => self.light.admit(now, waited),
             ReconnectCost::Heavy(bytes) => self.heavy.admit(now, follower, bytes, waited),
         };
-        admitted.map_err(|after| after.min(LATER_MAX))
+        admitted.map_err(|after| after.min(RETRY_DELAY_MAX))
     }
 
     /// Records that an admitted follower has caught up and waits for updates.
@@ -114,7 +115,7 @@
             return Ok(());
         }
         let from = self.retry_until.max(self.admitted_until).max(now);
-        let at = (from + self.interval).min(now + LATER_MAX);
+        let at = (from + self.interval).min(now + RETRY_DELAY_MAX);
         self.retry_until = at;
         Err(at - now)
     }
--- a/crates/core/src/reconnect_backoff.rs
+++ b/crates/core/src/reconnect_backoff.rs
@@ -72,7 +72,7 @@
             .min(longest.mul_f64(self.rng.random_range(0.0..1.0)))
     }
 
-    /// Wait after a source has told the follower to retry after `after`. It is
+    /// Wait after a source has asked the follower to retry after `after`. It is
     /// never shorter, unless `after` exceeds `RETRY_AFTER_MAX`, and up to a
     /// tenth longer, because a source may give equal times to many followers.
     pub fn retry_after(&mut self, after: Duration) -> Duration {
--- a/crates/core/src/report_aggregator.rs
+++ b/crates/core/src/report_aggregator.rs
@@ -6,8 +6,8 @@
 //! thousands of messages a second, and reports would pile up while the leader
 //! is unreachable. So only the latest report of each node is kept. Once per
 //! [`REPORT_INTERVAL`] the changed ones are sent, grouped by version, and once
-//! per [`NodePresence::refresh`] those of all live followers, which also makes up
-//! for messages that were lost or reordered.
+//! per [`NodePresence::refresh`] those of all live followers, which also makes
+//! up for messages that were lost or reordered.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,8 +28,8 @@
 /// while a version is being distributed.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Largest number of followers kept, equal to the number of connections that are
-/// served at once.
+/// Largest number of followers kept, equal to the number of connections that
+/// are served at once.
 const FOLLOWERS_MAX: usize = 4_096;
 
 /// Nodes of one failure domain that report the same versions.
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Returns a batch that did not arrive. Its records are queued again, and
-    /// its nodes are reported by a refresh that is due at once.
+    /// Queues a batch that did not arrive: its records are sent again, and its
+    /// nodes are reported by a refresh that is due at once.
     pub fn requeue_reports(&mut self, batch: ReportBatch) {
         self.refresh_at = Duration::ZERO;
         for record in batch.endpoints {
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Version moves: a service moves to a new backend server version by a
+//! Moves (rollouts): a service moves to a new backend server version by a
 //! deadline, or the move is taken back.
 //!
 //! Each node counts the outcomes of the calls it sends to a moving service,
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -26,7 +26,8 @@
 /// Lowest HTTP status that counts as a failure of the backend server.
 const SERVER_FAULT_STATUS: u16 = 500;
 
-/// Outcome of one call attempt, as far as it concerns the version.
+/// What one try of a call showed about the version; see
+/// [`crate::load::server_pool::ServerOutcome`] for the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
     /// The backend server answered, possibly with an error that is the caller's
@@ -35,17 +36,17 @@
     /// The backend server failed the call: it answered with a server error,
     /// broke the connection or did not answer in time.
     Failed,
-    /// The call did not run, so the attempt says nothing about the version: a
+    /// The call did not run, so the try says nothing about the version: a
     /// limit of the platform, a drain, a quarantined request or an unreachable
     /// instance.
     NotRun,
     /// The caller disconnected before any answer. The call may have run, but
-    /// the attempt says nothing about the version.
+    /// the try says nothing about the version.
     Abandoned,
 }
 
 impl TryOutcome {
-    /// Outcome of an attempt that the backend server answered with `status`.
+    /// Outcome of a try that the backend server answered with `status`.
     pub fn from_status(status: u16) -> Self {
         if status >= SERVER_FAULT_STATUS {
             return Self::Failed;
@@ -53,7 +54,7 @@
         Self::Answered
     }
 
-    /// Outcome of an attempt without a complete answer.
+    /// Outcome of a try without a complete answer.
     pub fn from_failure(failure: &TryFailure) -> Self {
         match failure.verdict {
             CallVerdict::NotRun => Self::NotRun,
@@ -62,12 +63,12 @@
     }
 }
 
-/// Outcome and duration of one call attempt.
+/// Outcome and duration of one try of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeasuredTry {
     /// Time from sending the request until the answer or the failure.
     pub took: Duration,
-    /// Outcome of the attempt.
+    /// Outcome of the try.
     pub outcome: TryOutcome,
     /// Whether the server's node reports the server as past its cold start.
     /// Latencies of cold servers are ignored, because every new version starts
@@ -78,29 +79,29 @@
 /// Counts of one version on one route.
 #[derive(Clone, Debug, Default)]
 pub struct VersionTally {
-    /// Attempts that ran, without the abandoned ones.
+    /// Tries that ran, without the abandoned ones.
     pub calls: u64,
-    /// Attempts that failed through the backend server's fault.
+    /// Tries that failed through the backend server's fault.
     pub failures: u64,
-    /// Attempts whose callers disconnected before any answer; not part of
+    /// Tries whose callers disconnected before any answer; not part of
     /// `calls`.
     pub abandoned: u64,
     /// Total duration of all `calls`, in microseconds.
     pub busy_us: u64,
-    /// Latencies of answered attempts at warm servers.
+    /// Latencies of answered tries at warm servers.
     pub latency: LatencySketch,
 }
 
 /// Encoded form of a [`VersionTally`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TallyReport {
-    /// Attempts that ran, without the abandoned ones.
+    /// Tries that ran, without the abandoned ones.
     #[serde(rename = "c")]
     pub calls: u64,
-    /// Attempts that failed.
+    /// Tries that failed.
     #[serde(rename = "f")]
     pub failures: u64,
-    /// Attempts whose callers disconnected before any answer; not part of
+    /// Tries whose callers disconnected before any answer; not part of
     /// `calls`.
     #[serde(rename = "g", default)]
     pub abandoned: u64,
@@ -113,9 +114,9 @@
 }
 
 impl VersionTally {
-    /// Counts one attempt.
-    pub fn record(&mut self, attempt: &MeasuredTry) {
-        match attempt.outcome {
+    /// Counts one try.
+    pub fn record(&mut self, measured: &MeasuredTry) {
+        match measured.outcome {
             TryOutcome::NotRun => return,
             TryOutcome::Abandoned => {
                 self.abandoned += 1;
@@ -124,11 +125,11 @@
             TryOutcome::Answered | TryOutcome::Failed => {}
         }
         self.calls += 1;
-        self.busy_us += attempt.took.as_micros() as u64;
-        if attempt.outcome == TryOutcome::Failed {
+        self.busy_us += measured.took.as_micros() as u64;
+        if measured.outcome == TryOutcome::Failed {
             self.failures += 1;
-        } else if attempt.warm {
-            self.latency.record(attempt.took);
+        } else if measured.warm {
+            self.latency.record(measured.took);
         }
     }
 
@@ -173,12 +174,12 @@
 }
 
 impl RolloutTally {
-    /// Counts one attempt of the new version if `new` is true, else of the old
+    /// Counts one try of the new version if `new` is true, else of the old
     /// version.
-    pub fn record(&mut self, route: &Arc<str>, new: bool, attempt: &MeasuredTry) {
+    pub fn record(&mut self, route: &Arc<str>, new: bool, measured: &MeasuredTry) {
         for tally in [route_tally(&mut self.routes, route), &mut self.total] {
             let version = if new { &mut tally.new } else { &mut tally.old };
-            version.record(attempt);
+            version.record(measured);
         }
     }
 
@@ -194,23 +195,23 @@
         }
     }
 
-    /// Attempts of the new version that are evidence for or against it: failed
+    /// Tries of the new version that are evidence for or against it: failed
     /// ones, and answered ones at warm servers.
     pub fn informative_calls(&self) -> u64 {
         self.total.new.failures + self.total.new.latency.count()
     }
 
-    /// Attempts sent to the new version, including abandoned ones.
+    /// Tries sent to the new version, including abandoned ones.
     pub fn new_calls(&self) -> u64 {
         self.total.new.calls + self.total.new.abandoned
     }
 
-    /// Attempts sent to both versions, including abandoned ones.
+    /// Tries sent to both versions, including abandoned ones.
     pub fn calls(&self) -> u64 {
         self.total.old.calls + self.total.old.abandoned + self.new_calls()
     }
 
-    /// Total duration of the attempts of both versions, in microseconds.
+    /// Total duration of the tries of both versions, in microseconds.
     pub fn busy_us(&self) -> u64 {
         self.total.old.busy_us + self.total.new.busy_us
     }
--- a/crates/core/src/rollout/evidence_totals.rs
+++ b/crates/core/src/rollout/evidence_totals.rs
@@ -1,4 +1,4 @@
-//! The leader's totals over the reports of all nodes. Each attempt counts once.
+//! The leader's totals over the reports of all nodes. Each try counts once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/core/src/rollout/node_guard.rs
+++ b/crates/core/src/rollout/node_guard.rs
@@ -23,7 +23,7 @@
 /// detected after seven evaluations, so a node stops it within two seconds.
 pub const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A finished call attempt.
+/// A finished try of a call.
 #[derive(Clone, Debug)]
 pub struct EndedTry {
     /// Service called.
@@ -32,7 +32,7 @@
     pub route: Arc<str>,
     /// Version of the backend server that was called.
     pub version: Arc<str>,
-    /// Outcome and duration of the attempt.
+    /// Outcome and duration of the try.
     pub measured: MeasuredTry,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns whether attempts of `service` must be recorded.
+    /// Returns whether tries of calls to `service` must be recorded.
     pub fn measures(&self, service: &str) -> bool {
         self.rollouts.contains_key(service)
     }
@@ -130,14 +130,14 @@
         !guarded.is_some_and(|guarded| guarded.stop.is_some() && *guarded.new == *version)
     }
 
-    /// Counts one attempt, if it belongs to a service under a move.
-    pub fn record(&mut self, attempt: &EndedTry) {
-        let Some(guarded) = self.rollouts.get_mut(&attempt.service) else {
+    /// Counts one try, if it belongs to a service under a move.
+    pub fn record(&mut self, ended: &EndedTry) {
+        let Some(guarded) = self.rollouts.get_mut(&ended.service) else {
             return;
         };
-        let new = attempt.version == guarded.new;
-        if new || attempt.version == guarded.old {
-            guarded.tally.record(&attempt.route, new, &attempt.measured);
+        let new = ended.version == guarded.new;
+        if new || ended.version == guarded.old {
+            guarded.tally.record(&ended.route, new, &ended.measured);
         }
     }
 
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -87,7 +87,7 @@
 const LAST_DECISION_FRACTION: f64 = 0.85;
 
 /// Failure rate of the old version from which the share of a version on trial
-/// does not grow. Beyond it, a new version that fails a third of its calls has
+/// does not grow. Above it, a new version that fails a third of its calls has
 /// less than three times the odds of failure, the least that counts as bad.
 const OLD_FAILURE_RATE_MAX: f64 = 0.15;
 
--- a/crates/core/src/rollout/rollout_registry.rs
+++ b/crates/core/src/rollout/rollout_registry.rs
@@ -27,9 +27,9 @@
 use crate::tuning::TuningKey;
 use crate::version::ConfigVersion;
 
-/// Maximum number of ended moves kept for display: a week's worth for 440
-/// services that each move once or twice.
-const OVER_KEPT: usize = 512;
+/// Maximum number of ended moves kept for display: about a week of
+/// them for 440 services that each move once or twice.
+const ENDED_MAX: usize = 512;
 
 /// Maximum time window of a move: a week. A longer one is assumed to be a
 /// typing mistake.
@@ -121,12 +121,12 @@
             return Ok(document.clone());
         };
         let spec = self.check_startable(service, to, document)?;
-        let place = CallContext {
+        let context = CallContext {
             service,
             route: "",
             failure_domain: "",
         };
-        let least_ms = document.tuning(TuningKey::MoveLeastSeconds, &place) * 1_000;
+        let least_ms = document.tuning(TuningKey::MoveLeastSeconds, &context) * 1_000;
         let due_ms = due.due_ms(at_ms);
         let given_ms = due_ms.saturating_sub(at_ms);
         if !(least_ms..=MOVE_MS_MAX).contains(&given_ms) {
@@ -138,7 +138,7 @@
                 MOVE_MS_MAX / 1_000
             ));
         }
-        let first = document.tuning(TuningKey::MoveFirstShare, &place) as u16;
+        let first = document.tuning(TuningKey::MoveFirstShare, &context) as u16;
         let record = RolloutRecord {
             rollout: version,
             service: Arc::clone(service),
@@ -146,8 +146,8 @@
             to: Arc::clone(to),
             reason: reason.clone(),
             if_quiet: *if_quiet,
-            step_calls: document.tuning(TuningKey::MoveStepCalls, &place),
-            exposure: exposure_bound(document, &place),
+            step_calls: document.tuning(TuningKey::MoveStepCalls, &context),
+            exposure: exposure_bound(document, &context),
             started_ms: at_ms,
             due_ms,
             steps: vec![ShareStep {
@@ -252,7 +252,7 @@
         if let Some(record) = self.running.remove(&service) {
             self.over.push_back(record);
         }
-        if self.over.len() > OVER_KEPT {
+        if self.over.len() > ENDED_MAX {
             self.over.pop_front();
         }
         Ok(edited)
@@ -319,10 +319,10 @@
 
 fn exposure_bound(
     document: &FleetDocument,
-    place: &CallContext<'_>,
+    context: &CallContext<'_>,
 ) -> Option<ExposureBound> {
-    let percent = document.tuning(TuningKey::MoveExposure, place);
-    let calls = document.tuning(TuningKey::MoveExposureCalls, place);
+    let percent = document.tuning(TuningKey::MoveExposure, context);
+    let calls = document.tuning(TuningKey::MoveExposureCalls, context);
     (percent > 0).then_some(ExposureBound { percent, calls })
 }
 
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -89,7 +89,7 @@
     /// The server answered that it is overloaded.
     Shed,
     /// The call got no answer, it failed (a short time to a failure says
-    /// nothing of the server's speed), or its caller went away.
+    /// nothing about the server's speed), or its caller disconnected.
     Abandoned,
 }
 
@@ -395,7 +395,8 @@
     }
 
     /// Releases a call's slot, or removes the call from the queue if its caller
-    /// went away. Unknown tickets are ignored, as refused calls end here too.
+    /// disconnected. Unknown tickets are ignored, as refused calls end here
+    /// too.
     pub fn end(
         &mut self,
         now: Duration,
@@ -428,10 +429,10 @@
         let ratio = self.times.ratio(&call.route, elapsed);
         match outcome {
             SlotOutcome::Answered(taken) => {
-                let lightly_loaded = self
+                let uncontended = self
                     .limit
                     .is_uncontended(in_flight.max(call.in_flight_at_start));
-                self.times.observe(&call.route, taken, lightly_loaded);
+                self.times.observe(&call.route, taken, uncontended);
                 if independent {
                     self.times.observe_local(&call.route, taken);
                 }
--- a/crates/core/src/source_proof.rs
+++ b/crates/core/src/source_proof.rs
@@ -72,8 +72,8 @@
         self.fresh_until.saturating_sub(now)
     }
 
-    /// True if this instance holds everything accepted before `asked_at`.
-    pub fn confirms(&self, asked_at: Duration) -> bool {
-        self.leading || self.proved_at.is_some_and(|proved| proved >= asked_at)
+    /// True if this instance holds everything accepted before `requested_at`.
+    pub fn confirms(&self, requested_at: Duration) -> bool {
+        self.leading || self.proved_at.is_some_and(|proved| proved >= requested_at)
     }
 }
--- a/crates/core/src/source_ring.rs
+++ b/crates/core/src/source_ring.rs
@@ -75,9 +75,9 @@
             }));
         }
         self.sources = sources;
-        let place = addresses.iter().position(|address| *address == current);
-        self.current = place.unwrap_or(0);
-        if place.is_none() {
+        let position = addresses.iter().position(|address| *address == current);
+        self.current = position.unwrap_or(0);
+        if position.is_none() {
             self.choose(now);
         }
     }
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -17,7 +17,7 @@
 pub enum TuningKey {
     /// Deadline of calls whose caller states none, in milliseconds.
     DeadlineMs,
-    /// Most tries of a call, including the first.
+    /// Maximum number of tries of a call, including the first.
     TriesMax,
     /// Retries allowed per 100 first tries.
     RetryPercent,
@@ -28,7 +28,7 @@
     /// them.
     SlotProbes,
     /// Cost of a kilobyte sent between failure domains, in thousandths of an
-    /// answer's worth.
+    /// answer's value.
     #[serde(alias = "far_ms_per_kb")]
     FarCostPerKb,
     /// Lower bound of a backend server's concurrency limit, in percent of the
@@ -43,13 +43,13 @@
     MoveFirstShare,
     /// Calls that a new version must receive before each step of its share.
     MoveStepCalls,
-    /// Bound on the calls that a bad version may receive during a rollout, in
+    /// Bound on the calls that a bad version may receive during a move, in
     /// percent of the service's calls; 0 sets no bound. A bound keeps the share
-    /// small until much of the rollout's time has passed.
+    /// small until much of the move's time has passed.
     MoveExposure,
     /// Calls that a bad version may receive in addition to `MoveExposure`.
     MoveExposureCalls,
-    /// Shortest time that may be set for a rollout, in seconds.
+    /// Shortest time that may be set for a move, in seconds.
     MoveLeastSeconds,
 }
 
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Sets how long nodes count as live after they were last heard from.
+    /// Sets how long nodes count as live after their last report.
     pub fn set_presence(&mut self, presence: NodePresence) {
         self.move_tracker.set_presence(presence);
         self.aggregator.set_presence(presence);
@@ -150,7 +150,7 @@
         self.history.current()
     }
 
-    /// Which version each node has applied.
+    /// The tracker of the version that each node has applied.
     pub fn move_tracker(&self) -> &MoveTracker {
         &self.move_tracker
     }
@@ -262,8 +262,8 @@
             return Ok(());
         }
         let empty = call.directory.digest == 0 && !self.directory.is_empty();
-        let light = !empty && self.history.is_update_small(state);
-        let cost = if light {
+        let small = !empty && self.history.is_update_small(state);
+        let cost = if small {
             ReconnectCost::Light
         } else {
             let config = self.history.snapshot_bytes();
@@ -346,7 +346,7 @@
         self.aggregator.take(now)
     }
 
-    /// Returns a batch that did not reach the leader, to be sent again.
+    /// Queues a batch that did not reach the leader, to be sent again.
     pub fn requeue_reports(&mut self, batch: ReportBatch) {
         self.aggregator.requeue_reports(batch);
     }
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -26,13 +26,13 @@
         }
     }
 
-    fn proof(&self, now: Duration, asked_at: Duration) -> SourceProof {
+    fn proof(&self, now: Duration, requested_at: Duration) -> SourceProof {
         SourceProof {
             instance: Arc::clone(&self.identity.instance),
             failure_domain: Arc::clone(&self.identity.failure_domain),
             version: self.history.current().version,
             fresh_ms: self.freshness.fresh_for(now).as_millis() as u64,
-            confirmed: self.freshness.confirms(asked_at),
+            confirmed: self.freshness.confirms(requested_at),
         }
     }
 
@@ -94,7 +94,7 @@
         let name = self.names.get(&follower.id).filter(|_| starting);
         AnswerKey {
             state: follower.state,
-            confirmed: self.freshness.confirms(follower.asked_at),
+            confirmed: self.freshness.confirms(follower.requested_at),
             acknowledged: name.and_then(|name| self.applied.get(name)),
         }
     }
@@ -108,7 +108,7 @@
     ) -> FollowReply {
         let config = self.history.update_for(&key.state);
         FollowReply::Update(Box::new(FollowAnswer {
-            source: self.proof(now, follower.asked_at),
+            source: self.proof(now, follower.requested_at),
             chunk: self.history.first_chunk(&config),
             config,
             acknowledged: key.acknowledged,
--- a/crates/core/src/version_follower.rs
+++ b/crates/core/src/version_follower.rs
@@ -145,11 +145,11 @@
         now: Duration,
         source: SourceProof,
         acknowledged: Option<ConfigVersion>,
-        news: ConfigUpdate,
+        update: ConfigUpdate,
     ) -> FollowStep {
         let floor = acknowledged.unwrap_or_default();
         self.candidates.floor = self.candidates.floor.max(floor);
-        match news {
+        match update {
             ConfigUpdate::Current => self.handle_no_update(now, &source),
             ConfigUpdate::Delta(delta) => self.delta(now, &source, &delta),
             ConfigUpdate::Snapshot(header, delta) => {
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -290,10 +290,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    // Guards against rollbacks when processes die and answers are lost, delayed,
-    // duplicated and reordered. No run of a node holds a version lower than an
-    // earlier run had applied, no version appears that was never accepted, and
-    // all nodes hold the newest version after the faults have ended.
+    // Guards against rollbacks when processes die and answers are lost,
+    // delayed, duplicated and reordered. No run of a node holds a version lower
+    // than an earlier run had applied, no version appears that was never
+    // accepted, and all nodes hold the newest version after the faults have
+    // ended.
     #[test]
     fn versions_never_decrease(events in prop::collection::vec(event(), 1..120)) {
         let mut model = Model::new();
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -22,9 +22,9 @@
 use cowslip_core::load::retry_delay;
 use cowslip_core::load::retry_delay::CallerTime;
 use cowslip_core::load::server_pool::ServerCriteria;
+use cowslip_core::load::server_pool::ServerOutcome;
 use cowslip_core::load::server_pool::ServerPool;
 use cowslip_core::load::server_pool::SlotSearch;
-use cowslip_core::load::server_pool::TryOutcome;
 use cowslip_core::refusal::RefusalReason;
 use cowslip_core::verdict::CallVerdict;
 
@@ -78,7 +78,7 @@
         let mut tried: Vec<Arc<str>> = Vec::new();
         while let Some(server) = pool.choose(WARM, &criteria(&tried), &mut rng) {
             prop_assert!(!tried.contains(&server.instance));
-            pool.end(WARM, &server.instance, TryOutcome::Full);
+            pool.end(WARM, &server.instance, ServerOutcome::Full);
             tried.push(server.instance);
         }
         prop_assert_eq!(tried.len(), servers);
@@ -100,8 +100,8 @@
             let server = server.expect("some server accepts the call");
             let number: usize = server.instance["server-".len()..].parse().unwrap();
             let outcome = match failing[number] {
-                true => TryOutcome::Failed,
-                false => TryOutcome::Answered(1.0),
+                true => ServerOutcome::Failed,
+                false => ServerOutcome::Answered(1.0),
             };
             pool.end(now, &server.instance, outcome);
             let cap = if servers == 1 { 0 } else { (servers / 3).max(1) };
@@ -217,8 +217,8 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let broken: Arc<str> = "server-1".into();
     for _ in 0..5 {
-        pool.end(WARM, "server-0", TryOutcome::Answered(1.0));
-        pool.end(WARM, &broken, TryOutcome::Failed);
+        pool.end(WARM, "server-0", ServerOutcome::Answered(1.0));
+        pool.end(WARM, &broken, ServerOutcome::Failed);
     }
     assert_eq!(pool.ejected(), 1);
     let others = ["server-0".into(), "server-2".into()];
@@ -233,14 +233,14 @@
         let server = pool.choose(back, &acceptance, &mut rng);
         let server = server.expect("two servers are healthy");
         assert_ne!(server.instance, broken);
-        pool.end(back, &server.instance, TryOutcome::Nothing);
+        pool.end(back, &server.instance, ServerOutcome::Nothing);
     }
     let trial = pool.choose(back, &criteria(&others), &mut rng);
     assert_eq!(
         trial.map(|server| server.instance),
         Some(Arc::clone(&broken))
     );
-    pool.end(back, &broken, TryOutcome::Answered(1.0));
+    pool.end(back, &broken, ServerOutcome::Answered(1.0));
     assert_eq!(pool.ejected(), 0);
 }
 
--- a/crates/core/tests/returning_callers.rs
+++ b/crates/core/tests/returning_callers.rs
@@ -107,14 +107,14 @@
     let mut callers = ReturningCallers::default();
     let route: Arc<str> = "/quota".into();
     callers.record_refusal(millis(0), &route, millis(0), millis(2_500));
-    let asked_at = callers.take_asked_at(&route, millis(2_503));
-    assert_eq!(asked_at, Some(millis(0)));
+    let first_sent_at = callers.take_first_sent_at(&route, millis(2_503));
+    assert_eq!(first_sent_at, Some(millis(0)));
     callers.record_refusal(millis(700), &route, millis(0), millis(2_503));
     assert_eq!(
-        callers.take_asked_at(&route, millis(2_501)),
+        callers.take_first_sent_at(&route, millis(2_501)),
         Some(millis(0))
     );
-    assert_eq!(callers.take_asked_at(&route, millis(2_501)), None);
+    assert_eq!(callers.take_first_sent_at(&route, millis(2_501)), None);
 }
 
 proptest! {
@@ -131,7 +131,7 @@
             callers.record_refusal(millis(0), &route, millis(0), millis(*until));
         }
         for until in asked {
-            let known = callers.take_asked_at(&route, millis(until));
+            let known = callers.take_first_sent_at(&route, millis(until));
             let near = |end: &u64| end.abs_diff(until) <= 8;
             prop_assert!(known.is_none() || refused.iter().any(near));
         }
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -189,8 +189,8 @@
 }
 
 // Guards against a limit that stays at its minimum after the configuration has
-// grown to ten times its size, because every catch-up is compared with a fastest
-// time that is no longer possible.
+// grown to ten times its size, because every catch-up is compared with a
+// fastest time that is no longer possible.
 #[test]
 fn the_limit_grows_again_for_a_larger_configuration() {
     let mut window = CatchUpWindow::default();
