--- a/crates/core/tests/agreement/failures.rs
+++ b/crates/core/tests/agreement/failures.rs
@@ -64,9 +64,9 @@
 }
 
 // Guards against two leases at once: the leader holds a lease granted by one
-// follower, which crashes and restarts. The other follower has not heard from
-// the leader for a while and requests its vote. A voter that ignored its
-// earlier lease would help elect a second leader.
+// follower, which crashes and restarts. The other follower has received no
+// message from the leader for a while and requests its vote. A voter that
+// ignored its earlier lease would help elect a second leader.
 #[test]
 fn a_restarted_voter_keeps_the_lease_it_granted() {
     for seed in 0..40 {
@@ -279,8 +279,8 @@
 }
 
 // Guards against two accepted changes of the same version when the leader
-// crashes between them. The second operator, who asks the new leader, must be
-// told which change won.
+// crashes between them. The second operator, who asks the new leader, must
+// learn which change won.
 #[test]
 fn concurrent_changes_across_a_failover_have_one_winner() {
     let mut fleet = Fleet::new(3, 0, 8);
@@ -297,9 +297,9 @@
     fleet.check_convergence(3);
 }
 
-// Guards against a change that is applied twice: it is committed, but the leader
-// crashes before it answers. The resend to the next leader must get the first
-// answer and make no second change.
+// Guards against a change that is applied twice: it is committed, but the
+// leader crashes before it answers. The resend to the next leader must get the
+// first answer and make no second change.
 #[test]
 fn a_resend_after_failover_gets_the_first_answer() {
     let mut fleet = Fleet::new(3, 0, 9);
@@ -457,7 +457,8 @@
         fleet.run(Duration::from_millis(10));
     }
     let (leader, behind) = if leads(&fleet, 0) { (0, 1) } else { (1, 0) };
-    // The other instance acknowledges the old entry but cannot sync the new one.
+    // The other instance acknowledges the old entry but cannot sync the new
+    // one.
     fleet.stall(behind, Duration::from_secs(30));
     fleet.run(Duration::from_millis(1_500));
     let member = fleet.instances[leader]
--- a/crates/core/tests/caller_ages.rs
+++ b/crates/core/tests/caller_ages.rs
@@ -20,8 +20,8 @@
     assert_eq!(ages.age(millis(0), &route, millis(2_000)), millis(0));
     // Its own deadline was 1,700 to 2,000 ms, so it was first sent at least 800
     // ms ago.
-    let asked = ages.age(millis(10), &route, millis(900));
-    assert!((millis(700)..=millis(800)).contains(&asked), "{asked:?}");
+    let age = ages.age(millis(10), &route, millis(900));
+    assert!((millis(700)..=millis(800)).contains(&age), "{age:?}");
     assert_eq!(ages.age(millis(20), &route, millis(2_000)), millis(0));
     let other: Arc<str> = "/quota".into();
     assert_eq!(ages.age(millis(20), &other, millis(900)), millis(0));
@@ -48,10 +48,10 @@
     ) {
         let mut ages = CallerAges::default();
         let route: Arc<str> = "/quota".into();
-        for (part, asked) in callers {
-            let left = millis(4_000).mul_f64(part).saturating_sub(millis(asked));
+        for (part, elapsed) in callers {
+            let left = millis(4_000).mul_f64(part).saturating_sub(millis(elapsed));
             let age = ages.age(millis(0), &route, left);
-            prop_assert!(age <= millis(asked), "{:?} after {}", age, asked);
+            prop_assert!(age <= millis(elapsed), "{:?} after {}", age, elapsed);
         }
     }
 }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -56,12 +56,13 @@
     Reply(usize, usize, ClaimReply),
 }
 
-/// What a claimant's caller was told, and whether its call ran.
+/// Whether a claimant's call ran, and whether its caller was answered "not
+/// run".
 #[derive(Debug, Default)]
 struct CallRecord {
     key: usize,
     ran: bool,
-    told_not_run: bool,
+    answered_not_run: bool,
 }
 
 /// Simulates holders, claimants and the messages between them.
@@ -158,7 +159,7 @@
         };
         match (outcome, at % 3) {
             (ClaimOutcome::Granted, 0) => {
-                self.calls[at].told_not_run = true;
+                self.calls[at].answered_not_run = true;
                 let (ending, request) = proposal.end_granted(ClaimState::Released);
                 self.claimants[at] = Some(ending);
                 self.send(at, &request);
@@ -172,7 +173,7 @@
                 self.send(at, &request);
             }
             (ClaimOutcome::NoMajority, _) if self.is_open(at) => {
-                self.calls[at].told_not_run = true;
+                self.calls[at].answered_not_run = true;
                 let mut ending = proposal.end(ClaimState::Released);
                 let step = ending.begin();
                 self.claimants[at] = Some(ending);
@@ -184,9 +185,9 @@
         }
     }
 
-    /// True while the caller has not been told a result.
+    /// True while the caller has no answer.
     fn is_open(&self, at: usize) -> bool {
-        !self.calls[at].ran && !self.calls[at].told_not_run
+        !self.calls[at].ran && !self.calls[at].answered_not_run
     }
 
     fn deliver(&mut self, message: NetworkMessage) {
@@ -334,8 +335,8 @@
     // Guards against a second run of a call that is resent through other nodes
     // while messages are lost, duplicated and reordered, holders restart
     // without their records and the roster changes. A second run invoices a
-    // batch sale twice. A caller that is told "not run" although the call ran
-    // would order again.
+    // batch sale twice. A caller that is answered "not run" although the call
+    // ran would order again.
     #[test]
     fn every_key_runs_at_most_once(events in events(), views in views()) {
         let mut simulation = ClaimSimulation::new();
@@ -345,7 +346,7 @@
         simulation.deliver_all();
         let mut runs: BTreeMap<usize, usize> = BTreeMap::new();
         for call in &simulation.calls {
-            prop_assert!(!(call.ran && call.told_not_run), "{:?}", call);
+            prop_assert!(!(call.ran && call.answered_not_run), "{:?}", call);
             *runs.entry(call.key).or_default() += usize::from(call.ran);
         }
         for (key, runs) in runs {
@@ -354,7 +355,7 @@
     }
 
     // Without faults the first claim of a key is granted, and a later one is
-    // told that the call may have run.
+    // answered that the call may have run.
     #[test]
     fn a_claim_without_faults_is_granted_once(serial in 0..1_000_u64) {
         let mut simulation = ClaimSimulation::new();
@@ -391,7 +392,7 @@
     let mut simulation = ClaimSimulation::new();
     simulation.claim(1, vec![set([0, 1, 2])]);
     simulation.deliver_all();
-    assert!(simulation.calls[0].told_not_run);
+    assert!(simulation.calls[0].answered_not_run);
     let key = simulation.key(1);
     assert_eq!(
         simulation.claim_outcome(key, "sale", 1),
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -180,14 +180,14 @@
             // With documents of a single default a delta is always smaller.
             ConfigUpdate::Snapshot(..) => panic!("snapshot where a delta is smaller"),
         };
-        let news = LeaderUpdate {
+        let update = LeaderUpdate {
             sent_at: self.now,
             source: answer.source,
             snapshot,
             endpoints: answer.directory.records,
             run: 1,
         };
-        self.relays[relay].install(self.now, news);
+        self.relays[relay].install(self.now, update);
     }
 
     fn node_asks(&mut self, at: usize, relay: usize) {
--- a/crates/core/tests/evidence_ledger.rs
+++ b/crates/core/tests/evidence_totals.rs
@@ -16,7 +16,7 @@
 
 const MOVE: ConfigVersion = ConfigVersion { term: 1, index: 2 };
 
-/// One attempt at one node; the node may restart before it.
+/// One try at one node; the node may restart before it.
 #[derive(Clone, Debug)]
 struct DrawnTry {
     node: usize,
@@ -62,10 +62,10 @@
 }
 
 proptest! {
-    // Guards against counting an attempt twice when reports are lost,
+    // Guards against counting a try twice when reports are lost,
     // duplicated or reordered and nodes restart: one failure would become many
     // and a sound version would be taken back. Compares with a naive sum of all
-    // attempts, once the last report of each incarnation has arrived.
+    // tries, once the last report of each incarnation has arrived.
     #[test]
     fn every_try_counts_once(
         tries in prop::collection::vec(drawn_try(), 1..60),
@@ -136,7 +136,7 @@
     // For any latencies, the count above a bound equals a naive count, except
     // for latencies in the bound's own bucket.
     #[test]
-    fn the_sketch_counts_like_a_list(
+    fn sketch_counts_equal_counts_over_all_latencies(
         micros in prop::collection::vec(1..5_000_000u64, 1..200),
         bound in 1..5_000_000u64,
     ) {
--- a/crates/core/tests/free_slots.rs
+++ b/crates/core/tests/free_slots.rs
@@ -58,7 +58,7 @@
 }
 
 /// A search for an answer with a target latency of 300 ms that loses the
-/// fraction `far` of its worth between failure domains.
+/// fraction `far` of its value between failure domains.
 fn search<'a>(free: bool, far: f64, full: &'a [Arc<str>]) -> ServerCriteria<'a> {
     let costs = SearchCosts {
         full,
@@ -95,13 +95,18 @@
     pool.record_load(now, &format!("records-{number}"), &"/sheets".into(), load);
 }
 
-fn chosen(pool: &mut ServerPool, now: Duration, need: &ServerCriteria<'_>) -> ServerTry {
+fn chosen(
+    pool: &mut ServerPool,
+    now: Duration,
+    criteria: &ServerCriteria<'_>,
+) -> ServerTry {
     let mut rng = SmallRng::seed_from_u64(1);
-    pool.choose(now, need, &mut rng).expect("a server")
+    pool.choose(now, criteria, &mut rng).expect("a server")
 }
 
-// Guards against waiting at a full server in the same failure domain while slots
-// are free in another one and the answer is small enough to be sent from there.
+// Guards against waiting at a full server in the same failure domain while
+// slots are free in another one and the answer is small enough to be sent from
+// there.
 #[test]
 fn small_answer_comes_from_a_far_free_slot() {
     let now = millis(60_000);
@@ -116,7 +121,7 @@
 
 // Guards against sending large answers between failure domains, which costs
 // money, instead of waiting for a near slot, and against waiting longer than
-// that saving is worth.
+// that saving justifies.
 #[test]
 fn large_answer_waits_for_a_near_slot_within_a_bound() {
     let now = millis(60_000);
@@ -144,10 +149,10 @@
     for (number, work) in [(0, 120), (1, 60), (2, 60)] {
         report_load(&mut pool, now, number, reported(0, work));
     }
-    let need = search(true, 0.12, &[]);
-    assert_eq!(&*chosen(&mut pool, now, &need).instance, "records-0");
+    let criteria = search(true, 0.12, &[]);
+    assert_eq!(&*chosen(&mut pool, now, &criteria).instance, "records-0");
     report_load(&mut pool, now, 0, reported(0, 240));
-    assert_ne!(&*chosen(&mut pool, now, &need).instance, "records-0");
+    assert_ne!(&*chosen(&mut pool, now, &criteria).instance, "records-0");
 }
 
 // Guards against avoiding a server because of a reported wait that has passed.
@@ -202,8 +207,8 @@
     }
 }
 
-// Guards against queuing a call that only probes for a free slot: without one it
-// is refused at once and takes no place in the queue.
+// Guards against queuing a call that only probes for a free slot: without one
+// it is refused at once and is not queued.
 #[test]
 fn probe_without_a_free_slot_is_refused_at_once() {
     let mut gate = gate(1);
@@ -216,9 +221,10 @@
     assert!(gate.expected_wait() > Duration::ZERO);
 }
 
-// Guards against serving in order of arrival under overload. With three times as
-// many calls as one slot can answer and a target of 300 ms, soon every answer
-// would be late, although a third of the calls could be answered in time.
+// Guards against serving in order of arrival under overload. With three times
+// as many calls as one slot can answer and a target of 300 ms, soon every
+// answer would be late, although a third of the calls could be answered in
+// time.
 #[test]
 fn most_answers_are_in_time_under_overload() {
     let mut gate = gate(1);
@@ -282,17 +288,18 @@
     assert_eq!(actions, vec![GateAction::Refuse(101, reason)]);
 }
 
-// Guards against missing a fault that shows only under load: a candidate version
-// with a sixth of the calls, spread over all six of its servers, loads none of
-// them until nearly all calls go there. All of its calls must go to one server.
+// Guards against missing a fault that shows only under load: a candidate
+// version with a sixth of the calls, spread over all six of its servers, loads
+// none of them until nearly all calls are sent there. All of its calls must go
+// to one server.
 #[test]
-fn small_share_goes_to_few_servers() {
+fn small_share_is_sent_to_few_servers() {
     let mut pool = ServerPool::default();
     for number in 0..6 {
         pool.put(Duration::ZERO, record(number, number == 3), number == 3);
     }
-    let among = pool.subset_for_share(160);
-    assert_eq!(among.len(), 1);
+    let subset = pool.subset_for_share(160);
+    assert_eq!(subset.len(), 1);
     // The small excess of 512 over 500 per mille does not add a fourth server.
     assert_eq!(pool.subset_for_share(512).len(), 3);
     for share in 1..=1_000 {
@@ -307,10 +314,10 @@
     assert_eq!(pool.subset_for_share(950).len(), 6);
     assert_eq!(pool.subset_for_share(1).len(), 1);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut need = search(true, 0.0, &[]);
-    need.allowed = Some(&among);
+    let mut criteria = search(true, 0.0, &[]);
+    criteria.allowed = Some(&subset);
     for _ in 0..20 {
-        let chosen = pool.choose(millis(60_000), &need, &mut rng);
-        assert_eq!(&chosen.expect("a server").instance, &among[0]);
+        let chosen = pool.choose(millis(60_000), &criteria, &mut rng);
+        assert_eq!(&chosen.expect("a server").instance, &subset[0]);
     }
 }
--- a/crates/core/tests/gate_chain.rs
+++ b/crates/core/tests/gate_chain.rs
@@ -54,8 +54,8 @@
 }
 
 /// Offers more calls than there are slots for `rounds` rounds. A job takes
-/// `millis` while at most `capacity` jobs run, and proportionally longer if more
-/// do.
+/// `millis` while at most `capacity` jobs run, and proportionally longer if
+/// more do.
 fn saturate(gate: &mut ServerGate, from: u64, rounds: u64, millis: u32, capacity: u32) {
     let mut now = Duration::from_secs(from);
     let mut next = from * 1_000;
@@ -173,11 +173,11 @@
     assert!(gate.allowed() >= SLOTS / 4);
 }
 
-// Guards against taking larger jobs for overload. Each job takes ten times as
-// long, however many run; with a reduced limit, callers get `queue-timeout`
+// Guards against mistaking larger jobs for overload. Each job takes ten times
+// as long, however many run; with a reduced limit, callers get `queue-timeout`
 // from a server with free slots. The limit must be whole again within a second.
 #[test]
-fn larger_jobs_are_not_taken_for_overload() {
+fn larger_jobs_are_not_mistaken_for_overload() {
     let mut gate = gate();
     run_jobs(&mut gate, 0, 10, false);
     saturate(&mut gate, 100, 10, 100, 1_000);
--- a/crates/core/tests/load_gate.rs
+++ b/crates/core/tests/load_gate.rs
@@ -191,7 +191,7 @@
     // With one customer and one priority the queue is first in, first out, and
     // the latest call is evicted first.
     #[test]
-    fn one_customer_gets_a_plain_queue(steps in prop::collection::vec(any::<bool>(), 1..100)) {
+    fn one_customer_is_served_first_in_first_out(steps in prop::collection::vec(any::<bool>(), 1..100)) {
         let mut queue = CallQueue::default();
         let mut naive = std::collections::VecDeque::new();
         for (ticket, push) in steps.into_iter().enumerate() {
@@ -290,8 +290,9 @@
     assert_eq!(gate.in_flight(), SLOTS, "running calls must continue");
 }
 
-// Guards against taking a usual mix of jobs for overload, which would leave half
-// of the slots idle: one job in 50 always takes 100 times as long as the others.
+// Guards against mistaking a usual mix of jobs for overload, which would leave
+// half of the slots idle: one job in 50 always takes 100 times as long as the
+// others.
 #[test]
 fn few_very_long_jobs_do_not_reduce_the_limit() {
     let mut gate = gate();
--- a/crates/core/tests/load_patterns/main.rs
+++ b/crates/core/tests/load_patterns/main.rs
@@ -60,7 +60,7 @@
 // read price sheets. Guards against buyers timing out behind growers, and
 // against growers getting nothing, as they would with strict priority.
 #[test]
-fn high_priority_goes_first_without_starving_low_priority() {
+fn high_priority_is_served_first_without_starving_low_priority() {
     let with = scenarios::priorities(PolicyKind::Real);
     let buyers = summarize(by_route(&with, PRICES));
     assert!(buyers.in_time > 0.999);
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -222,7 +222,7 @@
     }
     assert_eq!(pool.ejected(), 1);
     let others = ["server-0".into(), "server-2".into()];
-    let back = WARM + millis(5_100);
+    let trial_at = WARM + millis(5_100);
     let acceptance = ServerCriteria {
         allowed: None,
         search: SlotSearch::ByScore,
@@ -230,17 +230,17 @@
         ..criteria(&[])
     };
     for _ in 0..50 {
-        let server = pool.choose(back, &acceptance, &mut rng);
+        let server = pool.choose(trial_at, &acceptance, &mut rng);
         let server = server.expect("two servers are healthy");
         assert_ne!(server.instance, broken);
-        pool.end(back, &server.instance, ServerOutcome::Nothing);
+        pool.end(trial_at, &server.instance, ServerOutcome::Nothing);
     }
-    let trial = pool.choose(back, &criteria(&others), &mut rng);
+    let trial = pool.choose(trial_at, &criteria(&others), &mut rng);
     assert_eq!(
         trial.map(|server| server.instance),
         Some(Arc::clone(&broken))
     );
-    pool.end(back, &broken, ServerOutcome::Answered(1.0));
+    pool.end(trial_at, &broken, ServerOutcome::Answered(1.0));
     assert_eq!(pool.ejected(), 0);
 }
 
@@ -310,8 +310,8 @@
 }
 
 // A caller whose deadline is one second away would retry too late if it were
-// told to wait one to five seconds. The delay is a part of the caller's
-// remaining time.
+// given a retry time of one to five seconds. The delay is a part of the
+// caller's remaining time.
 #[test]
 fn retry_time_is_within_the_remaining_time() {
     let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/core/tests/node_guard.rs
+++ b/crates/core/tests/node_guard.rs
@@ -51,8 +51,8 @@
 }
 
 /// Creates a guard for move 5 of `ledger` to v2. Before each of the evaluations
-/// it records ten attempts of each version; those of the new version end with
-/// `end`.
+/// it records ten tries of each version; those of the new version have
+/// `outcome`.
 fn guard_after(evaluations: u32, outcome: TryOutcome) -> NodeGuard {
     let mut guard = NodeGuard::default();
     guard.install(&document("v1", Some(("v2", 500, 5))));
@@ -136,8 +136,8 @@
     }
 }
 
-// Guards against draining the last old server during a move: calls must have
-// somewhere to go back to if the new version is found bad.
+// Guards against draining the last old server during a move: calls must
+// have a server to return to if the new version is found bad.
 #[test]
 fn the_last_old_server_stays_during_a_move() {
     let mut directory = EndpointDirectory::default();
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -13,29 +13,29 @@
 use cowslip_core::reconnect_backoff::ReconnectBackoff;
 use cowslip_core::source_ring::SourceRing;
 
-/// The times at which each of `count` followers is admitted that come at once
-/// and retry when told.
+/// The times at which `count` followers are admitted that come at once and
+/// retry at the times given to them.
 fn admission_times(count: usize, cost: ReconnectCost) -> Vec<Duration> {
     let mut admission = ReconnectAdmission::default();
-    let mut coming: Vec<(Duration, bool)> = vec![(Duration::ZERO, false); count];
+    let mut arrivals: Vec<(Duration, bool)> = vec![(Duration::ZERO, false); count];
     let mut admitted = Vec::new();
-    while !coming.is_empty() {
-        coming.sort();
+    while !arrivals.is_empty() {
+        arrivals.sort();
         let mut later = Vec::new();
-        for (now, waited) in coming {
+        for (now, waited) in arrivals {
             match admission.admit(now, &"node".into(), cost, waited) {
                 Ok(()) => admitted.push(now),
                 Err(after) => later.push((now + after, true)),
             }
         }
-        coming = later;
+        arrivals = later;
     }
     admitted
 }
 
-// Guards against an instance that is overloaded when a failure domain comes back
-// and a thousand nodes ask at the same moment. All are admitted within a few
-// seconds, and never more than the rate and the burst in a second.
+// Guards against an instance that is overloaded when a failure domain comes
+// back and a thousand nodes send requests at the same moment. All are admitted
+// within a few seconds, and never more than the rate and the burst in a second.
 #[test]
 fn a_mass_reconnection_is_admitted_at_the_rate() {
     let admitted = admission_times(1_000, ReconnectCost::Light);
@@ -73,7 +73,7 @@
 // Guards against nodes that retry in step while a source is down. The waits of
 // each node grow up to a bound and differ from those of the other nodes.
 #[test]
-fn waits_grow_and_differ() {
+fn backoff_waits_grow_and_differ_between_nodes() {
     let mut sums = Vec::new();
     for seed in 0..50 {
         let mut backoff = ReconnectBackoff::new(seed);
@@ -90,30 +90,30 @@
     assert_eq!(sums.len(), 50);
 }
 
-// Guards against starting nodes whose backoff has grown after a power failure in
-// which they start two seconds before the sources. A node cannot serve callers
-// until it has asked again.
+// Guards against starting nodes whose backoff has grown after a power failure
+// in which they start two seconds before the sources. A node cannot serve
+// callers until it has sent another request.
 #[test]
-fn a_starting_node_asks_soon_after_its_sources_are_up() {
+fn a_starting_node_retries_soon_after_its_sources_are_up() {
     let longest = Duration::from_millis(200);
     let up_at = Duration::from_secs(2);
     for seed in 0..200 {
         let bound = Duration::from_secs(1);
         let mut backoff = ReconnectBackoff::new(seed).bounded(bound);
         let mut now = Duration::ZERO;
-        let mut asked = 0;
+        let mut requests = 0;
         while now < up_at {
             now += backoff.next_starting_wait(longest);
-            asked += 1;
+            requests += 1;
         }
         assert!(now <= up_at + longest, "{:?} late", now - up_at);
-        assert!(asked < 60, "{asked} requests in two seconds");
+        assert!(requests < 60, "{requests} requests in two seconds");
     }
 }
 
-// Guards against a node that stays with a dead source, or with a remote one when
-// the local one is back. The node switches to another source at once and returns
-// to the source in its own failure domain later.
+// Guards against a node that stays with a dead source, or with a remote one
+// when the local one is back. The node switches to another source at once and
+// returns to the source in its own failure domain later.
 #[test]
 fn sources_in_the_same_failure_domain_are_preferred() {
     let addresses: Vec<SocketAddr> = (1..=3)
@@ -121,13 +121,13 @@
         .collect();
     let domains: Vec<Arc<str>> = vec!["hardanger".into(), "sogn".into(), "voss".into()];
     let mut ring = SourceRing::new("voss".into(), &addresses, 0);
-    let mut asked = 0;
+    let mut requests = 0;
     let mut now = Duration::ZERO;
     while ring.current() != addresses[2] {
         let domain = &domains[usize::from(ring.current().port()) - 1];
         ring.answered(now, domain);
-        asked += 1;
-        assert!(asked < 3);
+        requests += 1;
+        assert!(requests < 3);
     }
     assert!(!ring.answered(now, &domains[2]));
     ring.failed(now);
@@ -177,9 +177,9 @@
 fn a_node_whose_lease_expired_announces_itself_again() {
     let mut node = EndpointAnnouncer::new(1);
     let mut gone = node.announce(record(EndpointStanding::Serving));
-    let said = gone.clone();
+    let serving = gone.clone();
     gone.standing = EndpointStanding::Gone;
-    assert!(gone.order() > said.order());
+    assert!(gone.order() > serving.order());
     let again = node.reconcile(&gone).expect("a newer record");
     assert!(again.order() > gone.order());
     assert_eq!(again.standing, EndpointStanding::Serving);
@@ -196,6 +196,6 @@
     let gone = new.reconcile(&serving).expect("a withdrawal");
     assert_eq!(gone.standing, EndpointStanding::Gone);
     assert!(gone.order() > serving.order());
-    let back = new.announce(record(EndpointStanding::Serving));
-    assert!(back.order() > gone.order());
+    let returned = new.announce(record(EndpointStanding::Serving));
+    assert!(returned.order() > gone.order());
 }
--- a/crates/core/tests/returning_callers.rs
+++ b/crates/core/tests/returning_callers.rs
@@ -1,4 +1,4 @@
-//! Tests of telling retries of refused calls from new calls.
+//! Tests of distinguishing retries of refused calls from new calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/core/tests/rollout_driver.rs
+++ b/crates/core/tests/rollout_driver.rs
@@ -190,7 +190,7 @@
 // Guards against overloading the new servers: the new version has a third of
 // the old one's slots, and the service uses 16 slots.
 #[test]
-fn no_step_asks_more_than_the_new_slots_carry() {
+fn no_step_exceeds_the_capacity_of_the_new_slots() {
     let fleet = |_| FleetSnapshot {
         new_slots: 10,
         ..healthy_fleet()
@@ -208,7 +208,7 @@
 // Guards against finishing too early: one live node has not applied the last
 // step, so its callers still get the old version.
 #[test]
-fn a_node_behind_keeps_the_move_open() {
+fn a_move_does_not_finish_while_a_node_is_behind() {
     let fleet = |_| FleetSnapshot {
         nodes_behind: 1,
         ..healthy_fleet()
@@ -223,8 +223,9 @@
 // may get a tenth of all calls plus 50: 274 of the 2,240 calls that a service
 // with 160 calls per second has in 14 s. A fault that appears only under load
 // is detected about a second after the share has doubled, so the calls before
-// that must leave room for the verdict. The share stays at one half until the
-// last check, because larger shares give less information per call.
+// that must leave enough of the bound for the verdict. The share stays at one
+// half until the last check, because larger shares give less information per
+// call.
 #[test]
 fn a_version_on_trial_gets_little_before_each_doubling() {
     let plan = BoundedPlan { first: 5 };
--- a/crates/core/tests/rollout_exposure.rs
+++ b/crates/core/tests/rollout_exposure.rs
@@ -305,7 +305,7 @@
     }
 }
 
-// Guards against abandoned_rate abandoned calls out of the exposure. A third of all
+// Guards against leaving abandoned calls out of the exposure. A third of all
 // callers disconnect before they are answered; without those calls a bad
 // version exceeded its bound unnoticed.
 #[test]
--- a/crates/core/tests/rollout_record.rs
+++ b/crates/core/tests/rollout_record.rs
@@ -172,7 +172,7 @@
 // Guards against an operator's file that does not contain the running move. The
 // move must continue, and an edit that conflicts with it is refused.
 #[test]
-fn a_direct_edit_leaves_moves_alone() {
+fn a_direct_edit_does_not_change_running_moves() {
     let mut logged = LoggedState::open();
     let rollout = accepted(logged.take_move("start", start("ledger", "v2", 60)));
     accepted(logged.take_move("s1", step(rollout, 100)));
--- a/crates/core/tests/rollout_study.rs
+++ b/crates/core/tests/rollout_study.rs
@@ -144,7 +144,7 @@
 // nodes' cumulative counts. The move must continue from its share and be done
 // on time, and no step may be taken twice.
 #[test]
-fn a_new_leader_goes_on_with_a_good_version() {
+fn a_new_leader_continues_the_move_of_a_good_version() {
     for lost in [10, 20, 30, 40, 52, 55] {
         let parts = StudyParts {
             leader_lost_s: Some(lost),
@@ -211,10 +211,13 @@
     };
     let outcome = run(busy(Behaviour::FailsLate), parts);
     assert_eq!(outcome.nodes_stopped, course::NODES, "{outcome:?}");
-    let back = Duration::from_secs(50);
-    assert!(outcome.last_new_call < back, "{outcome:?}");
+    let reachable_at = Duration::from_secs(50);
+    assert!(outcome.last_new_call < reachable_at, "{outcome:?}");
     let taken_back = outcome.taken_back_after.expect("the move is taken back");
-    assert!(taken_back < back + Duration::from_secs(5), "{outcome:?}");
+    assert!(
+        taken_back < reachable_at + Duration::from_secs(5),
+        "{outcome:?}"
+    );
     let record = outcome.record.expect("the move is kept");
     let Some(RolloutEnd::TakenBack { cause }) = record.end else {
         panic!("not taken back: {record:?}");
--- a/crates/core/tests/rollout_study/course.rs
+++ b/crates/core/tests/rollout_study/course.rs
@@ -148,7 +148,7 @@
     in_flight: Vec<(Duration, EvidenceReport)>,
     proposed: VecDeque<(Duration, MoveChange)>,
     totals: EvidenceTotals,
-    watch: FleetMonitor,
+    monitor: FleetMonitor,
     driver: RolloutDriver,
     servers: Vec<EndpointRecord>,
     served: [u32; SERVERS],
@@ -250,7 +250,7 @@
             in_flight: Vec::new(),
             proposed: VecDeque::new(),
             totals: EvidenceTotals::default(),
-            watch: FleetMonitor::default(),
+            monitor: FleetMonitor::default(),
             driver,
             servers: servers(),
             served: [0; SERVERS],
@@ -268,8 +268,8 @@
         let snapshot = self.state.snapshot();
         for node in &mut self.nodes {
             let jitter = SPREAD_TIME.mul_f64(self.rng.random::<f64>());
-            let news = (now + jitter, snapshot.version, snapshot.document.clone());
-            node.pending_documents.push_back(news);
+            let update = (now + jitter, snapshot.version, snapshot.document.clone());
+            node.pending_documents.push_back(update);
         }
     }
 
@@ -425,7 +425,7 @@
     fn change_leader(&mut self) {
         self.term += 1;
         self.totals = EvidenceTotals::default();
-        self.watch = FleetMonitor::default();
+        self.monitor = FleetMonitor::default();
         self.in_flight.clear();
         if let Some(record) = self.state.rollouts().running().next() {
             self.driver = driver(&self.parts, record);
@@ -453,7 +453,7 @@
 
     fn evaluate_move(&mut self, now: Duration) {
         let wall = EPOCH + now;
-        self.watch.record_servers(wall, self.servers.iter());
+        self.monitor.record_servers(wall, self.servers.iter());
         let mut nodes = Vec::new();
         for node in &self.nodes {
             nodes.push(NodeReport {
@@ -466,7 +466,7 @@
         if let Some(record) = self.state.rollouts().running().next() {
             let servers = self.servers.iter();
             let snapshot =
-                self.watch
+                self.monitor
                     .snapshot(wall, record, servers, &nodes, &self.totals);
             let change = self.driver.evaluate(wall, record, &snapshot, &self.totals);
             if let Some(change) = change {
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -1,4 +1,5 @@
-//! Start of a whole fleet: nodes that all hold nothing and ask at once.
+//! Start of a whole fleet: nodes that all hold nothing and send their first
+//! requests at once.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -78,7 +79,11 @@
     source
 }
 
-fn question(name: &Arc<str>, directory: &DirectoryFollower, waited: bool) -> FollowCall {
+fn follow_call(
+    name: &Arc<str>,
+    directory: &DirectoryFollower,
+    waited: bool,
+) -> FollowCall {
     let held = directory.place().run != 0;
     FollowCall {
         follower: Arc::clone(name),
@@ -98,22 +103,22 @@
     let begin = ms(10_000);
     let mut source = source();
     let mut nodes: Vec<(Arc<str>, DirectoryFollower, bool)> = Vec::new();
-    let mut coming = BinaryHeap::new();
+    let mut arrivals = BinaryHeap::new();
     for number in 0..count {
         let name = format!("node-{number}").into();
         nodes.push((name, DirectoryFollower::default(), false));
-        coming.push(Reverse((begin + ms(number as u64 % 300), number)));
+        arrivals.push(Reverse((begin + ms(number as u64 % 300), number)));
     }
     let (mut busy_until, mut last) = (begin, begin);
-    while let Some(Reverse((asked, number))) = coming.pop() {
-        let now = asked.max(busy_until);
-        if asked < busy_until {
-            coming.push(Reverse((busy_until, number)));
+    while let Some(Reverse((requested_at, number))) = arrivals.pop() {
+        let now = requested_at.max(busy_until);
+        if requested_at < busy_until {
+            arrivals.push(Reverse((busy_until, number)));
             continue;
         }
         let (name, directory, waited) = &mut nodes[number];
         let started = directory.place().run != 0;
-        let id = source.follow(now, question(name, directory, *waited));
+        let id = source.follow(now, follow_call(name, directory, *waited));
         for answer in source.tick(now) {
             if !answer.followers.contains(&id) {
                 continue;
@@ -123,13 +128,13 @@
                     *waited = true;
                     // A deferral is a few bytes and costs little.
                     busy_until = now + cost / 10;
-                    coming.push(Reverse((now + ms(after.max(1)), number)));
+                    arrivals.push(Reverse((now + ms(after.max(1)), number)));
                 }
-                FollowReply::Update(news) if !started => {
+                FollowReply::Update(answer) if !started => {
                     busy_until = now + cost;
-                    directory.take(news.directory);
+                    directory.take(answer.directory);
                     last = last.max(busy_until);
-                    coming.push(Reverse((busy_until + ms(2), number)));
+                    arrivals.push(Reverse((busy_until + ms(2), number)));
                 }
                 FollowReply::Update(_) => {}
             }
@@ -158,8 +163,8 @@
 }
 
 // Guards against a source with a slow link that sends full copies to all
-// followers at once, so that each of them times out and asks again. Only a few
-// are admitted at a time, and all of them get their turn.
+// followers at once, so that each of them times out and repeats its request.
+// Only a few are admitted at a time, and all of them get their turn.
 #[test]
 fn a_slow_source_admits_few_at_once() {
     let mut window = CatchUpWindow::default();
--- a/crates/core/tests/timely_overload.rs
+++ b/crates/core/tests/timely_overload.rs
@@ -134,7 +134,8 @@
 }
 
 /// Runs a plan. Returns the server, and the largest number of answers that it
-/// could give in the second half, bounded by its speed and by the offered calls.
+/// could give in the second half, bounded by its speed and by the offered
+/// calls.
 fn simulate(plan: &LoadPlan) -> (GatedServer, f64) {
     let mut server = GatedServer::new(plan.seed);
     let calls_per_ms = plan.load * f64::from(SLOTS) / WORK.as_millis() as f64;
@@ -213,9 +214,9 @@
 }
 
 // Guards against giving each free slot to a call that is already late, so that
-// the next call waits behind it until it is late too. Jobs take nearly as long
-// as their target, as after a power loss when all servers are cold; calls that
-// are started at once are mostly in time.
+// the next call waits behind it until it is late as well. Jobs take nearly as
+// long as their target, as after a power loss when all servers are cold; calls
+// that are started at once are mostly in time.
 #[test]
 fn target_close_to_the_service_time_is_often_met() {
     for load in [0.9, 1.1, 2.0] {
--- a/crates/core/tests/news_source.rs
+++ b/crates/core/tests/update_source.rs
@@ -118,10 +118,10 @@
     own.expect("an answer at once").1
 }
 
-fn news(reply: FollowReply) -> FollowAnswer {
+fn updates(reply: FollowReply) -> FollowAnswer {
     match reply {
         FollowReply::Update(answer) => *answer,
-        FollowReply::RetryAfter(after) => panic!("told to come back after {after} ms"),
+        FollowReply::RetryAfter(after) => panic!("deferred for {after} ms"),
     }
 }
 
@@ -131,7 +131,7 @@
     let id = source.follow(now, call("first", 0, follower.request()));
     for (to, reply) in due(source, now + ms(4_000)).0 {
         if to == id {
-            follower.take(news(reply).directory);
+            follower.take(updates(reply).directory);
         }
     }
     follower.request()
@@ -163,7 +163,7 @@
     }
     let (woken, distinct) = due(&mut leader, now + BATCH_TIME);
     assert_eq!((woken.len(), distinct), (100, 1));
-    let last = news(woken[0].1.clone());
+    let last = updates(woken[0].1.clone());
     assert!(matches!(last.config, ConfigUpdate::Delta(delta) if delta.version == at(9)));
 }
 
@@ -184,21 +184,21 @@
         }
     }
     let mut node = DirectoryFollower::default();
-    let whole = news(answer(&mut first, ms(100), call("node", 0, node.request())));
+    let whole = updates(answer(&mut first, ms(100), call("node", 0, node.request())));
     assert_eq!(node.take(whole.directory).len(), 200);
     // Sends the pending update first, so that it does not answer the node.
     second.tick(ms(100));
     let id = second.follow(ms(200), call("node", 1, node.request()));
     let (answers, _) = due(&mut second, ms(4_200));
     let same = answers.into_iter().find(|(to, _)| *to == id);
-    let same = news(same.expect("the wait is over").1);
+    let same = updates(same.expect("the wait is over").1);
     assert!(same.directory.records.is_empty());
     assert_eq!(node.take(same.directory).len(), 0);
 
     let leaving = record("server-7", 2, EndpointStanding::Draining);
     first.report(ms(5_000), endpoints(vec![leaving]));
     first.tick(ms(5_000));
-    let parts = news(answer(
+    let parts = updates(answer(
         &mut first,
         ms(5_100),
         call("node", 1, node.request()),
@@ -206,7 +206,7 @@
     let requested = parts.directory.place.is_none();
     assert!(requested, "the source requests the digests of the buckets");
     node.take(parts.directory);
-    let part = news(answer(
+    let part = updates(answer(
         &mut first,
         ms(5_200),
         call("node", 1, node.request()),
@@ -261,15 +261,15 @@
         let serving = record(name, 1, EndpointStanding::Serving);
         leader.report(ms(0), endpoints(vec![serving]));
     }
-    let mut heard = 3..9;
+    let mut renewing = 3..9;
     for second in 1..60 {
         let now = Duration::from_secs(second);
         if second == 40 {
             assert_eq!(leader.counts().leases_frozen, 3);
             assert_eq!(leader.counts().leases_ended, 0);
-            heard = 1..9;
+            renewing = 1..9;
         }
-        for name in &names[heard.clone()] {
+        for name in &names[renewing.clone()] {
             leader.follow(now, call(name, 0, equal_digest(&leader)));
         }
         leader.tick(now);
@@ -315,15 +315,15 @@
         if to != id {
             continue;
         }
-        let source = news(reply).source;
-        let news = LeaderUpdate {
+        let source = updates(reply).source;
+        let update = LeaderUpdate {
             sent_at: now,
             source,
             snapshot: Some(leader.current().clone()),
             endpoints: records.clone(),
             run,
         };
-        relay.install(now, news);
+        relay.install(now, update);
     }
 }
 
@@ -352,9 +352,9 @@
     assert_eq!(new.directory().digest(), relay.directory().digest());
 }
 
-// Guards against a move that never becomes done because a batch of reports was
-// lost. The leader learns the versions of all nodes of a relay from one grouped
-// batch, and the next refresh replaces a lost one.
+// Guards against a change that never becomes done because a batch of reports
+// was lost. The leader learns the versions of all nodes of a relay from one
+// grouped batch, and the next refresh replaces a lost one.
 #[test]
 fn a_lost_batch_of_reports_is_sent_again() {
     let mut leader = leader();
@@ -394,7 +394,7 @@
     let mut leader = leader();
     leader.publish(ms(0), snapshot(3));
     let request = equal_digest(&leader);
-    let started = news(answer(&mut leader, ms(10), call("a", 0, request)));
+    let started = updates(answer(&mut leader, ms(10), call("a", 0, request)));
     assert!(started.source.confirmed);
     let mut relay = source("control-2", 2);
     exchange(&mut leader, &mut relay, ms(20), 1);
@@ -402,16 +402,16 @@
     assert_eq!(due(&mut relay, ms(60_000)).0.len(), 0);
     let (answers, _) = due(&mut relay, ms(64_000));
     let own = answers.into_iter().find(|(to, _)| *to == id);
-    let late = news(own.expect("the wait is over").1);
+    let late = updates(own.expect("the wait is over").1);
     assert!(!late.source.confirmed);
     assert_eq!(late.source.fresh_ms, 0);
 }
 
 // Guards against a refused version that operators do not see, and against
-// sending it to the same node repeatedly. The move counts the refusal and is
-// not done.
+// sending it to the same node repeatedly. The change's progress counts the
+// refusal, and the change is not done.
 #[test]
-fn a_refusal_is_counted_in_the_move() {
+fn a_refusal_is_counted_and_keeps_a_change_from_being_done() {
     let mut leader = leader();
     leader.publish(ms(0), snapshot(1));
     let request = synced_request(&mut leader, ms(0));
--- a/crates/core/tests/version_follower.rs
+++ b/crates/core/tests/version_follower.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn news(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigUpdate {
+fn update_for(history: &mut ConfigHistory, follower: &VersionFollower) -> ConfigUpdate {
     history.update_for(&FollowerState {
         held: follower.held(),
         refused: follower.refused().unwrap_or_default(),
@@ -71,9 +71,9 @@
     acknowledged: Option<ConfigVersion>,
 ) -> FollowStep {
     let mut history = source(index);
-    let news = news(&mut history, follower);
+    let update = update_for(&mut history, follower);
     let proof = proof(domain, index, confirmed);
-    let mut step = follower.handle_update(now, proof, acknowledged, news);
+    let mut step = follower.handle_update(now, proof, acknowledged, update);
     while let FollowStep::Fetch { version, at } = step {
         let chunk = history.chunk(version, at);
         step = follower.chunk(now, chunk.as_deref());
@@ -141,13 +141,13 @@
     let mut history = source(2);
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 1, true, None);
-    let first = news(&mut history, &follower);
+    let first = update_for(&mut history, &follower);
     let step = follower.handle_update(LATE, proof("voss", 2, true), None, first);
     assert_eq!(step, FollowStep::Offer(snapshot(2)));
     follower.record_outcome(at(1), Some(at(2)));
     assert_eq!(follower.held(), at(1));
     assert_eq!(follower.counts().refused, 1);
-    assert_eq!(news(&mut history, &follower), ConfigUpdate::Current);
+    assert_eq!(update_for(&mut history, &follower), ConfigUpdate::Current);
     ask(&mut follower, LATE, "voss", 3, true, None);
     assert_eq!(follower.held(), at(3));
 }
@@ -160,7 +160,7 @@
     let mut history = source(3);
     let mut follower = VersionFollower::new(Duration::ZERO);
     ask(&mut follower, LATE, "voss", 1, true, None);
-    let late = news(&mut history, &follower);
+    let late = update_for(&mut history, &follower);
     ask(&mut follower, LATE, "voss", 2, true, None);
     let step = follower.handle_update(LATE, proof("voss", 3, true), None, late);
     assert_eq!(step, FollowStep::Ask);
@@ -204,11 +204,11 @@
             let index = if confirmed { index.max(acknowledged) } else { index };
             let domain = format!("domain-{domain}");
             let mut history = source(index);
-            let news = news(&mut history, &follower);
+            let update = update_for(&mut history, &follower);
             let proof = proof(&domain, index, confirmed);
             let known = Some(at(acknowledged));
             let before = follower.held();
-            if let FollowStep::Offer(offered) = follower.handle_update(now, proof, known, news) {
+            if let FollowStep::Offer(offered) = follower.handle_update(now, proof, known, update) {
                 prop_assert!(offered.version > before);
                 let refused = (!valid).then_some(offered.version);
                 let applied = if valid { offered.version } else { before };
--- a/crates/core/tests/version_share.rs
+++ b/crates/core/tests/version_share.rs
@@ -90,7 +90,7 @@
 }
 
 /// Fraction of the calls that reach a server of the new version if every
-/// attempt at a server of the old one ends in `failure`.
+/// try at a server of the old one ends in `failure`.
 fn part_of_new(failure: TryFailure) -> f64 {
     let mut router = router();
     let mut new = 0;
@@ -128,7 +128,7 @@
 // offered to. While the servers of the old version are full, a bad version on
 // trial got three times its share that way.
 #[test]
-fn calls_that_seek_a_free_slot_keep_their_version() {
+fn calls_that_probe_for_a_free_slot_keep_their_version() {
     let part = part_of_new(FULL);
     let allowed = f64::from(SHARE_PER_MILLE) / 1_000.0 * 1.2;
     assert!(part <= allowed, "{part:.3} of {allowed:.3}");
@@ -137,7 +137,7 @@
 // Guards against retries that prefer the version on trial while the servers of
 // the old version break connections.
 #[test]
-fn calls_that_are_tried_again_keep_their_version() {
+fn retried_calls_keep_their_version() {
     let part = part_of_new(BROKEN);
     let allowed = f64::from(SHARE_PER_MILLE) / 1_000.0 * 1.2;
     assert!(part <= allowed, "{part:.3} of {allowed:.3}");
