--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -88,7 +88,7 @@
             incarnation: 1,
             serial: number,
         },
-        sets,
+        holder_sets: sets,
     }
 }
 
--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -30,7 +30,7 @@
     pub token: RunToken,
     /// Sets of holders; a majority of each must agree. There are two while
     /// the roster changes.
-    pub sets: Vec<Vec<Arc<str>>>,
+    pub holder_sets: Vec<Vec<Arc<str>>>,
 }
 
 /// Result of a proposal.
@@ -174,7 +174,7 @@
     /// Every holder that requests are sent to, each once.
     pub fn holders(&self) -> Vec<Arc<str>> {
         let mut holders: Vec<Arc<str>> = Vec::new();
-        for holder in self.subject.sets.iter().flatten() {
+        for holder in self.subject.holder_sets.iter().flatten() {
             if !holders.contains(holder) {
                 holders.push(Arc::clone(holder));
             }
@@ -185,7 +185,7 @@
     /// Begins the next ballot with its prepare phase.
     pub fn begin(&mut self) -> ClaimStep {
         // Without holders no vote ever arrives, so no majority can be reached.
-        let holders = self.subject.sets.first().map_or(0, Vec::len);
+        let holders = self.subject.holder_sets.first().map_or(0, Vec::len);
         if self.ballots >= BALLOTS_MAX || holders == 0 {
             return self.complete(ClaimOutcome::NoMajority);
         }
@@ -270,7 +270,7 @@
     }
 
     fn every_set(&self, holds: impl Fn(SetTally) -> bool) -> bool {
-        for set in &self.subject.sets {
+        for set in &self.subject.holder_sets {
             if !holds(SetTally::of(set, &self.votes)) {
                 return false;
             }
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -111,7 +111,7 @@
                 incarnation: 1,
                 serial: at as u64,
             },
-            sets,
+            holder_sets: sets,
         };
         let mut proposal = ClaimProposal::claim(subject);
         let step = proposal.begin();
@@ -224,7 +224,7 @@
                 incarnation: 1,
                 serial,
             },
-            sets: vec![set([0, 1, 2])],
+            holder_sets: vec![set([0, 1, 2])],
         };
         let mut proposal = ClaimProposal::claim(subject);
         let mut step = proposal.begin();
