--- a/crates/node/src/claim_client.rs
+++ b/crates/node/src/claim_client.rs
@@ -192,7 +192,7 @@
             key: call.key,
             request: call.request,
             token: self.token(),
-            holder_sets: holders.sets,
+            holder_sets: holders.holder_sets,
         };
         OpenClaim {
             proposal: intent(subject),
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -138,7 +138,7 @@
 pub struct KeyHolders {
     /// Sets of holders; a claim needs a majority of each. Empty if this node
     /// must not claim.
-    pub sets: Vec<Vec<Arc<str>>>,
+    pub holder_sets: Vec<Vec<Arc<str>>>,
     /// Addresses of the holders that the directory knows.
     pub addresses: HashMap<Arc<str>, SocketAddr>,
 }
@@ -428,8 +428,8 @@
         {
             return holders;
         }
-        holders.sets = self.router.holder_sets(key);
-        for holder in holders.sets.iter().flatten() {
+        holders.holder_sets = self.router.holder_sets(key);
+        for holder in holders.holder_sets.iter().flatten() {
             if let Some(record) = self.router.directory().get(holder) {
                 holders.addresses.insert(Arc::clone(holder), record.address);
             }
