--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -388,7 +388,7 @@
         if keeps_state {
             node.versions = first.versions.clone();
             node.directory = first.directory.clone();
-            node.directory.forget_place();
+            node.directory.reset_position();
         }
         waiting_nodes.push((start, false, node));
     }
--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -113,7 +113,7 @@
     }
 
     /// Discards the position, which is not valid at another source.
-    pub fn forget_place(&mut self) {
+    pub fn reset_position(&mut self) {
         self.place = DirectoryPlace::default();
         self.digests_requested = false;
     }
