--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -161,7 +161,7 @@
             source,
             snapshot,
             endpoints,
-            run: self.directory.place().run,
+            run: self.directory.position().run,
         };
         let sent = self
             .task
--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -124,7 +124,7 @@
     }
 
     /// Position up to which the copy is current.
-    pub fn place(&self) -> DirectoryPlace {
+    pub fn position(&self) -> DirectoryPlace {
         self.place
     }
 }
--- a/crates/core/tests/start_herd.rs
+++ b/crates/core/tests/start_herd.rs
@@ -84,7 +84,7 @@
     directory: &DirectoryFollower,
     waited: bool,
 ) -> FollowCall {
-    let held = directory.place().run != 0;
+    let held = directory.position().run != 0;
     FollowCall {
         follower: Arc::clone(name),
         held: ConfigVersion::new(u64::from(held), u64::from(held)),
@@ -117,7 +117,7 @@
             continue;
         }
         let (name, directory, waited) = &mut nodes[number];
-        let started = directory.place().run != 0;
+        let started = directory.position().run != 0;
         let id = source.follow(now, follow_call(name, directory, *waited));
         for answer in source.tick(now) {
             if !answer.followers.contains(&id) {
@@ -140,7 +140,7 @@
             }
         }
     }
-    let idle = nodes.iter().filter(|node| node.1.place().run == 0);
+    let idle = nodes.iter().filter(|node| node.1.position().run == 0);
     assert_eq!(idle.count(), 0);
     last - begin
 }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -268,9 +268,9 @@
     }
 
     async fn update_directory(&mut self, update: DirectoryUpdate) {
-        let run = self.directory.place().run;
+        let run = self.directory.position().run;
         let changed = self.directory.take(update);
-        if self.directory.place().run != run {
+        if self.directory.position().run != run {
             // The gate task ends only with the node.
             let _ = self.options.gate.send(GateMessage::Republish);
         }
