--- a/crates/core/src/catch_up_window.rs
+++ b/crates/core/src/catch_up_window.rs
@@ -1,11 +1,11 @@
 //! An adaptive limit on the number of followers that a source sends a full
 //! copy of its state at once.
 //!
-//! After the loss of all processes hundreds of nodes that hold nothing ask
-//! within a few hundred milliseconds, and their callers are refused until
-//! they have a configuration. A fixed rate would be too low for a small
-//! configuration on an idle source and too high for a large one on a slow
-//! link; the cost of a follower shows only in how long its catch-up takes.
+//! After the loss of all processes hundreds of nodes that hold nothing send
+//! requests within a few hundred milliseconds, and their callers are refused
+//! until they have a configuration. A fixed rate would be too low for a small
+//! configuration on an idle source and too high for a large one on a slow link;
+//! the cost of a follower shows only in how long its catch-up takes.
 //!
 //! So the limit grows while catch-ups take about as long as the fastest one,
 //! and shrinks when they take a multiple of that: then the followers only
--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -111,7 +111,7 @@
 }
 
 /// Outcome of a change. A resend gets the same one, but a refused revision is
-/// decided anew.
+/// decided again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
     /// The change is in force under a new version.
--- a/crates/core/src/control_state.rs
+++ b/crates/core/src/control_state.rs
@@ -190,8 +190,8 @@
 
 /// True if resends get this answer again.
 ///
-/// A refused revision is decided anew instead: the same request may come again
-/// after the revision that it builds on has come into force.
+/// A refused revision is decided again instead: the same request may be sent
+/// again after the revision that it builds on has come into force.
 fn is_answer_kept(entry: &ChangeEntry, outcome: &ChangeOutcome) -> bool {
     let revision = matches!(entry.change, ConfigChange::Revise(_));
     !revision || matches!(outcome, ChangeOutcome::Accepted { .. })
@@ -214,7 +214,8 @@
 }
 
 /// Returns the document that a revision puts in force: `written`, with the
-/// parts that operators do not write taken from the document in force, `current`.
+/// parts that operators do not write taken from the document in force,
+/// `current`.
 pub fn merge_revision(current: &FleetDocument, written: &FleetDocument) -> FleetDocument {
     let mut edited = written.clone();
     keep_service_versions(current, &mut edited);
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -2,7 +2,7 @@
 //! their addresses.
 //!
 //! The directory changes far more often than the configuration and has no
-//! version number shared by the instances. Each record carries the incarnation
+//! version number shared by the instances. Each record contains the incarnation
 //! and sequence assigned by its endpoint, so reordered and delayed updates
 //! are discarded wherever and by whatever path they arrive.
 
--- a/crates/core/src/directory_follower.rs
+++ b/crates/core/src/directory_follower.rs
@@ -10,7 +10,7 @@
 
 /// A position in the change history of one source's directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DirectoryPlace {
+pub struct DirectoryPosition {
     /// Run of the source; revisions of different runs are not comparable.
     pub run: u64,
     /// Last revision that was read.
@@ -21,7 +21,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryRequest {
     /// Position up to which it has read.
-    pub place: DirectoryPlace,
+    #[serde(rename = "place")]
+    pub position: DirectoryPosition,
     /// Digest of its whole directory; 0 if that is empty.
     pub digest: u64,
     /// Digests of its buckets, if the source has requested them.
@@ -37,7 +38,8 @@
     pub records: Vec<EndpointRecord>,
     /// The follower's new position; `None` if the source first needs the
     /// digests of the buckets.
-    pub place: Option<DirectoryPlace>,
+    #[serde(rename = "place")]
+    pub position: Option<DirectoryPosition>,
 }
 
 /// How a source updates a follower's directory.
@@ -62,8 +64,8 @@
         run: u64,
         request: &DirectoryRequest,
     ) -> Self {
-        if request.place.run == run {
-            return Self::Since(request.place.revision);
+        if request.position.run == run {
+            return Self::Since(request.position.revision);
         }
         if request.digest == directory.digest().whole() {
             return Self::Since(directory.revision());
@@ -82,7 +84,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryFollower {
     directory: EndpointDirectory,
-    place: DirectoryPlace,
+    position: DirectoryPosition,
     digests_requested: bool,
 }
 
@@ -91,7 +93,7 @@
     pub fn request(&self) -> DirectoryRequest {
         let digest = self.directory.digest();
         DirectoryRequest {
-            place: self.place,
+            position: self.position,
             digest: digest.whole(),
             parts: self.digests_requested.then(|| digest.clone()),
         }
@@ -99,9 +101,9 @@
 
     /// Applies an answer and returns the records that it changed.
     pub fn take(&mut self, update: DirectoryUpdate) -> Vec<EndpointRecord> {
-        self.digests_requested = update.place.is_none();
-        if let Some(place) = update.place {
-            self.place = place;
+        self.digests_requested = update.position.is_none();
+        if let Some(position) = update.position {
+            self.position = position;
         }
         let mut changed = Vec::new();
         for record in update.records {
@@ -114,7 +116,7 @@
 
     /// Discards the position, which is not valid at another source.
     pub fn reset_position(&mut self) {
-        self.place = DirectoryPlace::default();
+        self.position = DirectoryPosition::default();
         self.digests_requested = false;
     }
 
@@ -124,7 +126,7 @@
     }
 
     /// Position up to which the copy is current.
-    pub fn position(&self) -> DirectoryPlace {
-        self.place
+    pub fn position(&self) -> DirectoryPosition {
+        self.position
     }
 }
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -528,7 +528,7 @@
 
     /// Records a try whose caller disconnected before any answer.
     pub fn abandoned(&mut self, now: Duration, instance: &str) {
-        self.servers.end(now, instance, ServerOutcome::Nothing);
+        self.servers.end(now, instance, ServerOutcome::Unknown);
     }
 }
 
@@ -549,7 +549,7 @@
         RefusalReason::DeadlinePassed if failure.verdict != CallVerdict::NotRun => {
             ServerOutcome::Failed
         }
-        _ => ServerOutcome::Nothing,
+        _ => ServerOutcome::Unknown,
     }
 }
 
--- a/crates/core/src/load/concurrency_limit.rs
+++ b/crates/core/src/load/concurrency_limit.rs
@@ -37,7 +37,7 @@
 /// Without any measurement, the limit rises by a quarter at this interval.
 /// Guards against a limit that was lowered during a past slowdown at a server
 /// whose jobs all wait for other services: no job would give information about
-/// the server, and it would keep a quarter of its slots for ever.
+/// the server, and it would keep a quarter of its slots permanently.
 const RECOVER_INTERVAL: Duration = Duration::from_secs(1);
 const RECOVER_FACTOR: f64 = 1.25;
 
--- a/crates/core/src/load/fair_tags.rs
+++ b/crates/core/src/load/fair_tags.rs
@@ -8,7 +8,7 @@
 //!
 //! A key without a backlog earns no credit: its start tag is never below the
 //! virtual time, so that a customer that was idle cannot lock others out
-//! afterwards. Tags at or below the virtual time carry no information and are
+//! afterwards. Tags at or below the virtual time have no effect and are
 //! dropped, which bounds memory by the recently served keys.
 
 use std::borrow::Borrow;
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -1,9 +1,10 @@
 //! How many retries one entry node may spend on one service.
 //!
 //! Load pattern: a service is full or down, and every call is tried up to its
-//! limit, so that the load triples when the service can bear it least and stays
-//! high after the cause is gone. Each first try earns a fraction of a retry,
-//! and a retry costs one. A minimum rate lets rare calls be retried as well.
+//! limit, so that the load triples when the service has the least capacity for
+//! it, and stays high after the cause has ended. Each first try earns a
+//! fraction of a retry, and a retry costs one. A minimum rate lets rare calls
+//! be retried as well.
 //!
 //! Only one layer retries: a call that a backend server makes is retried only
 //! if nothing has run, and the outer call gets the backend server's own answer,
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -128,8 +128,9 @@
     Full,
     /// The server is leaving or was not there.
     Unavailable,
-    /// No information, because the caller disconnected.
-    Nothing,
+    /// The try says nothing about the server, for example because the caller
+    /// disconnected.
+    Unknown,
 }
 
 #[derive(Debug)]
@@ -472,7 +473,7 @@
             ServerOutcome::Unavailable => {
                 server.unavailable_until = now + UNAVAILABLE_TIME
             }
-            ServerOutcome::Nothing => {}
+            ServerOutcome::Unknown => {}
         }
         self.outcomes = outcomes;
     }
--- a/crates/core/src/load/slow_start.rs
+++ b/crates/core/src/load/slow_start.rs
@@ -12,8 +12,8 @@
 /// this time.
 const RAMP_TIME: Duration = Duration::from_secs(10);
 
-/// Initial share: one slot in ten, so that there are some answers to judge the
-/// server by.
+/// Initial share: one slot in ten, so that there are some answers that show how
+/// the server performs.
 const INITIAL_SHARE: f64 = 0.1;
 
 /// Returns the usable share of the slots of a server that started `age` ago.
--- a/crates/core/src/reconnect_admission.rs
+++ b/crates/core/src/reconnect_admission.rs
@@ -6,8 +6,8 @@
 //! second. If all were answered at once, those that hold nothing would each
 //! need the whole document and directory, about 1 MB, and would saturate the
 //! link and the CPU. Followers that only wait for the next change would be
-//! delayed behind them, and those that time out would ask again and add to the
-//! load.
+//! delayed behind them, and those that time out would repeat their requests and
+//! add to the load.
 //!
 //! So followers that need a full copy are admitted up to the number that the
 //! source can serve without slowing each of them down ([`CatchUpWindow`]),
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -177,7 +177,7 @@
 
     /// Records an announcement of the backend server and ends a drain. If the
     /// announcement differs from the last one, the concurrency limit and the
-    /// recorded service times start afresh.
+    /// recorded service times are reset.
     pub fn announce(&mut self, server: AnnouncedServer) {
         self.draining = false;
         if self.announced.as_ref() == Some(&server) {
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -234,13 +234,21 @@
             }
             DirectorySync::Since(_) => {}
             DirectorySync::Records(records) => {
-                let place = Some(self.place());
-                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
+                let position = Some(self.position());
+                self.answer_with_directory(
+                    now,
+                    id,
+                    DirectoryUpdate { records, position },
+                );
             }
             DirectorySync::NeedsDigests => {
                 let records = Vec::new();
-                let place = None;
-                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
+                let position = None;
+                self.answer_with_directory(
+                    now,
+                    id,
+                    DirectoryUpdate { records, position },
+                );
             }
         }
         id
@@ -254,7 +262,7 @@
         call: &FollowCall,
         state: &FollowerState,
     ) -> Result<(), Duration> {
-        if call.directory.place.run == self.identity.run {
+        if call.directory.position.run == self.identity.run {
             self.admission.caught_up(now, &call.follower);
             return Ok(());
         }
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::directory_follower::DirectoryPlace;
+use crate::directory_follower::DirectoryPosition;
 use crate::directory_follower::DirectoryUpdate;
 use crate::follow_exchange::FollowAnswer;
 use crate::follow_exchange::FollowReply;
@@ -19,8 +19,8 @@
 use super::UpdateSource;
 
 impl UpdateSource {
-    pub(super) fn place(&self) -> DirectoryPlace {
-        DirectoryPlace {
+    pub(super) fn position(&self) -> DirectoryPosition {
+        DirectoryPosition {
             run: self.identity.run,
             revision: self.directory.revision(),
         }
@@ -81,7 +81,7 @@
         for (key, followers) in grouped {
             let directory = DirectoryUpdate {
                 records: self.directory.since(key.state.revision),
-                place: Some(self.place()),
+                position: Some(self.position()),
             };
             let reply = self.reply(now, &followers[0], &key, directory);
             let followers = followers.iter().map(|follower| follower.id).collect();
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -70,18 +70,18 @@
     fn reading_all_changes_yields_an_equal_directory(arrived in records(), every in 1..6_usize) {
         let mut source = EndpointDirectory::default();
         let mut follower = EndpointDirectory::default();
-        let mut place = 0;
+        let mut revision = 0;
         for (at, record) in arrived.into_iter().enumerate() {
             source.merge(record);
             if at % every != 0 {
                 continue;
             }
-            for changed in source.since(place) {
+            for changed in source.since(revision) {
                 follower.merge(changed);
             }
-            place = source.revision();
+            revision = source.revision();
         }
-        for changed in source.since(place) {
+        for changed in source.since(revision) {
             follower.merge(changed);
         }
         let held: Vec<_> = source.records().cloned().collect();
--- a/crates/core/tests/load_gate.rs
+++ b/crates/core/tests/load_gate.rs
@@ -267,8 +267,8 @@
     assert_eq!(gate.offer(millis(20), 99, call), [refused]);
 }
 
-// Guards against calls that wait in vain at a draining server: they are refused
-// at once, so that their entry nodes can try another server.
+// Guards against calls that wait at a draining server until they time out: they
+// are refused at once, so that their entry nodes can try another server.
 #[test]
 fn draining_server_refuses_its_queued_calls() {
     let mut gate = gate();
--- a/crates/core/tests/load_servers.rs
+++ b/crates/core/tests/load_servers.rs
@@ -233,7 +233,7 @@
         let server = pool.choose(trial_at, &acceptance, &mut rng);
         let server = server.expect("two servers are healthy");
         assert_ne!(server.instance, broken);
-        pool.end(trial_at, &server.instance, ServerOutcome::Nothing);
+        pool.end(trial_at, &server.instance, ServerOutcome::Unknown);
     }
     let trial = pool.choose(trial_at, &criteria(&others), &mut rng);
     assert_eq!(
--- a/crates/core/tests/revisions.rs
+++ b/crates/core/tests/revisions.rs
@@ -110,10 +110,10 @@
 }
 
 // Operators change one route of a document of thousands, several times a
-// second, and each instance applies each change. If versions shared no memory, a
-// small instance would copy and compare all routes, and a leader's lease could
-// expire meanwhile. So versions share unchanged routes, also after the labels,
-// which are not sent to nodes, are removed.
+// second, and each instance applies each change. If versions shared no memory,
+// a small instance would copy and compare all routes, and a leader's lease
+// could expire meanwhile. So versions share unchanged routes, also after the
+// labels, which are not sent to nodes, are removed.
 #[test]
 fn versions_share_unchanged_routes() {
     let labeled = |path: &str| RouteSpec {
@@ -146,8 +146,9 @@
     assert!(stripped.routes.iter().all(|route| route.labels.is_empty()));
 }
 
-// The answer to a revision is lost, and the revision is resent after many others
-// have come into force. It is answered as accepted again, and nothing changes.
+// The answer to a revision is lost, and the revision is resent after many
+// others have come into force. It is answered as accepted again, and nothing
+// changes.
 #[test]
 fn a_revision_resent_much_later_is_still_accepted() {
     let mut operator = Operator::new();
@@ -180,7 +181,7 @@
         matches!(outcome, ChangeOutcome::Invalid { .. }),
         "{outcome:?}"
     );
-    // Refused revisions are decided anew, since they may become valid later.
+    // Refused revisions are decided again, since they may become valid later.
     let change = operator.revision_change(9, 10, &again);
     assert!(accepted(&operator.apply("same-number", change)));
 }
--- a/crates/core/tests/update_source.rs
+++ b/crates/core/tests/update_source.rs
@@ -203,7 +203,7 @@
         ms(5_100),
         call("node", 1, node.request()),
     ));
-    let requested = parts.directory.place.is_none();
+    let requested = parts.directory.position.is_none();
     assert!(requested, "the source requests the digests of the buckets");
     node.take(parts.directory);
     let part = updates(answer(
@@ -244,7 +244,7 @@
 /// directory is equal to the one there.
 fn equal_digest(source: &UpdateSource) -> DirectoryRequest {
     DirectoryRequest {
-        place: Default::default(),
+        position: Default::default(),
         digest: source.directory().digest().whole(),
         parts: None,
     }
