--- a/crates/cli/benches/claim_cost.rs
+++ b/crates/cli/benches/claim_cost.rs
@@ -79,7 +79,7 @@
     roster
 }
 
-fn subject(number: u64, sets: Vec<Vec<Arc<str>>>) -> ClaimSubject {
+fn subject(number: u64, holder_sets: Vec<Vec<Arc<str>>>) -> ClaimSubject {
     ClaimSubject {
         key: ClaimKey::new("anna", "/contracts", &format!("key-{number}")),
         request: KeyDigest::of(&[b"sale"]),
@@ -88,7 +88,7 @@
             incarnation: 1,
             serial: number,
         },
-        holder_sets: sets,
+        holder_sets,
     }
 }
 
--- a/crates/core/tests/claim.rs
+++ b/crates/core/tests/claim.rs
@@ -101,7 +101,7 @@
         claim_key
     }
 
-    fn claim(&mut self, key: usize, sets: Vec<Vec<Arc<str>>>) -> usize {
+    fn claim(&mut self, key: usize, holder_sets: Vec<Vec<Arc<str>>>) -> usize {
         let at = self.claimants.len();
         let subject = ClaimSubject {
             key: self.key(key),
@@ -111,7 +111,7 @@
                 incarnation: 1,
                 serial: at as u64,
             },
-            holder_sets: sets,
+            holder_sets,
         };
         let mut proposal = ClaimProposal::claim(subject);
         let step = proposal.begin();
