--- a/crates/control/benches/fanout_cost/main.rs
+++ b/crates/control/benches/fanout_cost/main.rs
@@ -320,7 +320,7 @@
         fleet.advance();
     }
     let version = fleet.leader.current().version;
-    let progress = fleet.leader.board().progress(version);
+    let progress = fleet.leader.move_tracker().progress(version);
     assert_eq!(progress.nodes_applied as usize, nodes);
     let changes = CHANGES as usize;
     let relays = changes * fleet.relays.len();
@@ -388,7 +388,7 @@
         if keeps_state {
             node.versions = first.versions.clone();
             node.directory = first.directory.clone();
-            node.directory.forget_place();
+            node.directory.reset_position();
         }
         waiting_nodes.push((start, false, node));
     }
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -231,10 +231,10 @@
             FanoutMessage::Report(batch) => self.source.report(now, batch),
             FanoutMessage::TakeReports(reply) => {
                 if let Err(batch) = reply.send(self.source.take_reports(now)) {
-                    self.source.put_back(batch);
+                    self.source.requeue_reports(batch);
                 }
             }
-            FanoutMessage::ReturnReports(batch) => self.source.put_back(batch),
+            FanoutMessage::ReturnReports(batch) => self.source.requeue_reports(batch),
             FanoutMessage::Install(update) => self.install(now, *update),
             FanoutMessage::SetPresence(presence) => self.source.set_presence(presence),
             FanoutMessage::WatchLeader(leader) => self.leader = Some(leader),
@@ -254,7 +254,7 @@
     }
 
     fn moves(&self, changes: Vec<AcceptedChange>) -> Vec<MoveLine> {
-        let tracker = self.source.board();
+        let tracker = self.source.move_tracker();
         let mut lines = Vec::with_capacity(changes.len());
         for change in changes {
             let done_after = tracker.done_after(change.version);
@@ -270,7 +270,7 @@
     }
 
     fn progress(&self, version: ConfigVersion) -> VersionProgress {
-        let tracker = self.source.board();
+        let tracker = self.source.move_tracker();
         let done_after = tracker.done_after(version);
         VersionProgress {
             progress: tracker.progress(version),
@@ -280,7 +280,7 @@
 
     fn status(&self, now: Duration) -> FleetStatus {
         let mut nodes = Vec::new();
-        for (age, report) in self.source.board().live(now) {
+        for (age, report) in self.source.move_tracker().live(now) {
             nodes.push(NodeLine {
                 report: report.clone(),
                 age_ms: age.as_millis() as u64,
--- a/crates/control/src/uplink_task.rs
+++ b/crates/control/src/uplink_task.rs
@@ -139,8 +139,8 @@
         let sent_at = BootInstant::now();
         let reply = self.client.send(address, &call, CALL_TIMEOUT).await?;
         let answer = match reply {
-            FollowReply::News(answer) => *answer,
-            FollowReply::Later(after_ms) => {
+            FollowReply::Update(answer) => *answer,
+            FollowReply::RetryAfter(after_ms) => {
                 self.waited = true;
                 actix_rt::time::sleep(Duration::from_millis(after_ms)).await;
                 return Ok(true);
@@ -161,7 +161,7 @@
             source,
             snapshot,
             endpoints,
-            run: self.directory.place().run,
+            run: self.directory.position().run,
         };
         let sent = self
             .fanout
--- a/crates/core/src/claim/proposal.rs
+++ b/crates/core/src/claim/proposal.rs
@@ -30,7 +30,7 @@
     pub token: RunToken,
     /// Sets of holders; a majority of each must agree. There are two while
     /// the roster changes.
-    pub sets: Vec<Vec<Arc<str>>>,
+    pub holder_sets: Vec<Vec<Arc<str>>>,
 }
 
 /// Result of a proposal.
@@ -174,7 +174,7 @@
     /// Every holder that requests are sent to, each once.
     pub fn holders(&self) -> Vec<Arc<str>> {
         let mut holders: Vec<Arc<str>> = Vec::new();
-        for holder in self.subject.sets.iter().flatten() {
+        for holder in self.subject.holder_sets.iter().flatten() {
             if !holders.contains(holder) {
                 holders.push(Arc::clone(holder));
             }
@@ -185,7 +185,7 @@
     /// Begins the next ballot with its prepare phase.
     pub fn begin(&mut self) -> ClaimStep {
         // Without holders no vote ever arrives, so no majority can be reached.
-        let holders = self.subject.sets.first().map_or(0, Vec::len);
+        let holders = self.subject.holder_sets.first().map_or(0, Vec::len);
         if self.ballots >= BALLOTS_MAX || holders == 0 {
             return self.complete(ClaimOutcome::NoMajority);
         }
@@ -259,7 +259,7 @@
         if self.every_set(|tally| tally.votes_for >= tally.majority) {
             return self.majority_reached();
         }
-        if self.every_set(|tally| tally.votes_against <= tally.seats - tally.majority) {
+        if self.every_set(|tally| tally.votes_against <= tally.holders - tally.majority) {
             return ClaimStep::Wait;
         }
         if self.outbid.is_some() {
@@ -270,7 +270,7 @@
     }
 
     fn every_set(&self, holds: impl Fn(SetTally) -> bool) -> bool {
-        for set in &self.subject.sets {
+        for set in &self.subject.holder_sets {
             if !holds(SetTally::of(set, &self.votes)) {
                 return false;
             }
@@ -376,7 +376,7 @@
 
 /// Number of votes in one set of holders.
 struct SetTally {
-    seats: usize,
+    holders: usize,
     majority: usize,
     votes_for: usize,
     votes_against: usize,
@@ -385,7 +385,7 @@
 impl SetTally {
     fn of(set: &[Arc<str>], votes: &BTreeMap<Arc<str>, HolderVote>) -> Self {
         let mut tally = Self {
-            seats: set.len(),
+            holders: set.len(),
             majority: set.len() / 2 + 1,
             votes_for: 0,
             votes_against: 0,
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -1,9 +1,10 @@
 //! How many retries one entry node may spend on one service.
 //!
 //! Load pattern: a service is full or down, and every call is tried up to its
-//! limit, so that the load triples when the service can bear it least and stays
-//! high after the cause is gone. Each first try earns a fraction of a retry,
-//! and a retry costs one. A minimum rate lets rare calls be retried as well.
+//! limit, so that the load triples when the service has the least capacity for
+//! it, and stays high after the cause has ended. Each first try earns a
+//! fraction of a retry, and a retry costs one. A minimum rate lets rare calls
+//! be retried as well.
 //!
 //! Only one layer retries: a call that a backend server makes is retried only
 //! if nothing has run, and the outer call gets the backend server's own answer,
@@ -73,13 +74,13 @@
 
 impl RetryBudget {
     /// Earns a first try's fraction of a retry.
-    pub fn earn(&mut self, now: Duration, terms: BudgetConfig) {
+    pub fn earn(&mut self, now: Duration, config: BudgetConfig) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        self.fractional = terms.saved_max < 1.0;
-        let saved = self.saved.unwrap_or(terms.saved_max);
-        let earned = terms.per_try + passed * terms.per_second;
-        self.saved = Some((saved + earned).min(terms.saved_max));
+        self.fractional = config.saved_max < 1.0;
+        let saved = self.saved.unwrap_or(config.saved_max);
+        let earned = config.per_try + passed * config.per_second;
+        self.saved = Some((saved + earned).min(config.saved_max));
     }
 
     /// Charges for an incoming call that may repeat earlier work. The call is
--- a/crates/core/src/update_source.rs
+++ b/crates/core/src/update_source.rs
@@ -102,7 +102,7 @@
     history: ConfigHistory,
     directory: EndpointDirectory,
     leases: LeaseTable,
-    board: MoveTracker,
+    move_tracker: MoveTracker,
     applied: AppliedVersions,
     queue: FollowerQueue,
     names: HashMap<FollowerId, Arc<str>>,
@@ -124,7 +124,7 @@
             history: ConfigHistory::default(),
             directory: EndpointDirectory::default(),
             leases: LeaseTable::default(),
-            board: MoveTracker::default(),
+            move_tracker: MoveTracker::default(),
             applied: AppliedVersions::default(),
             queue: FollowerQueue::default(),
             names: HashMap::new(),
@@ -139,9 +139,9 @@
         }
     }
 
-    /// Sets how long nodes count as live after they were last heard from.
+    /// Sets how long nodes count as live after their last report.
     pub fn set_presence(&mut self, presence: NodePresence) {
-        self.board.set_presence(presence);
+        self.move_tracker.set_presence(presence);
         self.aggregator.set_presence(presence);
     }
 
@@ -150,9 +150,9 @@
         self.history.current()
     }
 
-    /// Which version each node has applied.
-    pub fn board(&self) -> &MoveTracker {
-        &self.board
+    /// The tracker of the version that each node has applied.
+    pub fn move_tracker(&self) -> &MoveTracker {
+        &self.move_tracker
     }
 
     /// The directory of backend servers.
@@ -192,7 +192,7 @@
     pub fn publish(&mut self, now: Duration, snapshot: ConfigSnapshot) {
         let version = snapshot.version;
         if self.history.publish(snapshot) {
-            self.board.await_version(now, version);
+            self.move_tracker.await_version(now, version);
             self.queue.note_update();
         }
     }
@@ -205,7 +205,7 @@
             self.aggregator.record_report(now, &report);
             self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.record_report(now, report);
+            self.move_tracker.record_report(now, report);
         }
         let sync =
             DirectorySync::choose(&self.directory, self.identity.run, &call.directory);
@@ -225,7 +225,7 @@
         let id = self.queue.enqueue(now, now + wait, state);
         self.names.insert(id, Arc::clone(&call.follower));
         if let Err(after) = self.admit(now, &call, &state) {
-            self.answer_with_reply(id, FollowReply::Later(after.as_millis() as u64));
+            self.answer_with_reply(id, FollowReply::RetryAfter(after.as_millis() as u64));
             return id;
         }
         match sync {
@@ -234,13 +234,21 @@
             }
             DirectorySync::Since(_) => {}
             DirectorySync::Records(records) => {
-                let place = Some(self.place());
-                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
+                let position = Some(self.position());
+                self.answer_with_directory(
+                    now,
+                    id,
+                    DirectoryUpdate { records, position },
+                );
             }
             DirectorySync::NeedsDigests => {
                 let records = Vec::new();
-                let place = None;
-                self.answer_with_directory(now, id, DirectoryUpdate { records, place });
+                let position = None;
+                self.answer_with_directory(
+                    now,
+                    id,
+                    DirectoryUpdate { records, position },
+                );
             }
         }
         id
@@ -254,7 +262,7 @@
         call: &FollowCall,
         state: &FollowerState,
     ) -> Result<(), Duration> {
-        if call.directory.place.run == self.identity.run {
+        if call.directory.position.run == self.identity.run {
             self.admission.caught_up(now, &call.follower);
             return Ok(());
         }
@@ -262,8 +270,8 @@
             return Ok(());
         }
         let empty = call.directory.digest == 0 && !self.directory.is_empty();
-        let light = !empty && self.history.is_update_small(state);
-        let cost = if light {
+        let small = !empty && self.history.is_update_small(state);
+        let cost = if small {
             ReconnectCost::Light
         } else {
             let config = self.history.snapshot_bytes();
@@ -294,7 +302,7 @@
         for report in batch.reports() {
             self.applied.record(&report.node, report.applied);
             self.leases.touch(now, &report.node);
-            self.board.record_report(now, report);
+            self.move_tracker.record_report(now, report);
         }
         for record in batch.endpoints {
             if self.merge(now, record.clone()) && !self.leading {
@@ -346,9 +354,9 @@
         self.aggregator.take(now)
     }
 
-    /// Returns a batch that did not reach the leader, to be sent again.
-    pub fn put_back(&mut self, batch: ReportBatch) {
-        self.aggregator.put_back(batch);
+    /// Queues a batch that did not reach the leader, to be sent again.
+    pub fn requeue_reports(&mut self, batch: ReportBatch) {
+        self.aggregator.requeue_reports(batch);
     }
 
     /// Records that the process was late by `lag` with a tick.
@@ -358,7 +366,7 @@
 
     /// Advances the time to `now` and returns the answers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<SharedAnswer> {
-        self.board.mark_done(now);
+        self.move_tracker.mark_done(now);
         self.expire_leases(now);
         let due = self.queue.due(now, &self.freshness);
         self.answer(now, due);
--- a/crates/core/src/update_source/answers.rs
+++ b/crates/core/src/update_source/answers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::directory_follower::DirectoryPlace;
+use crate::directory_follower::DirectoryPosition;
 use crate::directory_follower::DirectoryUpdate;
 use crate::follow_exchange::FollowAnswer;
 use crate::follow_exchange::FollowReply;
@@ -19,20 +19,20 @@
 use super::UpdateSource;
 
 impl UpdateSource {
-    pub(super) fn place(&self) -> DirectoryPlace {
-        DirectoryPlace {
+    pub(super) fn position(&self) -> DirectoryPosition {
+        DirectoryPosition {
             run: self.identity.run,
             revision: self.directory.revision(),
         }
     }
 
-    fn proof(&self, now: Duration, asked_at: Duration) -> SourceProof {
+    fn proof(&self, now: Duration, requested_at: Duration) -> SourceProof {
         SourceProof {
             instance: Arc::clone(&self.identity.instance),
             failure_domain: Arc::clone(&self.identity.failure_domain),
             version: self.history.current().version,
             fresh_ms: self.freshness.fresh_for(now).as_millis() as u64,
-            confirmed: self.freshness.confirms(asked_at),
+            confirmed: self.freshness.confirms(requested_at),
         }
     }
 
@@ -81,7 +81,7 @@
         for (key, followers) in grouped {
             let directory = DirectoryUpdate {
                 records: self.directory.since(key.state.revision),
-                place: Some(self.place()),
+                position: Some(self.position()),
             };
             let reply = self.reply(now, &followers[0], &key, directory);
             let followers = followers.iter().map(|follower| follower.id).collect();
@@ -94,7 +94,7 @@
         let name = self.names.get(&follower.id).filter(|_| starting);
         AnswerKey {
             state: follower.state,
-            confirmed: self.freshness.confirms(follower.asked_at),
+            confirmed: self.freshness.confirms(follower.requested_at),
             acknowledged: name.and_then(|name| self.applied.get(name)),
         }
     }
@@ -107,8 +107,8 @@
         directory: DirectoryUpdate,
     ) -> FollowReply {
         let config = self.history.update_for(&key.state);
-        FollowReply::News(Box::new(FollowAnswer {
-            source: self.proof(now, follower.asked_at),
+        FollowReply::Update(Box::new(FollowAnswer {
+            source: self.proof(now, follower.requested_at),
             chunk: self.history.first_chunk(&config),
             config,
             acknowledged: key.acknowledged,
--- a/crates/core/tests/distribution_faults.rs
+++ b/crates/core/tests/distribution_faults.rs
@@ -109,8 +109,8 @@
     answers.extend(source.tick(now + REQUEST_INTERVAL));
     let own = answers.into_iter().find(|one| one.followers.contains(&id));
     match own.expect("every request is answered").reply {
-        FollowReply::News(answer) => *answer,
-        FollowReply::Later(_) => panic!("request rate is far below the limit"),
+        FollowReply::Update(answer) => *answer,
+        FollowReply::RetryAfter(_) => panic!("request rate is far below the limit"),
     }
 }
 
@@ -180,14 +180,14 @@
             // With documents of a single default a delta is always smaller.
             ConfigUpdate::Snapshot(..) => panic!("snapshot where a delta is smaller"),
         };
-        let news = LeaderUpdate {
+        let update = LeaderUpdate {
             sent_at: self.now,
             source: answer.source,
             snapshot,
             endpoints: answer.directory.records,
             run: 1,
         };
-        self.relays[relay].install(self.now, news);
+        self.relays[relay].install(self.now, update);
     }
 
     fn node_asks(&mut self, at: usize, relay: usize) {
@@ -213,7 +213,7 @@
             if !one.followers.contains(&id) {
                 continue;
             }
-            if let FollowReply::News(answer) = one.reply {
+            if let FollowReply::Update(answer) = one.reply {
                 self.delayed.push(DelayedAnswer {
                     node: at,
                     run_number,
@@ -290,10 +290,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    // Guards against rollbacks when processes die and answers are lost, delayed,
-    // duplicated and reordered. No run of a node holds a version lower than an
-    // earlier run had applied, no version appears that was never accepted, and
-    // all nodes hold the newest version after the faults have ended.
+    // Guards against rollbacks when processes die and answers are lost,
+    // delayed, duplicated and reordered. No run of a node holds a version lower
+    // than an earlier run had applied, no version appears that was never
+    // accepted, and all nodes hold the newest version after the faults have
+    // ended.
     #[test]
     fn versions_never_decrease(events in prop::collection::vec(event(), 1..120)) {
         let mut model = Model::new();
--- a/crates/node/src/entry_handler.rs
+++ b/crates/node/src/entry_handler.rs
@@ -467,7 +467,7 @@
         if !planned.measured {
             return;
         }
-        let (end, warm) = match tried {
+        let (outcome, warm) = match tried {
             Ok(response) => {
                 let warm = response.head.headers().get(call_headers::WARM);
                 let status = response.head.status.as_u16();
@@ -476,7 +476,14 @@
             }
             Err(failure) => (TryOutcome::from_failure(failure), false),
         };
-        let ended = ended_try(planned, MeasuredTry { took, end, warm });
+        let ended = ended_try(
+            planned,
+            MeasuredTry {
+                took,
+                outcome,
+                warm,
+            },
+        );
         // The entry task ends only with the node.
         let _ = self.entry.send(EntryMessage::Measured(ended)).await;
     }
--- a/crates/node/src/follow_task.rs
+++ b/crates/node/src/follow_task.rs
@@ -234,8 +234,8 @@
             .send(address, &call, self.timing.answer_timeout)
             .await?
         {
-            FollowReply::News(answer) => *answer,
-            FollowReply::Later(after_ms) => {
+            FollowReply::Update(answer) => *answer,
+            FollowReply::RetryAfter(after_ms) => {
                 return Ok(PollOutcome::RetryAfter(Duration::from_millis(after_ms)))
             }
         };
@@ -269,9 +269,9 @@
     }
 
     async fn update_directory(&mut self, update: DirectoryUpdate) {
-        let run = self.directory.place().run;
+        let run = self.directory.position().run;
         let changed = self.directory.take(update);
-        if self.directory.place().run != run {
+        if self.directory.position().run != run {
             // The gate task ends only with the node.
             let _ = self.options.gate.send(GateMessage::Republish);
         }
