--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -18,7 +18,7 @@
     /// The backend server that the settings name.
     pub server: ConfiguredServer,
     /// Timeouts of the callers' listener.
-    pub listener_times: watch::Sender<ListenerTimeouts>,
+    pub listener_timeouts: watch::Sender<ListenerTimeouts>,
 }
 
 impl InstallHooks {
@@ -33,7 +33,7 @@
             head: millis(document.limits.head_ms).unwrap_or(defaults.head),
             idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
-        self.listener_times.send_if_modified(|current| {
+        self.listener_timeouts.send_if_modified(|current| {
             let changed = *current != times;
             *current = times;
             changed
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -212,7 +212,8 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (listener_times, watched_times) = watch::channel(ListenerTimeouts::default());
+        let (listener_timeouts, watched_times) =
+            watch::channel(ListenerTimeouts::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
@@ -220,7 +221,7 @@
             InstallHooks {
                 configured: Rc::clone(&status.configured),
                 server,
-                listener_times,
+                listener_timeouts,
             },
             seed,
         );
--- a/crates/node/tests/start_calls.rs
+++ b/crates/node/tests/start_calls.rs
@@ -45,7 +45,7 @@
             address: None,
             checks,
         },
-        listener_times: watch::channel(ListenerTimeouts::default()).0,
+        listener_timeouts: watch::channel(ListenerTimeouts::default()).0,
     };
     entry_task::spawn("records-1".into(), "voss".into(), gate, hooks, 1)
 }
