--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -212,7 +212,7 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (listener_timeouts, watched_times) =
+        let (listener_timeouts, timeouts_watch) =
             watch::channel(ListenerTimeouts::default());
         let entry = entry_task::spawn(
             instance,
@@ -294,7 +294,7 @@
                 sockets.callers,
                 CALLER_CONNECTIONS_MAX,
                 Rc::new(callers),
-                watched_times,
+                timeouts_watch,
             )?,
             local: listen(sockets.local, CONNECTIONS_MAX, local)?,
             peer: listen(
