--- a/crates/node/src/install_hooks.rs
+++ b/crates/node/src/install_hooks.rs
@@ -29,13 +29,13 @@
         }
         let defaults = ListenerTimeouts::default();
         let millis = |set: Option<u64>| set.map(Duration::from_millis);
-        let times = ListenerTimeouts {
+        let timeouts = ListenerTimeouts {
             head: millis(document.limits.head_ms).unwrap_or(defaults.head),
             idle: millis(document.limits.idle_ms).unwrap_or(defaults.idle),
         };
         self.listener_timeouts.send_if_modified(|current| {
-            let changed = *current != times;
-            *current = times;
+            let changed = *current != timeouts;
+            *current = timeouts;
             changed
         });
     }
