--- a/crates/control/src/control_daemon.rs
+++ b/crates/control/src/control_daemon.rs
@@ -154,9 +154,13 @@
         );
         let handler = middleware(api, Rc::new(handler));
         let main = HttpListener::spawn(sockets.main, CONNECTIONS_MAX, handler)?;
-        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
-        let admin =
-            HttpListener::spawn(sockets.admin, ADMIN_CONNECTIONS_MAX, Rc::new(page))?;
+        let admin_handler =
+            AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let admin = HttpListener::spawn(
+            sockets.admin,
+            ADMIN_CONNECTIONS_MAX,
+            Rc::new(admin_handler),
+        )?;
         info!(
             "event=started process=control instance={} failure_domain={} listen={} admin={}",
             settings.instance,
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -286,8 +286,9 @@
         );
         let local = Rc::new(LocalHandler::new(gate.clone(), entry_proxy));
         let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
-        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
-        let page = (middleware.admin)(status, Rc::new(page));
+        let admin_handler =
+            AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let admin_handler = (middleware.admin)(status, Rc::new(admin_handler));
         let listen = HttpListener::spawn;
         let daemon = Self {
             callers: HttpListener::spawn_pipelined(
@@ -302,7 +303,7 @@
                 CONNECTIONS_MAX,
                 Rc::new(PeerHandler::new(peer_proxy)),
             )?,
-            admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, page)?,
+            admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, admin_handler)?,
             gate,
             controls,
             stage,
