--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -32,14 +32,14 @@
 fn main() {
     let args = command_args::parse_or_exit(&control_args());
     process_log::start();
-    let text = SettingsBaseline::read(args.settings);
+    let baseline = SettingsBaseline::read(args.settings);
     let settings: ControlSettings =
-        settings_file::read_or_exit("cowslip-control", text.path());
+        settings_file::read_or_exit("cowslip-control", baseline.path());
     if args.check {
-        println!("{}: usable", text.path().display());
+        println!("{}: usable", baseline.path().display());
         return;
     }
-    let result = actix_rt::System::new().block_on(run(&settings, text));
+    let result = actix_rt::System::new().block_on(run(&settings, baseline));
     process_log::flush();
     if let Err(error) = result {
         eprintln!("cowslip-control: {error}");
@@ -49,13 +49,13 @@
 
 async fn run(
     settings: &ControlSettings,
-    text: SettingsBaseline,
+    baseline: SettingsBaseline,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let signals = StopSignals::listen()?;
     let sockets = ControlSockets::bind(settings.listen, settings.admin_listen)?;
     let daemon = ControlDaemon::spawn(settings, sockets)?;
     let reload = async |changed: ControlSettings| daemon.reload(&changed).await;
-    settings_watch::until_stopped(signals, text, reload).await;
+    settings_watch::until_stopped(signals, baseline, reload).await;
     stop_signal::stop("control", &settings.instance, daemon.stop()).await;
     Ok(())
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -32,13 +32,14 @@
 fn main() {
     let args = command_args::parse_or_exit(&node_args());
     process_log::start();
-    let text = SettingsBaseline::read(args.settings);
-    let settings: NodeSettings = settings_file::read_or_exit("cowslip-node", text.path());
+    let baseline = SettingsBaseline::read(args.settings);
+    let settings: NodeSettings =
+        settings_file::read_or_exit("cowslip-node", baseline.path());
     if args.check {
-        println!("{}: usable", text.path().display());
+        println!("{}: usable", baseline.path().display());
         return;
     }
-    let result = actix_rt::System::new().block_on(run(&settings, text));
+    let result = actix_rt::System::new().block_on(run(&settings, baseline));
     process_log::flush();
     if let Err(error) = result {
         eprintln!("cowslip-node: {error}");
@@ -46,13 +47,13 @@
     }
 }
 
-async fn run(settings: &NodeSettings, text: SettingsBaseline) -> std::io::Result<()> {
+async fn run(settings: &NodeSettings, baseline: SettingsBaseline) -> std::io::Result<()> {
     let signals = StopSignals::listen()?;
     let sockets = NodeSockets::bind(settings)?;
     let seed = rand::random();
     let daemon = NodeDaemon::spawn(settings, sockets, seed)?;
     let reload = async |changed: NodeSettings| daemon.reload(&changed);
-    settings_watch::until_stopped(signals, text, reload).await;
+    settings_watch::until_stopped(signals, baseline, reload).await;
     stop_signal::stop("node", &settings.instance, daemon.stop()).await;
     Ok(())
 }
