--- a/crates/cli/src/control_client.rs
+++ b/crates/cli/src/control_client.rs
@@ -61,7 +61,7 @@
         while let Some(address) = search.next().await {
             match self.client.send(address, call, ANSWER_TIMEOUT).await {
                 Ok(LeaderAnswer::Here(answer)) => return Ok(answer),
-                Ok(LeaderAnswer::Elsewhere(leader)) => search.set_hint(leader),
+                Ok(LeaderAnswer::NotLeader(leader)) => search.set_hint(leader),
                 Ok(LeaderAnswer::Unknown) => answer_lost = true,
                 Err(refused @ PeerError::Refused { status: 401, .. }) => {
                     return Err(OperatorError::Usage(refused.to_string()));
--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -391,7 +391,7 @@
         if view.is_leading() {
             return LeaderAnswer::Here(answer());
         }
-        LeaderAnswer::Elsewhere(view.address)
+        LeaderAnswer::NotLeader(view.address)
     }
 
     async fn execute(&mut self, action: ReplicaAction) {
@@ -448,7 +448,7 @@
         let answer = match answer {
             ChangeAnswer::Decided(outcome) => LeaderAnswer::Here(outcome),
             ChangeAnswer::NotLeading => {
-                LeaderAnswer::Elsewhere(self.view.borrow().address)
+                LeaderAnswer::NotLeader(self.view.borrow().address)
             }
             ChangeAnswer::Unknown => LeaderAnswer::Unknown,
         };
--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -231,7 +231,7 @@
     ) -> Result<LeaderAnswer<T>, HttpReply> {
         let view = *self.agreement.leader.borrow();
         if !view.is_leading() {
-            return Ok(LeaderAnswer::Elsewhere(view.address));
+            return Ok(LeaderAnswer::NotLeader(view.address));
         }
         Ok(LeaderAnswer::Here(self.ask_fanout(message).await?))
     }
@@ -242,8 +242,8 @@
     ) -> Result<LeaderAnswer<Vec<MoveLine>>, HttpReply> {
         let mut changes = match self.ask_agreement(AgreementMessage::History).await? {
             LeaderAnswer::Here(changes) => changes,
-            LeaderAnswer::Elsewhere(leader) => {
-                return Ok(LeaderAnswer::Elsewhere(leader))
+            LeaderAnswer::NotLeader(leader) => {
+                return Ok(LeaderAnswer::NotLeader(leader))
             }
             LeaderAnswer::Unknown => return Ok(LeaderAnswer::Unknown),
         };
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -123,7 +123,7 @@
     ) -> LeaderAnswer<Option<RequestOutcome>> {
         let current = match self.current_with_answer(Arc::clone(request_id)).await {
             LeaderAnswer::Here(current) => current,
-            LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
+            LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         LeaderAnswer::Here(early_outcome(&current, builds_on))
@@ -134,7 +134,7 @@
         let id = Arc::clone(&request.request_id);
         let current = match self.current_with_answer(id).await {
             LeaderAnswer::Here(current) => current,
-            LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
+            LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         if let Some(outcome) = early_outcome(&current, request.builds_on) {
@@ -164,7 +164,7 @@
             .await;
         match answer {
             LeaderAnswer::Here(outcome) => LeaderAnswer::Here(request_outcome(outcome)),
-            LeaderAnswer::Elsewhere(leader) => LeaderAnswer::Elsewhere(leader),
+            LeaderAnswer::NotLeader(leader) => LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => LeaderAnswer::Unknown,
         }
     }
@@ -173,7 +173,7 @@
     pub async fn start_move(&self, request: MoveRequest) -> LeaderAnswer<RequestOutcome> {
         let current = match self.current().await {
             LeaderAnswer::Here(current) => current,
-            LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
+            LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         let spec = current.snapshot.document.services.get(&request.service);
@@ -183,7 +183,7 @@
         }
         let records = match self.ask(AgreementMessage::Rollouts).await {
             LeaderAnswer::Here(records) => records,
-            LeaderAnswer::Elsewhere(leader) => return LeaderAnswer::Elsewhere(leader),
+            LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         let same = |record: &&RolloutRecord| {
@@ -219,7 +219,7 @@
                     state: line.state,
                 }))
             }
-            Some(LeaderAnswer::Elsewhere(leader)) => LeaderAnswer::Elsewhere(leader),
+            Some(LeaderAnswer::NotLeader(leader)) => LeaderAnswer::NotLeader(leader),
             Some(LeaderAnswer::Unknown) | None => LeaderAnswer::Unknown,
         }
     }
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -111,8 +111,8 @@
         self.agreement.task.send(message).await.ok()?;
         let records = match answer.await.ok()? {
             LeaderAnswer::Here(records) => records,
-            LeaderAnswer::Elsewhere(leader) => {
-                return Some(LeaderAnswer::Elsewhere(leader))
+            LeaderAnswer::NotLeader(leader) => {
+                return Some(LeaderAnswer::NotLeader(leader))
             }
             LeaderAnswer::Unknown => return Some(LeaderAnswer::Unknown),
         };
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -174,7 +174,7 @@
         let first = ask(&handle.task, "first").await;
         assert_eq!(first, LeaderAnswer::Unknown);
         let second = ask(&handle.task, "second").await;
-        assert_eq!(second, LeaderAnswer::Elsewhere(None));
+        assert_eq!(second, LeaderAnswer::NotLeader(None));
     });
 }
 
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -52,7 +52,8 @@
     /// The leader's answer.
     Here(T),
     /// This instance is not the leader; the leader's address, if known.
-    Elsewhere(Option<SocketAddr>),
+    #[serde(rename = "Elsewhere")]
+    NotLeader(Option<SocketAddr>),
     /// It is unknown whether the change was accepted: retry with the same
     /// request identifier.
     Unknown,
