--- a/crates/cli/src/control_client.rs
+++ b/crates/cli/src/control_client.rs
@@ -60,7 +60,7 @@
         let mut answer_lost = false;
         while let Some(address) = search.next().await {
             match self.client.send(address, call, ANSWER_TIMEOUT).await {
-                Ok(LeaderAnswer::Here(answer)) => return Ok(answer),
+                Ok(LeaderAnswer::Answered(answer)) => return Ok(answer),
                 Ok(LeaderAnswer::NotLeader(leader)) => search.set_hint(leader),
                 Ok(LeaderAnswer::Unknown) => answer_lost = true,
                 Err(refused @ PeerError::Refused { status: 401, .. }) => {
--- a/crates/control/benches/agreement.rs
+++ b/crates/control/benches/agreement.rs
@@ -121,7 +121,7 @@
     loop {
         for (at, address) in addresses.iter().enumerate() {
             let answer = client.send(*address, &call, Duration::from_secs(5)).await;
-            if let Ok(LeaderAnswer::Here(ChangeOutcome::Accepted { .. })) = answer {
+            if let Ok(LeaderAnswer::Answered(ChangeOutcome::Accepted { .. })) = answer {
                 return at;
             }
         }
--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -389,7 +389,7 @@
     fn if_leading<T>(&self, answer: impl FnOnce() -> T) -> LeaderAnswer<T> {
         let view = *self.view.borrow();
         if view.is_leading() {
-            return LeaderAnswer::Here(answer());
+            return LeaderAnswer::Answered(answer());
         }
         LeaderAnswer::NotLeader(view.address)
     }
@@ -446,7 +446,7 @@
             return;
         };
         let answer = match answer {
-            ChangeAnswer::Decided(outcome) => LeaderAnswer::Here(outcome),
+            ChangeAnswer::Decided(outcome) => LeaderAnswer::Answered(outcome),
             ChangeAnswer::NotLeading => {
                 LeaderAnswer::NotLeader(self.view.borrow().address)
             }
--- a/crates/control/src/control_handler.rs
+++ b/crates/control/src/control_handler.rs
@@ -188,7 +188,7 @@
         mut entry: ChangeEntry,
     ) -> Result<LeaderAnswer<ChangeOutcome>, HttpReply> {
         if let Err(refused) = self.rollout_api.prepare_change(&mut entry).await {
-            return Ok(LeaderAnswer::Here(refused));
+            return Ok(LeaderAnswer::Answered(refused));
         }
         self.ask_agreement(|reply| AgreementMessage::Change(Box::new(entry), reply))
             .await
@@ -233,7 +233,7 @@
         if !view.is_leading() {
             return Ok(LeaderAnswer::NotLeader(view.address));
         }
-        Ok(LeaderAnswer::Here(self.ask_fanout(message).await?))
+        Ok(LeaderAnswer::Answered(self.ask_fanout(message).await?))
     }
 
     async fn moves(
@@ -241,7 +241,7 @@
         call: MovesCall,
     ) -> Result<LeaderAnswer<Vec<MoveLine>>, HttpReply> {
         let mut changes = match self.ask_agreement(AgreementMessage::History).await? {
-            LeaderAnswer::Here(changes) => changes,
+            LeaderAnswer::Answered(changes) => changes,
             LeaderAnswer::NotLeader(leader) => {
                 return Ok(LeaderAnswer::NotLeader(leader))
             }
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -122,27 +122,29 @@
         builds_on: u64,
     ) -> LeaderAnswer<Option<RequestOutcome>> {
         let current = match self.current_with_answer(Arc::clone(request_id)).await {
-            LeaderAnswer::Here(current) => current,
+            LeaderAnswer::Answered(current) => current,
             LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
-        LeaderAnswer::Here(early_outcome(&current, builds_on))
+        LeaderAnswer::Answered(early_outcome(&current, builds_on))
     }
 
     /// Puts a revision in force, or returns why it was refused.
     pub async fn revise(&self, request: RevisionRequest) -> LeaderAnswer<RequestOutcome> {
         let id = Arc::clone(&request.request_id);
         let current = match self.current_with_answer(id).await {
-            LeaderAnswer::Here(current) => current,
+            LeaderAnswer::Answered(current) => current,
             LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
         if let Some(outcome) = early_outcome(&current, request.builds_on) {
-            return LeaderAnswer::Here(outcome);
+            return LeaderAnswer::Answered(outcome);
         }
         let revision = match build_revision(&request, &current) {
             Ok(revision) => revision,
-            Err(faults) => return LeaderAnswer::Here(RequestOutcome::Invalid(faults)),
+            Err(faults) => {
+                return LeaderAnswer::Answered(RequestOutcome::Invalid(faults))
+            }
         };
         let change = ConfigChange::Revise(Box::new(revision));
         self.propose(request.request_id, change).await
@@ -163,7 +165,9 @@
             .ask(|reply| AgreementMessage::Change(Box::new(entry), reply))
             .await;
         match answer {
-            LeaderAnswer::Here(outcome) => LeaderAnswer::Here(request_outcome(outcome)),
+            LeaderAnswer::Answered(outcome) => {
+                LeaderAnswer::Answered(request_outcome(outcome))
+            }
             LeaderAnswer::NotLeader(leader) => LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => LeaderAnswer::Unknown,
         }
@@ -172,7 +176,7 @@
     /// Starts a move. Servers of the new version may announce themselves later.
     pub async fn start_move(&self, request: MoveRequest) -> LeaderAnswer<RequestOutcome> {
         let current = match self.current().await {
-            LeaderAnswer::Here(current) => current,
+            LeaderAnswer::Answered(current) => current,
             LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
@@ -182,7 +186,7 @@
             return LeaderAnswer::Unknown;
         }
         let records = match self.ask(AgreementMessage::Rollouts).await {
-            LeaderAnswer::Here(records) => records,
+            LeaderAnswer::Answered(records) => records,
             LeaderAnswer::NotLeader(leader) => return LeaderAnswer::NotLeader(leader),
             LeaderAnswer::Unknown => return LeaderAnswer::Unknown,
         };
@@ -191,7 +195,7 @@
         };
         let earlier: Vec<&RolloutRecord> = records.iter().filter(same).collect();
         if earlier.last().is_some_and(|record| is_resend(record)) {
-            return LeaderAnswer::Here(RequestOutcome::Accepted);
+            return LeaderAnswer::Answered(RequestOutcome::Accepted);
         }
         let change = MoveChange::Start {
             service: Arc::clone(&request.service),
@@ -213,8 +217,8 @@
             course: false,
         };
         match self.rollout_api.lines(call).await {
-            Some(LeaderAnswer::Here(lines)) => {
-                LeaderAnswer::Here(latest_line(lines).map(|line| MoveStatus {
+            Some(LeaderAnswer::Answered(lines)) => {
+                LeaderAnswer::Answered(latest_line(lines).map(|line| MoveStatus {
                     target: line.record.to,
                     state: line.state,
                 }))
--- a/crates/control/src/rollout_api.rs
+++ b/crates/control/src/rollout_api.rs
@@ -85,7 +85,7 @@
         if self.agreement.task.send(message).await.is_err() {
             return false;
         }
-        let Ok(LeaderAnswer::Here(changes)) = answer.await else {
+        let Ok(LeaderAnswer::Answered(changes)) = answer.await else {
             return false;
         };
         changes
@@ -110,7 +110,7 @@
         let message = AgreementMessage::Rollouts(reply);
         self.agreement.task.send(message).await.ok()?;
         let records = match answer.await.ok()? {
-            LeaderAnswer::Here(records) => records,
+            LeaderAnswer::Answered(records) => records,
             LeaderAnswer::NotLeader(leader) => {
                 return Some(LeaderAnswer::NotLeader(leader))
             }
@@ -128,7 +128,7 @@
                 lines.push(self.line(record, call.course).await?);
             }
         }
-        Some(LeaderAnswer::Here(lines))
+        Some(LeaderAnswer::Answered(lines))
     }
 
     async fn line(
--- a/crates/control/src/rollout_task.rs
+++ b/crates/control/src/rollout_task.rs
@@ -257,7 +257,7 @@
         let (reply, answer) = oneshot::channel();
         let message = AgreementMessage::Rollouts(reply);
         self.agreement.task.send(message).await.ok()?;
-        let LeaderAnswer::Here(mut records) = answer.await.ok()? else {
+        let LeaderAnswer::Answered(mut records) = answer.await.ok()? else {
             return None;
         };
         records.retain(|record| record.end.is_none());
@@ -352,7 +352,7 @@
         actix_rt::spawn(async move {
             let outcome =
                 actix_rt::time::timeout(PROPOSAL_TIMEOUT, submit_change(task, entry));
-            if let Ok(Some(LeaderAnswer::Here(refused))) = outcome.await {
+            if let Ok(Some(LeaderAnswer::Answered(refused))) = outcome.await {
                 if !matches!(refused, ChangeOutcome::Accepted { .. }) {
                     warn!("event=move-step-refused process=control move={rollout}");
                 }
--- a/crates/control/tests/killed_processes.rs
+++ b/crates/control/tests/killed_processes.rs
@@ -126,7 +126,7 @@
     loop {
         for address in addresses {
             let answer = client.send(*address, call, Duration::from_secs(3)).await;
-            if let Ok(LeaderAnswer::Here(answer)) = answer {
+            if let Ok(LeaderAnswer::Answered(answer)) = answer {
                 return answer;
             }
         }
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -198,7 +198,7 @@
             actix_rt::time::timeout(Duration::from_secs(10), leads_again).await;
         leads_again.expect("it leads again");
         let second = ask(&handle.task, "second").await;
-        assert!(matches!(second, LeaderAnswer::Here(_)), "{second:?}");
+        assert!(matches!(second, LeaderAnswer::Answered(_)), "{second:?}");
     });
 }
 
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -50,7 +50,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderAnswer<T> {
     /// The leader's answer.
-    Here(T),
+    #[serde(rename = "Here")]
+    Answered(T),
     /// This instance is not the leader; the leader's address, if known.
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
