--- a/crates/wire/src/http_reply.rs
+++ b/crates/wire/src/http_reply.rs
@@ -18,7 +18,7 @@
 
 /// Longest pause between chunks of a request body; bounds how long a stalled
 /// sender can hold a connection.
-const BODY_PAUSE_MAX: Duration = Duration::from_secs(10);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A complete response, as returned by every handler.
 pub type HttpReply = Response<BoxBody>;
@@ -74,7 +74,7 @@
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
     /// No data arrived for longer than the allowed pause.
-    #[error("the body paused for more than {BODY_PAUSE_MAX:?}")]
+    #[error("the body paused for more than {BODY_READ_TIMEOUT:?}")]
     Stalled,
     /// The body ended early or was malformed.
     #[error("the body did not arrive whole: {0}")]
@@ -86,7 +86,7 @@
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     loop {
-        let next = actix_rt::time::timeout(BODY_PAUSE_MAX, payload.next()).await;
+        let next = actix_rt::time::timeout(BODY_READ_TIMEOUT, payload.next()).await;
         let Some(chunk) = next.map_err(|_| BodyError::Stalled)? else {
             break;
         };
--- a/crates/wire/src/pipelined_connection/pipelined_exchange.rs
+++ b/crates/wire/src/pipelined_connection/pipelined_exchange.rs
@@ -121,11 +121,12 @@
         let handler = Rc::clone(handler);
         let has_body = self.codec.message_type() != MessageType::None;
         let codec = Rc::new(RefCell::new(self.codec));
-        let mut feed = None;
+        let mut body_decoder = None;
         let running: RunningReply = match self.request {
             Ok(mut request) => {
                 if has_body {
-                    feed = Some(BodyDecoder::attach(&mut request, Rc::clone(&codec)));
+                    body_decoder =
+                        Some(BodyDecoder::attach(&mut request, Rc::clone(&codec)));
                 }
                 Box::pin(async move { handler.handle(request).await })
             }
@@ -139,7 +140,7 @@
             concurrent: self.concurrent,
             progress: ReplyProgress::Running(running),
         };
-        (exchange, feed)
+        (exchange, body_decoder)
     }
 }
 
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -49,7 +49,7 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(3);
 
 /// Pause between tries to announce a server to its node.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(150);
+const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Timeout of a request to the node.
 const NODE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -112,7 +112,7 @@
             if answer.is_ok_and(|answer| answer.status() == StatusCode::OK) {
                 return;
             }
-            actix_rt::time::sleep(ANNOUNCE_PAUSE).await;
+            actix_rt::time::sleep(ANNOUNCE_RETRY_DELAY).await;
         }
     }
 
--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -103,7 +103,7 @@
             | Self::Replace(_, time)
             | Self::KillAll(time) => *time,
             Self::ReplaceAndKillAll(_, time) => *time * 2,
-            Self::Stop(_, time) => *time + PLANNED_STOP_MAX,
+            Self::Stop(_, time) => *time + PLANNED_STOP_TIMEOUT,
             Self::Reload(_) => Duration::ZERO,
         }
     }
@@ -125,11 +125,11 @@
 }
 
 /// Longest time that a planned stop may take.
-pub const PLANNED_STOP_MAX: Duration = Duration::from_secs(8);
+pub const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Pause between two losses of control instances, in which an instance that was
 /// restarted or replaced catches up.
-const CONTROL_CATCH_UP: Duration = Duration::from_secs(4);
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
 /// Faults per second of the run; half of them overlap another one.
 const FAULTS_PER_SECOND: f64 = 0.8;
@@ -152,7 +152,7 @@
             if at < control_free {
                 continue;
             }
-            control_free = at + fault.duration() + CONTROL_CATCH_UP;
+            control_free = at + fault.duration() + CATCH_UP_TIME;
         }
         faults.push(TimedFault { at, fault });
     }
--- a/soak/src/soak_run.rs
+++ b/soak/src/soak_run.rs
@@ -24,7 +24,7 @@
 use crate::fault_plan::TimedFault;
 use crate::fault_plan::CONTROLS;
 use crate::fault_plan::NODES;
-use crate::fault_plan::PLANNED_STOP_MAX;
+use crate::fault_plan::PLANNED_STOP_TIMEOUT;
 use crate::fleet::instance_name;
 use crate::fleet::SoakFleet;
 use crate::fleet::OPERATOR_KEY;
@@ -44,7 +44,7 @@
 
 /// Longest wait for the fleet to become ready, in seconds. Only a broken fleet
 /// takes this long.
-const START_SECONDS_MAX: u64 = 30;
+const START_TIMEOUT_SECONDS: u64 = 30;
 
 /// Longest effect of a fault after it has been undone: an election, backoff
 /// after failures, and the next try of failed servers.
@@ -212,9 +212,9 @@
                 }
             }
         };
-        let start_timeout = Duration::from_secs(START_SECONDS_MAX);
+        let start_timeout = Duration::from_secs(START_TIMEOUT_SECONDS);
         let ready = actix_rt::time::timeout(start_timeout, ready).await;
-        ready.map_err(|_| SoakError::StartTimeout(START_SECONDS_MAX))
+        ready.map_err(|_| SoakError::StartTimeout(START_TIMEOUT_SECONDS))
     }
 
     /// Injects each fault at its time in a task of its own, waits until all are
@@ -336,7 +336,7 @@
         self.signal(id, Signal::SIGTERM)?;
         let process = self.fleet.process(id);
         let mut status = None;
-        while self.started.elapsed() < requested + PLANNED_STOP_MAX {
+        while self.started.elapsed() < requested + PLANNED_STOP_TIMEOUT {
             status = process.borrow_mut().try_wait()?;
             if status.is_some() || !process.borrow().is_running() {
                 break;
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_short_run_keeps_every_promise() {
+fn a_short_run_violates_no_invariant() {
     run_seed(1, 8);
 }
 
@@ -33,7 +33,7 @@
 // Only one control instance may be down at a time, or acknowledged changes could
 // be lost.
 #[test]
-fn a_seed_gives_its_faults() {
+fn a_seed_always_gives_the_same_faults() {
     let time = Duration::from_secs(60);
     for seed in 0..200 {
         let faults = fault_plan::faults(seed, time);
