--- a/crates/wire/src/access_key.rs
+++ b/crates/wire/src/access_key.rs
@@ -23,7 +23,7 @@
         Self(secret.into())
     }
 
-    /// The secret, to be sent in [`KEY_HEADER`].
+    /// Returns the secret, to be sent in [`KEY_HEADER`].
     pub fn secret(&self) -> &str {
         &self.0
     }
--- a/crates/wire/src/boot_instant.rs
+++ b/crates/wire/src/boot_instant.rs
@@ -16,7 +16,7 @@
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The current instant.
+    /// Returns the current instant.
     pub fn now() -> Self {
         // Linux has had this clock since 2.6.39. Without it, leases cannot be
         // timed and the process must not run.
@@ -24,12 +24,13 @@
         Self(read.expect("the boot clock can be read").into())
     }
 
-    /// Time from this instant until now.
+    /// Returns the time from this instant until now.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this instant; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is
+    /// later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/wire/src/command_args.rs
+++ b/crates/wire/src/command_args.rs
@@ -18,8 +18,8 @@
         Ok(args) => args,
         Err(failure) => {
             failure.print_message(TEXT_WIDTH);
-            let asked_for = failure.exit_code() == 0;
-            exit(if asked_for { 0 } else { EXIT_USAGE });
+            let is_help_or_version = failure.exit_code() == 0;
+            exit(if is_help_or_version { 0 } else { EXIT_USAGE });
         }
     }
 }
--- a/crates/wire/src/http_listener.rs
+++ b/crates/wire/src/http_listener.rs
@@ -186,12 +186,12 @@
         })
     }
 
-    /// The local address of the socket.
+    /// Returns the local address of the socket.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Number of requests whose responses are not completely written.
+    /// Returns the number of requests whose responses are not completely written.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
--- a/crates/wire/src/http_reply.rs
+++ b/crates/wire/src/http_reply.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest pause between chunks of a request body; bounds how long a stalled
+/// Timeout for the next chunk of a request body; bounds how long a stalled
 /// sender can hold a connection.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -38,7 +38,7 @@
             let content_type = HeaderValue::from_static("application/json");
             with_content_type(status, content_type, body.into())
         }
-        Err(fault) => text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
+        Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
@@ -73,7 +73,7 @@
     /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// No data arrived for longer than the allowed pause.
+    /// No data arrived within the timeout for the next chunk.
     #[error("the body paused for more than {BODY_READ_TIMEOUT:?}")]
     Stalled,
     /// The body ended early or was malformed.
--- a/crates/wire/src/message_reply.rs
+++ b/crates/wire/src/message_reply.rs
@@ -26,19 +26,19 @@
         return Err(http_reply::text(status, "the key is missing or wrong"));
     }
     let body = http_reply::read_body(request, codec::MESSAGE_BYTES_MAX).await;
-    let body = body.map_err(|fault| {
-        http_reply::text(StatusCode::PAYLOAD_TOO_LARGE, fault.to_string())
+    let body = body.map_err(|error| {
+        http_reply::text(StatusCode::PAYLOAD_TOO_LARGE, error.to_string())
     })?;
     codec::decode(&body)
-        .map_err(|fault| http_reply::text(StatusCode::BAD_REQUEST, fault.to_string()))
+        .map_err(|error| http_reply::text(StatusCode::BAD_REQUEST, error.to_string()))
 }
 
 /// Builds a response with the encoded answer.
 pub fn encoded<T: Serialize>(answer: &T) -> HttpReply {
     match codec::encode(answer) {
         Ok(bytes) => from_encoded(bytes.into()),
-        Err(fault) => {
-            http_reply::text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string())
+        Err(error) => {
+            http_reply::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
         }
     }
 }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -56,15 +56,15 @@
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
     /// It is unknown whether the change was accepted: retry with the same
-    /// request identifier.
+    /// request ID.
     Unknown,
 }
 
 /// An operator's configuration change. Resending it is harmless, as the
-/// request identifier marks duplicates.
+/// request ID marks duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCall {
-    /// The change with its request identifier.
+    /// The change with its request ID.
     pub entry: ChangeEntry,
 }
 wire_call!(
--- a/crates/wire/src/pipelined_connection.rs
+++ b/crates/wire/src/pipelined_connection.rs
@@ -42,16 +42,18 @@
 
 mod pipelined_exchange;
 
-/// Requests of one connection that run concurrently.
+/// Maximum number of requests of one connection that run concurrently.
 const CONCURRENT_REQUESTS_MAX: usize = 8;
 
-/// Bytes buffered before they can be parsed; also the largest request head.
+/// Maximum number of input bytes buffered before they can be parsed; also the
+/// maximum size of a request head.
 const INPUT_BYTES_MAX: usize = 128 * 1024;
 
-/// Response bytes buffered for the socket before more body chunks are polled.
+/// Number of response bytes buffered for the socket at which no more body
+/// chunks are polled.
 const OUTPUT_BYTES_MAX: usize = 64 * 1024;
 
-/// How long unread input is discarded after the final response. Closing the
+/// Time for which unread input is discarded after the final response. Closing the
 /// socket at once with unread input would make the kernel drop the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -171,13 +173,13 @@
             if self.exchanges.len() >= CONCURRENT_REQUESTS_MAX {
                 return;
             }
-            let read =
+            let received =
                 ReceivedRequest::decode(&mut self.input, self.context.config.clone());
-            let Some(read) = read else {
+            let Some(received) = received else {
                 return;
             };
             self.request_received = true;
-            self.pending = Some(read);
+            self.pending = Some(received);
             self.start_pending();
         }
     }
--- a/crates/wire/src/pipelined_connection/pipelined_exchange.rs
+++ b/crates/wire/src/pipelined_connection/pipelined_exchange.rs
@@ -36,7 +36,8 @@
 use crate::http_listener::CountedHandler;
 use crate::http_reply;
 
-/// Body chunks of a few kilobytes each that are queued for the handler.
+/// Maximum number of body chunks, of a few kilobytes each, that are queued for
+/// the handler.
 const CHUNKS_MAX: usize = 8;
 
 /// A chunk of a request body, or `None` at its end.
@@ -75,9 +76,9 @@
                 })
             }
             Ok(Some(Message::Chunk(_)) | None) => None,
-            Err(fault) => {
+            Err(error) => {
                 input.clear();
-                let status = match fault {
+                let status = match error {
                     ParseError::TooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                     _ => StatusCode::BAD_REQUEST,
                 };
@@ -86,7 +87,8 @@
         }
     }
 
-    /// A request that cannot be parsed or was too slow, answered with `status`.
+    /// Returns a request that cannot be parsed or was too slow, to be answered
+    /// with `status`.
     pub(super) fn refused(status: StatusCode, config: ServiceConfig) -> Self {
         Self {
             codec: Codec::new(config),
@@ -96,17 +98,18 @@
         }
     }
 
-    /// True for a GET or HEAD request without a body.
+    /// Returns true for a GET or HEAD request without a body.
     pub(super) fn may_run_concurrently(&self) -> bool {
         self.concurrent
     }
 
-    /// True if the caller sends no request after this one.
+    /// Returns true if the caller sends no request after this one.
     pub(super) fn is_last(&self) -> bool {
         self.last
     }
 
-    /// True if the caller waits for `100 Continue` before it sends the body.
+    /// Returns true if the caller waits for `100 Continue` before it sends the
+    /// body.
     pub(super) fn expects_continue(&self) -> bool {
         self.request
             .as_ref()
@@ -158,7 +161,7 @@
 }
 
 impl PipelinedExchange {
-    /// True if other such requests may run beside this one.
+    /// Returns true if other such requests may run beside this one.
     pub(super) fn may_run_concurrently(&self) -> bool {
         self.concurrent
     }
@@ -194,14 +197,14 @@
     }
 }
 
-/// A complete response head with a body that is not written yet.
+/// A response whose head is complete and whose body is not written yet.
 pub(super) struct ReadyReply {
     codec: SharedCodec,
     reply: Response<CountedBody>,
 }
 
 impl ReadyReply {
-    /// True if the handler asks for the connection to close.
+    /// Returns true if the handler asks for the connection to close.
     pub(super) fn asks_to_close(&self) -> bool {
         self.reply.head().connection_type() == ConnectionType::Close
     }
@@ -241,10 +244,10 @@
     let headers = std::mem::take(reply.headers_mut());
     let reason = reply.head().reason;
     let (reply, body) = reply.into_parts();
-    let mut open = Response::with_body(reply.status(), body);
-    *open.headers_mut() = headers;
-    open.head_mut().reason = reason;
-    open
+    let mut rebuilt = Response::with_body(reply.status(), body);
+    *rebuilt.headers_mut() = headers;
+    rebuilt.head_mut().reason = reason;
+    rebuilt
 }
 
 /// Writes the body of a response.
@@ -255,12 +258,12 @@
 }
 
 impl BodyWriter {
-    /// True if the connection closes after this body.
+    /// Returns true if the connection closes after this body.
     pub(super) fn closes_connection(&self) -> bool {
         self.close
     }
 
-    /// The next chunk; `None` at the end.
+    /// Returns the next chunk, or `None` at the end.
     pub(super) async fn next(&mut self) -> Option<io::Result<Bytes>> {
         let chunk = poll_fn(|cx| self.body.as_mut().poll_next(cx)).await;
         chunk.map(|chunk| chunk.map_err(|error| io::Error::other(error.to_string())))
@@ -318,10 +321,10 @@
             if !self.has_capacity() {
                 return DecodeStep::Wait;
             }
-            let read = self.codec.borrow_mut().decode(input);
+            let decoded = self.codec.borrow_mut().decode(input);
             // Sending fails if the handler has answered without reading the
             // rest of the body, which is then discarded.
-            match read {
+            match decoded {
                 Ok(Some(Message::Chunk(Some(chunk)))) => {
                     let _ = self.chunks.try_send(Some(Ok(chunk)));
                 }
@@ -331,8 +334,8 @@
                 }
                 Ok(None) => return DecodeStep::Wait,
                 Ok(Some(Message::Item(_))) | Err(_) => {
-                    let fault = PayloadError::EncodingCorrupted;
-                    let _ = self.chunks.try_send(Some(Err(fault)));
+                    let error = PayloadError::EncodingCorrupted;
+                    let _ = self.chunks.try_send(Some(Err(error)));
                     return DecodeStep::Malformed;
                 }
             }
--- a/crates/wire/src/process_log.rs
+++ b/crates/wire/src/process_log.rs
@@ -20,13 +20,13 @@
 
 use crate::wall_clock;
 
-/// Lines queued for the writer thread; a few seconds of a busy node's log.
+/// Maximum number of lines queued for the writer thread; a few seconds of a busy node's log.
 const QUEUED_LINES_MAX: usize = 1_024;
 
 /// Lines dropped since the last line that was written.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Longest wait in [`flush`] for the queued lines to be written.
+/// Timeout of [`flush`] for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Queue to the writer thread, set once the logger has started.
--- a/crates/wire/src/settings_file.rs
+++ b/crates/wire/src/settings_file.rs
@@ -45,8 +45,8 @@
 pub fn read_or_exit<T: FromSettings>(program: &str, path: &Path) -> T {
     match read(path) {
         Ok(settings) => settings,
-        Err(problem) => {
-            eprintln!("{program}: {problem}");
+        Err(error) => {
+            eprintln!("{program}: {error}");
             exit(EXIT_USAGE);
         }
     }
--- a/crates/wire/src/settings_reader.rs
+++ b/crates/wire/src/settings_reader.rs
@@ -307,10 +307,10 @@
     type Err = DurationError;
 
     fn from_str(text: &str) -> Result<Self, DurationError> {
-        let digits = text
+        let unit_start = text
             .find(|c: char| !c.is_ascii_digit())
             .ok_or(DurationError)?;
-        let (number, unit) = text.split_at(digits);
+        let (number, unit) = text.split_at(unit_start);
         let number: u32 = number.parse().map_err(|_| DurationError)?;
         let unit = match unit.trim() {
             "ms" => Duration::from_millis(1),
--- a/crates/wire/src/settings_watch.rs
+++ b/crates/wire/src/settings_watch.rs
@@ -41,7 +41,7 @@
         Self { path, text }
     }
 
-    /// Path of the file.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -74,7 +74,7 @@
         Self { changes, recheck }
     }
 
-    /// A handle that triggers an immediate check.
+    /// Returns a handle that triggers an immediate check.
     pub fn recheck_trigger(&self) -> RecheckTrigger {
         RecheckTrigger(Rc::clone(&self.recheck))
     }
@@ -128,8 +128,8 @@
                 // Sending fails only if the process is stopping.
                 let _ = changes.send(settings);
             }
-            Err(problem) => {
-                warn!("event=settings-unusable error={}", LogValue(problem));
+            Err(error) => {
+                warn!("event=settings-unusable error={}", LogValue(error));
             }
         }
     }
--- a/crates/wire/src/wall_clock.rs
+++ b/crates/wire/src/wall_clock.rs
@@ -8,13 +8,13 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Time since 1970; zero if the clock is set to an earlier time.
+/// Returns the time since 1970, or zero if the clock is set to an earlier time.
 pub fn since_epoch() -> Duration {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default()
 }
 
-/// Milliseconds since 1970.
+/// Returns the number of milliseconds since 1970.
 pub fn millis() -> u64 {
     since_epoch().as_millis() as u64
 }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -35,20 +35,20 @@
 /// Slots of each server, far more than the callers use.
 const SLOTS: u32 = 50;
 
-/// Most connections that each server accepts.
+/// Maximum number of connections that each server accepts.
 const CONNECTIONS_MAX: usize = 400;
 
 /// Upper bound of the simulated work of a request, in milliseconds.
 const WORK_MS_MAX: u64 = 60;
 
-/// Largest request body accepted, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES_MAX: usize = 1024 * 1024;
 
 /// Time after an acknowledged drain in which requests may still arrive. Nodes
 /// learn of a drain within two of their waits for updates.
 const DRAIN_GRACE: Duration = Duration::from_secs(3);
 
-/// Pause between tries to announce a server to its node.
+/// Delay between attempts to announce a server to its node.
 const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Timeout of a request to the node.
--- a/soak/src/bin/cowslip-soak.rs
+++ b/soak/src/bin/cowslip-soak.rs
@@ -18,8 +18,8 @@
 const USAGE: &str =
     "Injects random faults into real processes and checks what callers observe";
 
-/// Most violations of a seed that are printed; one cause leads to many.
-const VIOLATIONS_SHOWN: usize = 12;
+/// Maximum number of violations printed for a seed; one cause leads to many.
+const VIOLATIONS_PRINTED_MAX: usize = 12;
 
 /// Command line options of the soak.
 #[derive(Clone, Debug, Bpaf)]
@@ -80,7 +80,7 @@
     Ok(all_held)
 }
 
-/// Runs a seed until its end or a signal. A signal that ended the soak at once
+/// Runs a seed until its end or a signal. A signal that ended the soak test at once
 /// would leave its processes running, as they are killed when their handles are
 /// dropped.
 async fn run_until_signal(
@@ -106,7 +106,7 @@
         report.accepted,
         report.violations.len()
     );
-    for violation in report.violations.iter().take(VIOLATIONS_SHOWN) {
+    for violation in report.violations.iter().take(VIOLATIONS_PRINTED_MAX) {
         println!("  {violation}");
     }
     if !report.violations.is_empty() {
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -30,7 +30,7 @@
 /// Client-side timeout of a request, well beyond its deadline.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Longest pause between two requests of a caller, in milliseconds.
+/// Maximum pause between two requests of a caller, in milliseconds.
 const PAUSE_MS_MAX: u64 = 120;
 
 /// Average number of requests per probe of one of the operator's routes.
--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -91,7 +91,7 @@
 
 impl Fault {
     /// Returns the time from the injection until the fault is undone. For a
-    /// planned stop this includes the longest time that the stop may take.
+    /// planned stop this includes the timeout of the stop.
     pub fn duration(&self) -> Duration {
         match self {
             Self::Pause(_, time)
@@ -124,7 +124,7 @@
     }
 }
 
-/// Longest time that a planned stop may take.
+/// Timeout of a planned stop.
 pub const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Pause between two losses of control instances, in which an instance that was
--- a/soak/src/invariants.rs
+++ b/soak/src/invariants.rs
@@ -15,7 +15,7 @@
 /// fault affects.
 const PROPAGATION_MAX: Duration = Duration::from_secs(3);
 
-/// Least share of the requests to the work path that must be answered at the
+/// Minimum share of the requests to the work path that must be answered at the
 /// end, when all faults are over.
 const RECOVERED_SHARE: f64 = 0.9;
 
@@ -227,7 +227,7 @@
     until: Duration,
 ) -> bool {
     let mut starts = observations.starts.iter();
-    starts.any(|(at, start)| *at == node && *start >= from && *start <= until)
+    starts.any(|(index, start)| *index == node && *start >= from && *start <= until)
 }
 
 fn is_disrupted(
@@ -238,8 +238,8 @@
 ) -> bool {
     let mut disruptions = observations.disruptions.iter();
     disruptions.any(|disruption| {
-        let here = disruption.node.is_none_or(|at| at == node);
-        here && disruption.from <= until && disruption.until >= from
+        let affected = disruption.node.is_none_or(|index| index == node);
+        affected && disruption.from <= until && disruption.until >= from
     })
 }
 
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -77,7 +77,7 @@
     pub requested: Duration,
     /// Time at which the process had exited.
     pub ended: Duration,
-    /// Whether it exited by itself, within the time limit and with success.
+    /// Whether it exited by itself, within the timeout and with success.
     pub clean: bool,
 }
 
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -26,7 +26,7 @@
     pub log: PathBuf,
 }
 
-/// A process that the soak started. It is killed when this value is dropped.
+/// A process that the soak test started. It is killed when this value is dropped.
 pub struct FleetProcess {
     config: LaunchConfig,
     child: Option<Child>,
@@ -55,9 +55,9 @@
             .env("RUST_LOG", "info")
             .stdout(log.try_clone()?)
             .stderr(log)
-            // If the shell that the soak runs under exits while a process is
+            // If the shell that runs the soak test exits while a process is
             // paused, the kernel sends SIGHUP to an orphaned process group with
-            // a stopped member. In a shared group this would end the soak.
+            // a stopped member. In a shared group this would end the soak test.
             .process_group(0)
             .spawn()?;
         self.child = Some(child);
--- a/soak/src/soak_error.rs
+++ b/soak/src/soak_error.rs
@@ -17,7 +17,7 @@
     /// A program of the fleet is not built.
     #[error("{0} is not built; run cargo build --release --workspace first")]
     NoProgram(String),
-    /// The soak was interrupted by a signal. Its processes have been killed.
+    /// The soak test was interrupted by a signal. Its processes have been killed.
     #[error("interrupted by a signal")]
     Interrupted,
     /// The fleet was not ready within this time, in seconds, before any fault.
--- a/soak/src/soak_run.rs
+++ b/soak/src/soak_run.rs
@@ -42,11 +42,11 @@
 /// Number of callers; each sends about ten requests per second.
 const CALLERS: u64 = 16;
 
-/// Longest wait for the fleet to become ready, in seconds. Only a broken fleet
-/// takes this long.
+/// Timeout for the fleet to become ready, in seconds. Only a broken fleet
+/// reaches it.
 const START_TIMEOUT_SECONDS: u64 = 30;
 
-/// Longest effect of a fault after it has been undone: an election, backoff
+/// Maximum duration of a fault's effects after it has been undone: an election, backoff
 /// after failures, and the next try of failed servers.
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
--- a/soak/tests/invariants.rs
+++ b/soak/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Tests that the soak's checks find a violation of each invariant.
+//! Tests that the checks of a soak run find a violation of each invariant.
 
 use std::time::Duration;
 
