--- a/crates/cli/src/bin/cowslip-load.rs
+++ b/crates/cli/src/bin/cowslip-load.rs
@@ -14,10 +14,10 @@
 use cowslip_cli::load::open_loop::LoadPlan;
 use cowslip_wire::command_args;
 
-/// Longest run, in seconds; every run ends by itself.
+/// Maximum duration of a run, in seconds; every run ends by itself.
 const SECONDS_MAX: u64 = 600;
 
-/// Largest number of calls of a run.
+/// Maximum number of calls of a run.
 const CALLS_MAX: u64 = 10_000_000;
 
 /// Sends calls at a given rate and reports their outcomes and latencies.
@@ -86,8 +86,8 @@
     }
     let tallies = open_loop::run(&plan(&args));
     if let Some(file) = &args.plot {
-        if let Err(problem) = load_plot::draw(&tallies.calls, file) {
-            eprintln!("cowslip-load: {}: {problem}", file.display());
+        if let Err(error) = load_plot::draw(&tallies.calls, file) {
+            eprintln!("cowslip-load: {}: {error}", file.display());
             exit(2);
         }
     }
@@ -122,7 +122,7 @@
     if json {
         match serde_json::to_string_pretty(report) {
             Ok(text) => println!("{text}"),
-            Err(problem) => eprintln!("cowslip-load: {problem}"),
+            Err(error) => eprintln!("cowslip-load: {error}"),
         }
         return;
     }
--- a/crates/cli/src/bin/cowslip-local.rs
+++ b/crates/cli/src/bin/cowslip-local.rs
@@ -69,8 +69,8 @@
     match actix_rt::System::new().block_on(run(plan, args.once)) {
         Ok(true) => {}
         Ok(false) => exit(1),
-        Err(problem) => {
-            eprintln!("cowslip-local: {problem}");
+        Err(error) => {
+            eprintln!("cowslip-local: {error}");
             exit(1);
         }
     }
--- a/crates/cli/src/bin/cowslip-stand-in.rs
+++ b/crates/cli/src/bin/cowslip-stand-in.rs
@@ -45,8 +45,8 @@
 fn main() {
     let args = command_args::parse_or_exit(&stand_in_args());
     process_log::start();
-    if let Err(problem) = actix_rt::System::new().block_on(run(args)) {
-        eprintln!("cowslip-stand-in: {problem}");
+    if let Err(error) = actix_rt::System::new().block_on(run(args)) {
+        eprintln!("cowslip-stand-in: {error}");
         exit(1);
     }
 }
--- a/crates/cli/src/bin/cowslip.rs
+++ b/crates/cli/src/bin/cowslip.rs
@@ -7,8 +7,8 @@
 
 fn main() {
     let line = command_args::parse_or_exit(&cmd::command_line());
-    if let Err(problem) = actix_rt::System::new().block_on(line.run()) {
-        eprintln!("cowslip: {problem}");
-        exit(problem.exit_status());
+    if let Err(error) = actix_rt::System::new().block_on(line.run()) {
+        eprintln!("cowslip: {error}");
+        exit(error.exit_status());
     }
 }
--- a/crates/cli/src/call_chain.rs
+++ b/crates/cli/src/call_chain.rs
@@ -10,7 +10,7 @@
 
 use awc::Client;
 
-/// Largest `N` that is followed. The users' calls are up to 28 services deep.
+/// Maximum `N` that is followed. The users' calls are up to 28 services deep.
 const DEPTH_MAX: u32 = 64;
 
 /// Client for the nested calls of a stand-in.
@@ -38,7 +38,7 @@
         self.own_address.set(Some(own_address));
     }
 
-    /// Makes the nested call that `path` asks for, if any. Returns false where
+    /// Makes the nested call that `path` asks for, if any. Returns false if
     /// the call could not be made or its answer was incomplete or no success.
     pub async fn make_next_call(&self, path: &str) -> bool {
         let Some(next) = NextCall::parse(path) else {
--- a/crates/cli/src/cmd/change_request.rs
+++ b/crates/cli/src/cmd/change_request.rs
@@ -34,7 +34,7 @@
 }
 
 /// Sends a change and prints the version that it made, which also identifies its
-/// move. Uses a new request identifier where none is given.
+/// move. Uses a new request ID if none is given.
 pub async fn send(
     config: &OperatorConfig,
     args: ChangeArgs,
--- a/crates/cli/src/cmd/moves.rs
+++ b/crates/cli/src/cmd/moves.rs
@@ -94,8 +94,8 @@
     #[bpaf(command("wait"), footer(WAIT_EXAMPLE))]
     Wait {
         /// Longest time to wait, in seconds
-        #[bpaf(argument("SECONDS"), fallback(60))]
-        patience: u64,
+        #[bpaf(long("patience"), argument("SECONDS"), fallback(60))]
+        timeout_seconds: u64,
         /// Configuration version of the move
         #[bpaf(positional("VERSION"))]
         version: ConfigVersion,
@@ -155,9 +155,10 @@
             config.print(&entries, |entries| move_entry::table(entries))
         }
         MoveArgs::Show { plot, version } => show(config, plot, version).await,
-        MoveArgs::Wait { patience, version } => {
-            wait(config, version, Duration::from_secs(patience)).await
-        }
+        MoveArgs::Wait {
+            timeout_seconds,
+            version,
+        } => wait(config, version, Duration::from_secs(timeout_seconds)).await,
     }
 }
 
--- a/crates/cli/src/cmd/moves/due_time.rs
+++ b/crates/cli/src/cmd/moves/due_time.rs
@@ -39,6 +39,6 @@
 }
 
 /// Formats a duration in milliseconds such as `1m 30s`, to the second.
-pub fn format_length(millis: u64) -> String {
+pub fn format_duration(millis: u64) -> String {
     humantime::format_duration(Duration::from_secs(millis / 1_000)).to_string()
 }
--- a/crates/cli/src/cmd/moves/move_entry.rs
+++ b/crates/cli/src/cmd/moves/move_entry.rs
@@ -12,7 +12,7 @@
 use cowslip_wire::messages::MoveLine;
 use cowslip_wire::messages::MovesCall;
 
-use super::due_time::format_length;
+use super::due_time::format_duration;
 use super::due_time::format_timestamp;
 use crate::operator_config::OperatorConfig;
 use crate::operator_error::OperatorError;
@@ -164,7 +164,7 @@
         let share = step.share_per_mille;
         add(
             "share",
-            format!("{share} of 1000 after {}", format_length(after)),
+            format!("{share} of 1000 after {}", format_duration(after)),
         );
     }
     text
@@ -177,7 +177,7 @@
     let given = record.due_ms.saturating_sub(record.started_ms);
     let met = match (rollout.state, rollout.ended_after_ms) {
         (MoveState::Done, Some(after)) if after <= given => {
-            let early = format_length(given - after);
+            let early = format_duration(given - after);
             format!("met, {early} before")
         }
         (MoveState::Done, _) => format!("missed: {}", missed_reason(record)),
--- a/crates/cli/src/cmd/moves/move_plot.rs
+++ b/crates/cli/src/cmd/moves/move_plot.rs
@@ -18,8 +18,8 @@
 
 /// Plots a move into `file`.
 pub fn draw(line: &RolloutLine, file: &Path) -> Result<(), OperatorError> {
-    draw_charts(line, file).map_err(|problem| {
-        OperatorError::Usage(format!("cannot draw {}: {problem}", file.display()))
+    draw_charts(line, file).map_err(|error| {
+        OperatorError::Usage(format!("cannot draw {}: {error}", file.display()))
     })
 }
 
--- a/crates/cli/src/control_client.rs
+++ b/crates/cli/src/control_client.rs
@@ -48,8 +48,8 @@
     /// Sends a call, which must be safe to repeat, to the leader and returns its
     /// answer. Tries every instance for `ROUNDS_MAX` rounds.
     ///
-    /// Fails with [`OperatorError::Usage`] where the key is refused, with
-    /// [`OperatorError::AnswerLost`] where an instance may have received the
+    /// Fails with [`OperatorError::Usage`] if the key is refused, with
+    /// [`OperatorError::AnswerLost`] if an instance may have received the
     /// call, and otherwise with [`OperatorError::NoAnswer`].
     pub async fn ask<C, T>(&self, call: &C) -> OperatorResult<T>
     where
@@ -66,9 +66,9 @@
                 Err(refused @ PeerError::Refused { status: 401, .. }) => {
                     return Err(OperatorError::Usage(refused.to_string()));
                 }
-                Err(failure) => {
-                    answer_lost |= !matches!(failure, PeerError::Connect(_));
-                    problem = failure.to_string();
+                Err(error) => {
+                    answer_lost |= !matches!(error, PeerError::Connect(_));
+                    problem = error.to_string();
                 }
             }
         }
@@ -79,8 +79,8 @@
     }
 
     /// Sends a change until it is answered and returns the version it made.
-    /// Every attempt carries the same request identifier, so the change is made
-    /// at most once.
+    /// Every attempt carries the same request ID, so the change is made at most
+    /// once.
     pub async fn change(
         &self,
         request_id: Arc<str>,
--- a/crates/cli/src/load/call_tally.rs
+++ b/crates/cli/src/load/call_tally.rs
@@ -5,27 +5,27 @@
 
 use hdrhistogram::Histogram;
 
-/// Largest latency recorded, in microseconds: two minutes. Longer ones count as
-/// this.
+/// Maximum latency recorded, in microseconds: two minutes. Longer ones count as
+/// this value.
 const LATENCY_MAX_US: u64 = 120_000_000;
 
 /// Significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Outcome of a call, as its caller saw it.
+/// Outcome of a call, as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// HTTP status; 0 where no complete answer arrived.
+    /// HTTP status; 0 if no complete answer arrived.
     pub status: u16,
-    /// Value of the verdict header; `none` where it is absent.
+    /// Value of the verdict header; `none` if it is absent.
     pub verdict: String,
-    /// Value of the reason header, or why there is no answer; empty where there
+    /// Value of the reason header, or why there is no answer; empty if there
     /// is neither.
     pub reason: String,
 }
 
 impl CallOutcome {
-    /// Returns true where the caller received a complete answer of a backend
+    /// Returns true if the caller received a complete answer of a backend
     /// server: a status from 200 to 499 and no `not-run` verdict.
     pub fn is_answered(&self) -> bool {
         (200..500).contains(&self.status) && self.verdict != "not-run"
--- a/crates/cli/src/load/load_plot.rs
+++ b/crates/cli/src/load/load_plot.rs
@@ -9,7 +9,7 @@
 /// Width and height of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 600);
 
-/// Error of drawing or writing a plot.
+/// Error from drawing or writing a plot.
 pub type PlotError = Box<dyn std::error::Error>;
 
 /// Plots `tally` into `file`.
--- a/crates/cli/src/load/load_report.rs
+++ b/crates/cli/src/load/load_report.rs
@@ -44,11 +44,11 @@
 /// Number of calls with the same outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutcomeLine {
-    /// HTTP status; 0 where no complete answer arrived.
+    /// HTTP status; 0 if no complete answer arrived.
     pub status: u16,
-    /// Verdict; `none` where the answer has none.
+    /// Verdict; `none` if the answer has none.
     pub verdict: String,
-    /// Reason; empty where the answer has none.
+    /// Reason; empty if the answer has none.
     pub reason: String,
     /// Number of calls.
     pub calls: u64,
--- a/crates/cli/src/load/open_loop.rs
+++ b/crates/cli/src/load/open_loop.rs
@@ -19,18 +19,18 @@
 use super::call_tally::CallOutcome;
 use super::call_tally::CallTally;
 
-/// Timeout of connecting.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle connections are closed well before the server closes them at 75 s, so
 /// that no call is lost to a connection closing under it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long to wait for outstanding calls after the last one was sent.
-const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout for the calls in flight after the last one was sent.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Interval between checks for outstanding calls.
-const LAST_CALLS_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between checks for calls in flight.
+const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Twice the resolution of the event loop's timer.
 const TIMER_MARGIN: Duration = Duration::from_millis(2);
@@ -57,12 +57,12 @@
     pub rate: f64,
     /// Duration of the run.
     pub duration: Duration,
-    /// Upper bound of the number of calls over all threads.
+    /// Maximum number of calls over all threads.
     pub calls_max: u64,
-    /// Calls in flight at once, per thread; calls due beyond it are counted as
-    /// unsent.
+    /// Maximum number of calls in flight, per thread; calls due beyond it are
+    /// counted as unsent.
     pub in_flight_max: usize,
-    /// Sending threads.
+    /// Number of sending threads.
     pub threads: u32,
     /// Seed of the intervals between calls.
     pub seed: u64,
@@ -179,9 +179,8 @@
 
     async fn wait_for_in_flight(&self) {
         let ended = Instant::now();
-        while Rc::strong_count(&self.tallies) > 1 && ended.elapsed() < LAST_CALLS_TIMEOUT
-        {
-            actix_rt::time::sleep(LAST_CALLS_POLL_INTERVAL).await;
+        while Rc::strong_count(&self.tallies) > 1 && ended.elapsed() < IN_FLIGHT_TIMEOUT {
+            actix_rt::time::sleep(IN_FLIGHT_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/cli/src/operator_config.rs
+++ b/crates/cli/src/operator_config.rs
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Creates a client of the control instances. Fails with a usage error where
+    /// Creates a client of the control instances. Fails with a usage error if
     /// no address or no key was given.
     pub fn client(&self) -> OperatorResult<ControlClient> {
         if self.controls.is_empty() {
--- a/crates/cli/src/operator_error.rs
+++ b/crates/cli/src/operator_error.rs
@@ -36,13 +36,13 @@
     MaybeAccepted {
         /// The last failure.
         problem: String,
-        /// Request identifier to repeat the change with.
+        /// Request ID to repeat the change with.
         request_id: String,
     },
 }
 
 impl OperatorError {
-    /// Exit status of the process: 1 refused, taken back or missing, 2 usage,
+    /// Returns the exit status of the process: 1 refused, taken back or missing, 2 usage,
     /// 3 no answer.
     pub fn exit_status(&self) -> i32 {
         match self {
--- a/crates/cli/src/request_id.rs
+++ b/crates/cli/src/request_id.rs
@@ -1,8 +1,8 @@
-//! Request identifiers, which make resending a change idempotent.
+//! Request IDs, which make resending a change idempotent.
 
 use std::sync::Arc;
 
-/// Returns a new identifier: 128 random bits in hexadecimal, so collisions are
+/// Returns a new request ID: 128 random bits in hexadecimal, so collisions are
 /// negligible.
 pub fn new_request_id() -> Arc<str> {
     let bits: u128 = rand::random();
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -29,10 +29,10 @@
 
 use crate::call_chain::CallChain;
 
-/// Largest request body accepted, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Connections that a backend server accepts at once, as the users' servers do.
+/// Maximum number of connections that a backend server accepts, as the users' servers do.
 pub const CONNECTIONS_MAX: usize = 100;
 
 /// Number of first requests that take `cold_start_time` longer.
@@ -104,18 +104,18 @@
         })
     }
 
-    /// Address it listens on.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Request counters so far.
+    /// Returns the request counters.
     pub fn counts(&self) -> &StandInCounts {
         &self.counts
     }
 
-    /// Announces the stand-in to its node. Fails where the node refuses or cannot
-    /// be reached.
+    /// Announces the stand-in to its node. Fails if the node refuses or cannot be
+    /// reached.
     pub async fn announce(&self, node: SocketAddr) -> io::Result<()> {
         self.chain.set_addresses(node, self.listener.address());
         let body = AnnounceBody {
@@ -165,8 +165,8 @@
     let delay = requested_delay(&request);
     let body = match http_reply::read_body(&mut request, BODY_BYTES_MAX).await {
         Ok(body) => body,
-        Err(fault) => {
-            return http_reply::text(StatusCode::BAD_REQUEST, fault.to_string())
+        Err(error) => {
+            return http_reply::text(StatusCode::BAD_REQUEST, error.to_string())
         }
     };
     let cold = counts.begun.get() <= COLD_START_REQUESTS;
@@ -190,11 +190,12 @@
     let head = format!("{} {} {path}\n", config.service, config.version);
     answer.extend_from_slice(head.as_bytes());
     answer.extend_from_slice(&body);
-    let kind = HeaderValue::from_static("application/octet-stream");
-    http_reply::with_content_type(StatusCode::OK, kind, answer.freeze())
+    let content_type = HeaderValue::from_static("application/octet-stream");
+    http_reply::with_content_type(StatusCode::OK, content_type, answer.freeze())
 }
 
-/// Extra processing time that the caller asked for in `DELAY_HEADER`.
+/// Returns the extra processing time that the caller requested in
+/// `DELAY_HEADER`.
 fn requested_delay(request: &Request) -> Duration {
     let millis = http_reply::header(request, DELAY_HEADER);
     let millis = millis.and_then(|text| text.parse().ok());
--- a/crates/cli/src/text_table.rs
+++ b/crates/cli/src/text_table.rs
@@ -6,7 +6,7 @@
 }
 
 impl TextTable {
-    /// A table with these column headings.
+    /// Creates a table with these column headings.
     pub fn new(headings: &[&str]) -> Self {
         let headings = headings
             .iter()
--- a/crates/cli/tests/calls/faults.rs
+++ b/crates/cli/tests/calls/faults.rs
@@ -226,7 +226,7 @@
         assert_eq!(first.status, 200);
         let large: Vec<u8> = (0..LARGE).map(|at| (at % 251) as u8).collect();
         let sent = large.clone();
-        let moving =
+        let large_call =
             actix_rt::spawn(async move { sale_call(None).send(entry, &sent).await });
         let order = Rc::new(RefCell::new(Vec::new()));
         let mut callers = Vec::new();
@@ -253,7 +253,7 @@
                 .await
                 .expect("each answer is complete and matches its request");
         }
-        let answer = moving.await.expect("it ends").expect("an answer");
+        let answer = large_call.await.expect("it ends").expect("an answer");
         assert!(
             answer.body.ends_with(&large),
             "the large body came back truncated"
--- a/crates/cli/tests/calls/fleet_calls.rs
+++ b/crates/cli/tests/calls/fleet_calls.rs
@@ -27,7 +27,7 @@
 /// Timeout of every wait for the fleet; only a broken one reaches it.
 pub const FLEET_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest answer read, in bytes.
+/// Maximum size of an answer, in bytes.
 const BODY_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 const PATH: &str = "/contracts/accept";
@@ -70,7 +70,7 @@
 }
 
 impl CallRequest<'_> {
-    /// Sends the call and returns its answer, or none where no complete answer
+    /// Sends the call and returns its answer, or none if no complete answer
     /// arrived.
     pub async fn send(&self, node: SocketAddr, body: &[u8]) -> Option<CallAnswer> {
         let client = Client::builder().timeout(FLEET_TIMEOUT).finish();
--- a/crates/cli/tests/commands/cmd_default.rs
+++ b/crates/cli/tests/commands/cmd_default.rs
@@ -32,7 +32,7 @@
 }
 
 // The answer to a change is lost and the operator repeats the change with the
-// same request identifier. It must be answered as before and make no second
+// same request ID. It must be answered as before and make no second
 // version.
 #[test]
 fn a_repeated_request_gets_the_same_answer() {
--- a/crates/cli/tests/commands/cmd_member.rs
+++ b/crates/cli/tests/commands/cmd_member.rs
@@ -10,8 +10,8 @@
     assert_eq!(members.len(), 3);
     let leads = members.iter().filter(|line| line["leads"] == true);
     assert_eq!(leads.count(), 1);
-    let silent = members.iter().find(|line| line["leads"] == false);
-    let name = silent.expect("two follow")["instance"].as_str();
+    let follower = members.iter().find(|line| line["leads"] == false);
+    let name = follower.expect("two follow")["instance"].as_str();
     let name = name.expect("a name").to_owned();
     fixture.stdout(&["member", "remove", &name]);
     let members = fixture.json(&["member", "list"]);
@@ -19,7 +19,7 @@
     let stderr = fixture.fails(1, &["member", "remove", &name]);
     assert!(stderr.contains("no member has this name"), "{stderr}");
     // Its data folder still holds the log, so it cannot join as a new member.
-    let address = silent.expect("two follow")["address"].as_str();
+    let address = follower.expect("two follow")["address"].as_str();
     let stderr = fixture.fails(1, &["member", "add", &name, address.expect("text")]);
     assert!(
         stderr.contains("not empty") || stderr.contains("not been heard"),
--- a/crates/cli/tests/commands/fleet_fixture.rs
+++ b/crates/cli/tests/commands/fleet_fixture.rs
@@ -105,8 +105,8 @@
     /// Runs `cowslip`, expects success and returns its standard output.
     pub fn stdout(&self, args: &[&str]) -> String {
         let output = self.run(args);
-        let errors = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.success(), "{args:?}: {errors}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(output.status.success(), "{args:?}: {stderr}");
         String::from_utf8(output.stdout).expect("it prints UTF-8")
     }
 
@@ -117,12 +117,12 @@
         serde_json::from_str(&self.stdout(&all)).expect("it prints one JSON document")
     }
 
-    /// Runs it and expects this exit status; gives what it stderr.
+    /// Runs `cowslip`, expects this exit status and returns its standard error.
     pub fn fails(&self, status: i32, args: &[&str]) -> String {
         let output = self.run(args);
-        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(status), "{args:?}: {errors}");
-        errors
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(status), "{args:?}: {stderr}");
+        stderr
     }
 }
 
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -169,8 +169,8 @@
         let started = Instant::now();
         while started.elapsed() < FLEET_TIMEOUT {
             let status = self.cowslip(&["status"]).unwrap_or_default();
-            let heard = status["nodes"].as_array().map_or(0, Vec::len);
-            if heard == usize::from(NODES) {
+            let live_nodes = status["nodes"].as_array().map_or(0, Vec::len);
+            if live_nodes == usize::from(NODES) {
                 return;
             }
         }
@@ -307,8 +307,8 @@
     // Nodes first, so that they can still tell the control instances.
     for child in fleet.children.iter_mut().rev() {
         let pid = child.id().to_string();
-        let asked = Command::new("kill").args(["-TERM", &pid]).status();
-        assert!(asked.expect("the signal is sent").success());
+        let signalled = Command::new("kill").args(["-TERM", &pid]).status();
+        assert!(signalled.expect("the signal is sent").success());
     }
     for child in &mut fleet.children {
         let ended = child.wait().expect("the process ends");
--- a/crates/wire/tests/pipelined_connection.rs
+++ b/crates/wire/tests/pipelined_connection.rs
@@ -142,7 +142,7 @@
     System::new().block_on(async {
         let listener = listener(DelayedHandler::default(), default_timeouts());
         let mut caller = TcpStream::connect(listener.address()).await.unwrap();
-        let began = Instant::now();
+        let started = Instant::now();
         let pipelined = ["/a/300", "/b/20", "/c/200", "/d/1"].map(get).concat();
         caller.write_all(&pipelined).await.unwrap();
         let text = read_responses(&mut caller, 4).await;
@@ -150,8 +150,8 @@
             response_lines(&text),
             ["/a/300 0", "/b/20 0", "/c/200 0", "/d/1 0"]
         );
-        let took = began.elapsed();
-        assert!(took < Duration::from_millis(480), "{took:?}");
+        let elapsed = started.elapsed();
+        assert!(elapsed < Duration::from_millis(480), "{elapsed:?}");
         // The connection stays open.
         caller.write_all(&get("/e/1")).await.unwrap();
         assert_eq!(
@@ -224,9 +224,9 @@
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
         drop(caller);
-        let began = Instant::now();
+        let started = Instant::now();
         while cancelled.get() < 3 {
-            assert!(began.elapsed() < Duration::from_secs(5));
+            assert!(started.elapsed() < Duration::from_secs(5));
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(listener.in_flight(), 0);
@@ -325,9 +325,9 @@
             response_lines(&read_responses(&mut idle, 1).await),
             ["/idle/1 0"]
         );
-        let began = Instant::now();
+        let started = Instant::now();
         assert_eq!(idle.read(&mut [0; 8]).await.unwrap(), 0);
-        assert!(began.elapsed() >= Duration::from_millis(300));
+        assert!(started.elapsed() >= Duration::from_millis(300));
     });
 }
 
--- a/crates/wire/tests/process_start.rs
+++ b/crates/wire/tests/process_start.rs
@@ -27,14 +27,14 @@
     signals: StopSignals,
     baseline: SettingsBaseline,
 ) -> Vec<NamedSettings> {
-    let mut seen = Vec::new();
+    let mut reloads = Vec::new();
     let run = settings_watch::until_stopped(signals, baseline, async |changed| {
-        seen.push(changed);
+        reloads.push(changed);
         raise(Signal::SIGTERM).expect("a signal");
     });
     let ended = actix_rt::time::timeout(Duration::from_secs(5), run).await;
     ended.expect("settings were read again");
-    seen
+    reloads
 }
 
 // The settings file changes and SIGHUP arrives while the process starts. Without
@@ -49,7 +49,7 @@
         let baseline = SettingsBaseline::read(path.clone());
         std::fs::write(&path, "name: after\n").expect("a file");
         raise(Signal::SIGHUP).expect("a signal");
-        let seen = reloaded(signals, baseline).await;
-        assert_eq!(seen, [NamedSettings("after".to_owned())]);
+        let reloads = reloaded(signals, baseline).await;
+        assert_eq!(reloads, [NamedSettings("after".to_owned())]);
     });
 }
