--- a/crates/cli/benches/convergence.rs
+++ b/crates/cli/benches/convergence.rs
@@ -62,22 +62,23 @@
     let document = ConfigChange::Apply(plan.document());
     change_and_wait(&operator, document, nodes).await?;
     let startup = started.elapsed();
-    let mut times = Vec::new();
+    let mut durations_ms = Vec::new();
     for value in 1..=CHANGES {
         let key = TuningKey::DeadlineMs;
         let value = 1_000 + value;
         let change = ConfigChange::SetDefault { key, value };
-        times.push(change_and_wait(&operator, change, nodes).await?);
+        durations_ms.push(change_and_wait(&operator, change, nodes).await?);
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    times.sort_unstable();
-    let at = |part: usize| times[(times.len() * part).div_ceil(100) - 1];
+    durations_ms.sort_unstable();
+    let percentile =
+        |part: usize| durations_ms[(durations_ms.len() * part).div_ceil(100) - 1];
     println!(
         "{nodes:5}  {:10.1}  {} / {} / {}",
         startup.as_secs_f64(),
-        at(50),
-        at(99),
-        at(100)
+        percentile(50),
+        percentile(99),
+        percentile(100)
     );
     Ok(())
 }
--- a/crates/cli/src/load/load_report.rs
+++ b/crates/cli/src/load/load_report.rs
@@ -56,13 +56,14 @@
 
 impl LatencyLine {
     fn from_histogram(latencies: &Histogram<u64>) -> Self {
-        let at = |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
+        let quantile_ms =
+            |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             mean_ms: latencies.mean() / 1_000.0,
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
+            p50_ms: quantile_ms(0.5),
+            p90_ms: quantile_ms(0.9),
+            p99_ms: quantile_ms(0.99),
+            p999_ms: quantile_ms(0.999),
             max_ms: latencies.max() as f64 / 1_000.0,
         }
     }
--- a/crates/cli/tests/calls/at_most_once.rs
+++ b/crates/cli/tests/calls/at_most_once.rs
@@ -58,9 +58,9 @@
 type AnswersByKey = HashMap<String, Vec<CallAnswer>>;
 
 const KEYS: usize = 200;
-const SENDS: usize = 10;
+const SENDS_PER_KEY: usize = 10;
 
-/// Sends each call `SENDS` times, each time through another node.
+/// Sends each call `SENDS_PER_KEY` times, each time through another node.
 fn send_all(
     fleet: &LocalFleet,
     keys: &[String],
@@ -75,7 +75,7 @@
         let answers = Rc::clone(&answers);
         let key = key.clone();
         callers.push(actix_rt::spawn(async move {
-            for turn in 0..SENDS {
+            for turn in 0..SENDS_PER_KEY {
                 let node = nodes[(number + turn) % nodes.len()];
                 let Some(answer) = send(node, &key, "a batch").await else {
                     continue;
--- a/crates/cli/tests/calls/broken_server.rs
+++ b/crates/cli/tests/calls/broken_server.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
+const COMPLETE_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
 
 /// What the server does after it has received the head of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,11 +74,11 @@
         ServerFault::SilentLater => {
             // Long enough that concurrent requests use separate connections.
             actix_rt::time::sleep(Duration::from_millis(200)).await;
-            let _ = stream.write_all(WHOLE).await;
+            let _ = stream.write_all(COMPLETE_RESPONSE).await;
             std::future::pending().await
         }
         ServerFault::HalfClose => {
-            let _ = stream.write_all(WHOLE).await;
+            let _ = stream.write_all(COMPLETE_RESPONSE).await;
             let _ = stream.shutdown().await;
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
--- a/crates/cli/tests/commands/cmd_exception.rs
+++ b/crates/cli/tests/commands/cmd_exception.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_exception_needs_a_reason_and_a_known_scope() {
+fn an_exception_without_a_reason_and_an_unknown_id_are_refused() {
     let fixture = FleetFixture::with_fleet();
     fixture.write("fleet.yaml", DOCUMENT);
     fixture.stdout(&["apply", "fleet.yaml"]);
--- a/crates/cli/tests/commands/cmd_explain.rs
+++ b/crates/cli/tests/commands/cmd_explain.rs
@@ -3,14 +3,14 @@
 use std::fs;
 use std::process::Command;
 
-const ENTRY: &str = "\
+const ENTRY_LOG: &str = "\
 at_ms=1010 level=info event=call-refused process=node side=entry request=other reason=no-route verdict=not-run
 at_ms=1030 level=info event=call-retried process=node side=entry request=9c41 server=voss-2 reason=connection-broken verdict=may-have-run
 damaged request=9c41 event=call-
 at_ms=1050 level=info event=call-refused process=node side=entry request=9c41 reason=retry-budget verdict=may-have-run
 ";
 
-const SERVER: &str = "\
+const SERVER_LOG: &str = "\
 at_ms=1020 level=info event=call-refused process=node side=server request=9c41 reason=connection-broken verdict=may-have-run
 ";
 
@@ -22,8 +22,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let entry = folder.path().join("entry.log");
     let server = folder.path().join("server.log");
-    fs::write(&entry, ENTRY).expect("a log");
-    fs::write(&server, SERVER).expect("a log");
+    fs::write(&entry, ENTRY_LOG).expect("a log");
+    fs::write(&server, SERVER_LOG).expect("a log");
     let explain = |id: &str| {
         Command::new(env!("CARGO_BIN_EXE_cowslip"))
             .args(["explain", id])
--- a/crates/cli/tests/commands/cmd_move.rs
+++ b/crates/cli/tests/commands/cmd_move.rs
@@ -14,7 +14,7 @@
 // reason, state and plot, and the cause of taking it back.
 #[test]
 fn a_move_is_started_shown_plotted_and_taken_back() {
-    let fixture = FleetFixture::with_versions();
+    let fixture = FleetFixture::with_two_versions();
     fixture.write("fleet.yaml", DOCUMENT);
     fixture.stdout(&["apply", "fleet.yaml"]);
     let start = ["move", "start", "--service", "contract", "--to", "v2"];
--- a/crates/cli/tests/commands/fleet_fixture.rs
+++ b/crates/cli/tests/commands/fleet_fixture.rs
@@ -42,7 +42,7 @@
 
     /// Like `with_fleet`, with additional servers of the contract service that
     /// run v2.
-    pub fn with_versions() -> Self {
+    pub fn with_two_versions() -> Self {
         Self::start(Some("v2"))
     }
 
--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -144,15 +144,15 @@
     }
     starts.sort();
     let mut faults = Vec::with_capacity(count);
-    let mut control_free = Duration::ZERO;
+    let mut control_free_at = Duration::ZERO;
     for at in starts {
         let fault = draw_fault(&mut random);
         let all = matches!(fault, Fault::KillAll(_));
         if fault.affected_control().is_some() || all {
-            if at < control_free {
+            if at < control_free_at {
                 continue;
             }
-            control_free = at + fault.duration() + CATCH_UP_TIME;
+            control_free_at = at + fault.duration() + CATCH_UP_TIME;
         }
         faults.push(TimedFault { at, fault });
     }
--- a/soak/tests/invariants.rs
+++ b/soak/tests/invariants.rs
@@ -58,13 +58,13 @@
 
 #[test]
 fn each_violation_is_found() {
-    let nothing = |_: &mut Observations| {};
+    let unchanged = |_: &mut Observations| {};
     let good = call("a", 1, None, CallOutcome::Answered(true));
-    assert!(violations(vec![good.clone()], nothing).is_empty());
+    assert!(violations(vec![good.clone()], unchanged).is_empty());
 
     let wrong_answer = call("a", 1, None, CallOutcome::Answered(false));
     assert_eq!(
-        violations(vec![wrong_answer], nothing),
+        violations(vec![wrong_answer], unchanged),
         ["an answer belongs to its request"]
     );
 
@@ -99,7 +99,7 @@
     );
 
     let failing = call("b", 59, None, CallOutcome::NoConnection);
-    assert_eq!(violations(vec![failing], nothing), ["the fleet recovers"]);
+    assert_eq!(violations(vec![failing], unchanged), ["the fleet recovers"]);
 
     let exit = |observations: &mut Observations| {
         observations.unexpected_exits.push("node-1".into())
@@ -126,11 +126,11 @@
 #[test]
 fn a_return_to_an_older_version_is_found_unless_the_node_restarted() {
     let served = call("a", 1, Some(3), CallOutcome::Answered(true));
-    let gone = call("b", 5, Some(2), refused("no-route"));
-    let calls = vec![served, gone];
-    let nothing = |_: &mut Observations| {};
+    let unknown_route = call("b", 5, Some(2), refused("no-route"));
+    let calls = vec![served, unknown_route];
+    let unchanged = |_: &mut Observations| {};
     assert_eq!(
-        violations(calls.clone(), nothing),
+        violations(calls.clone(), unchanged),
         ["no node returns to an older configuration"]
     );
     let restarted =
