--- a/crates/cli/tests/moves.rs
+++ b/crates/cli/tests/moves.rs
@@ -147,7 +147,7 @@
     change(operator, "least", least).await;
 }
 
-// Two services move to new versions at once, under load. The sound version must
+// Two services move to new versions at once, under load. The good version must
 // take over; the one that fails every call must be taken back and get no more
 // calls afterwards.
 #[test]
