--- a/crates/cli/src/load/load_report.rs
+++ b/crates/cli/src/load/load_report.rs
@@ -44,11 +44,11 @@
 /// Number of calls with the same outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutcomeLine {
-    /// HTTP status; 0 where no complete answer arrived.
+    /// HTTP status; 0 if no complete answer arrived.
     pub status: u16,
-    /// Verdict; `none` where the answer has none.
+    /// Verdict; `none` if the answer has none.
     pub verdict: String,
-    /// Reason; empty where the answer has none.
+    /// Reason; empty if the answer has none.
     pub reason: String,
     /// Number of calls.
     pub calls: u64,
@@ -56,13 +56,14 @@
 
 impl LatencyLine {
     fn from_histogram(latencies: &Histogram<u64>) -> Self {
-        let at = |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
+        let quantile_ms =
+            |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             mean_ms: latencies.mean() / 1_000.0,
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
+            p50_ms: quantile_ms(0.5),
+            p90_ms: quantile_ms(0.9),
+            p99_ms: quantile_ms(0.99),
+            p999_ms: quantile_ms(0.999),
             max_ms: latencies.max() as f64 / 1_000.0,
         }
     }
--- a/crates/control/src/agreement_task.rs
+++ b/crates/control/src/agreement_task.rs
@@ -389,9 +389,9 @@
     fn if_leading<T>(&self, answer: impl FnOnce() -> T) -> LeaderAnswer<T> {
         let view = *self.view.borrow();
         if view.is_leading() {
-            return LeaderAnswer::Here(answer());
+            return LeaderAnswer::Answered(answer());
         }
-        LeaderAnswer::Elsewhere(view.address)
+        LeaderAnswer::NotLeader(view.address)
     }
 
     async fn execute(&mut self, action: ReplicaAction) {
@@ -446,9 +446,9 @@
             return;
         };
         let answer = match answer {
-            ChangeAnswer::Decided(outcome) => LeaderAnswer::Here(outcome),
+            ChangeAnswer::Decided(outcome) => LeaderAnswer::Answered(outcome),
             ChangeAnswer::NotLeading => {
-                LeaderAnswer::Elsewhere(self.view.borrow().address)
+                LeaderAnswer::NotLeader(self.view.borrow().address)
             }
             ChangeAnswer::Unknown => LeaderAnswer::Unknown,
         };
--- a/crates/control/tests/store_failures.rs
+++ b/crates/control/tests/store_failures.rs
@@ -174,7 +174,7 @@
         let first = ask(&handle.task, "first").await;
         assert_eq!(first, LeaderAnswer::Unknown);
         let second = ask(&handle.task, "second").await;
-        assert_eq!(second, LeaderAnswer::Elsewhere(None));
+        assert_eq!(second, LeaderAnswer::NotLeader(None));
     });
 }
 
@@ -198,7 +198,7 @@
             actix_rt::time::timeout(Duration::from_secs(10), leads_again).await;
         leads_again.expect("it leads again");
         let second = ask(&handle.task, "second").await;
-        assert!(matches!(second, LeaderAnswer::Here(_)), "{second:?}");
+        assert!(matches!(second, LeaderAnswer::Answered(_)), "{second:?}");
     });
 }
 
--- a/crates/node/src/node_daemon.rs
+++ b/crates/node/src/node_daemon.rs
@@ -212,7 +212,8 @@
             configured: Rc::new(Cell::new(false)),
             stage: Rc::new(Cell::new(NodeStage::Serving)),
         };
-        let (listener_times, watched_times) = watch::channel(ListenerTimeouts::default());
+        let (listener_timeouts, timeouts_watch) =
+            watch::channel(ListenerTimeouts::default());
         let entry = entry_task::spawn(
             instance,
             failure_domain,
@@ -220,7 +221,7 @@
             InstallHooks {
                 configured: Rc::clone(&status.configured),
                 server,
-                listener_times,
+                listener_timeouts,
             },
             seed,
         );
@@ -285,15 +286,16 @@
         );
         let local = Rc::new(LocalHandler::new(gate.clone(), entry_proxy));
         let local = (middleware.local)(ServerReporter { gate: gate.clone() }, local);
-        let page = AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
-        let page = (middleware.admin)(status, Rc::new(page));
+        let admin_handler =
+            AdminHandler::new(Rc::new(registry), Rc::new(Cell::new(true)));
+        let admin_handler = (middleware.admin)(status, Rc::new(admin_handler));
         let listen = HttpListener::spawn;
         let daemon = Self {
             callers: HttpListener::spawn_pipelined(
                 sockets.callers,
                 CALLER_CONNECTIONS_MAX,
                 Rc::new(callers),
-                watched_times,
+                timeouts_watch,
             )?,
             local: listen(sockets.local, CONNECTIONS_MAX, local)?,
             peer: listen(
@@ -301,7 +303,7 @@
                 CONNECTIONS_MAX,
                 Rc::new(PeerHandler::new(peer_proxy)),
             )?,
-            admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, page)?,
+            admin: listen(sockets.admin, ADMIN_CONNECTIONS_MAX, admin_handler)?,
             gate,
             controls,
             stage,
--- a/crates/wire/src/http_reply.rs
+++ b/crates/wire/src/http_reply.rs
@@ -16,9 +16,9 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest pause between chunks of a request body; bounds how long a stalled
+/// Timeout for the next chunk of a request body; bounds how long a stalled
 /// sender can hold a connection.
-const BODY_PAUSE_MAX: Duration = Duration::from_secs(10);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A complete response, as returned by every handler.
 pub type HttpReply = Response<BoxBody>;
@@ -38,7 +38,7 @@
             let content_type = HeaderValue::from_static("application/json");
             with_content_type(status, content_type, body.into())
         }
-        Err(fault) => text(StatusCode::INTERNAL_SERVER_ERROR, fault.to_string()),
+        Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
@@ -73,8 +73,8 @@
     /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// No data arrived for longer than the allowed pause.
-    #[error("the body paused for more than {BODY_PAUSE_MAX:?}")]
+    /// No data arrived within the timeout for the next chunk.
+    #[error("the body paused for more than {BODY_READ_TIMEOUT:?}")]
     Stalled,
     /// The body ended early or was malformed.
     #[error("the body did not arrive whole: {0}")]
@@ -86,7 +86,7 @@
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     loop {
-        let next = actix_rt::time::timeout(BODY_PAUSE_MAX, payload.next()).await;
+        let next = actix_rt::time::timeout(BODY_READ_TIMEOUT, payload.next()).await;
         let Some(chunk) = next.map_err(|_| BodyError::Stalled)? else {
             break;
         };
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -50,19 +50,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderAnswer<T> {
     /// The leader's answer.
-    Here(T),
+    #[serde(rename = "Here")]
+    Answered(T),
     /// This instance is not the leader; the leader's address, if known.
-    Elsewhere(Option<SocketAddr>),
+    #[serde(rename = "Elsewhere")]
+    NotLeader(Option<SocketAddr>),
     /// It is unknown whether the change was accepted: retry with the same
-    /// request identifier.
+    /// request ID.
     Unknown,
 }
 
 /// An operator's configuration change. Resending it is harmless, as the
-/// request identifier marks duplicates.
+/// request ID marks duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCall {
-    /// The change with its request identifier.
+    /// The change with its request ID.
     pub entry: ChangeEntry,
 }
 wire_call!(
--- a/soak/src/fault_plan.rs
+++ b/soak/src/fault_plan.rs
@@ -91,7 +91,7 @@
 
 impl Fault {
     /// Returns the time from the injection until the fault is undone. For a
-    /// planned stop this includes the longest time that the stop may take.
+    /// planned stop this includes the timeout of the stop.
     pub fn duration(&self) -> Duration {
         match self {
             Self::Pause(_, time)
@@ -103,7 +103,7 @@
             | Self::Replace(_, time)
             | Self::KillAll(time) => *time,
             Self::ReplaceAndKillAll(_, time) => *time * 2,
-            Self::Stop(_, time) => *time + PLANNED_STOP_MAX,
+            Self::Stop(_, time) => *time + PLANNED_STOP_TIMEOUT,
             Self::Reload(_) => Duration::ZERO,
         }
     }
@@ -124,12 +124,12 @@
     }
 }
 
-/// Longest time that a planned stop may take.
-pub const PLANNED_STOP_MAX: Duration = Duration::from_secs(8);
+/// Timeout of a planned stop.
+pub const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Pause between two losses of control instances, in which an instance that was
 /// restarted or replaced catches up.
-const CONTROL_CATCH_UP: Duration = Duration::from_secs(4);
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
 /// Faults per second of the run; half of them overlap another one.
 const FAULTS_PER_SECOND: f64 = 0.8;
@@ -144,15 +144,15 @@
     }
     starts.sort();
     let mut faults = Vec::with_capacity(count);
-    let mut control_free = Duration::ZERO;
+    let mut control_free_at = Duration::ZERO;
     for at in starts {
         let fault = draw_fault(&mut random);
         let all = matches!(fault, Fault::KillAll(_));
         if fault.affected_control().is_some() || all {
-            if at < control_free {
+            if at < control_free_at {
                 continue;
             }
-            control_free = at + fault.duration() + CONTROL_CATCH_UP;
+            control_free_at = at + fault.duration() + CATCH_UP_TIME;
         }
         faults.push(TimedFault { at, fault });
     }
