--- a/crates/cli/src/cmd/change_request.rs
+++ b/crates/cli/src/cmd/change_request.rs
@@ -19,8 +19,8 @@
     /// Refuse the change unless this version is in force
     #[bpaf(argument("VERSION"))]
     expect: Option<ConfigVersion>,
-    /// Identifier of the request; to repeat a change whose answer was lost, give
-    /// the identifier that was printed
+    /// Request ID; to repeat a change whose answer was lost, give the request ID
+    /// that was printed
     #[bpaf(argument("ID"))]
     request_id: Option<String>,
 }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("explain"), descr(USAGE), footer(EXAMPLE))]
 pub struct ExplainArgs {
-    /// Request id
+    /// Request ID
     #[bpaf(positional("REQUEST-ID"))]
     request: String,
     /// Log files of the fleet's processes
--- a/crates/control/src/fanout_task.rs
+++ b/crates/control/src/fanout_task.rs
@@ -106,7 +106,7 @@
 /// An update that came from the leader.
 #[derive(Debug)]
 pub struct InstalledUpdate {
-    /// When the poll was sent that this update answers.
+    /// When the poll that this update answers was sent.
     pub sent_at: BootInstant,
     /// Proof of the source's version and freshness.
     pub source: SourceProof,
--- a/crates/core/src/entry_router.rs
+++ b/crates/core/src/entry_router.rs
@@ -53,7 +53,7 @@
 pub use crate::call_try::TryFailure;
 pub use crate::call_try::TryReport;
 
-/// A whole in per mille, the unit of traffic shares.
+/// All traffic, in per mille.
 const WHOLE_PER_MILLE: u16 = 1_000;
 
 /// Divisor of the cost settings, which are in thousandths of an answer's
@@ -155,9 +155,9 @@
     ///
     /// Returns the faults of an invalid snapshot and keeps the one in use.
     pub fn swap(&mut self, snapshot: ConfigSnapshot) -> Result<bool, Vec<DocumentFault>> {
-        // Guards against late answers, and sources that were cut off with an
-        // old configuration, reverting the routes. Only this function replaces
-        // the snapshot in use.
+        // Late answers, and sources that were cut off while they held an old
+        // configuration, must not revert the routes. Only this function
+        // replaces the snapshot in use.
         if snapshot.version <= self.snapshot.version {
             return Ok(false);
         }
@@ -223,7 +223,8 @@
     /// # Errors
     ///
     /// Returns the reason if there is no configuration, no route serves the
-    /// call, or the customer's throttle refuses it.
+    /// call, its route is internal and the call comes from outside, or the
+    /// customer's throttle refuses it.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -374,7 +375,8 @@
         }
         // Guards against a candidate version that gets several times its share
         // while the servers of the old version are full: a call is offered to
-        // several servers, so drawing the version for each offer would add up.
+        // several servers, and drawing the version for each offer would add to
+        // the candidate's share.
         let drawn = plan.version.take();
         let mut version = drawn.unwrap_or_else(|| draw_version(spec, &mut self.rng));
         if !self.guard.admits(&plan.service, &version) {
@@ -448,8 +450,8 @@
         plan.verdict = plan.verdict.max(failure.verdict);
         plan.last_failure = Some(failure.reason);
         if server.wait_max.is_some() && failure.reason != RefusalReason::NoFreeSlot {
-            // The probe failed for another reason than a missing free slot, so
-            // the server is not tried again.
+            // The probe failed for a reason other than the lack of a free slot,
+            // so the server is not tried again.
             plan.tried_servers.push(Arc::clone(&server.instance));
         }
         let service_load = self.service_loads.entry(Arc::clone(&plan.service));
@@ -473,9 +475,9 @@
         if !plan.may_repeat(failure.verdict) {
             return NextStep::Refuse(failure.reason);
         }
-        // A refusal by a server's node does not reach the server. For calls
-        // that probe for slots it is part of the search, which the allowed
-        // tries bound, and does not use the retry budget.
+        // A call that a server's node refuses does not reach the server. If
+        // the call probes for slots, the refusal is part of the search, which
+        // the allowed tries bound, and does not use the retry budget.
         let full = outcome == ServerOutcome::Full && !plan.probes_slots;
         let uses_budget = failure.reached_server() || full;
         if uses_budget && !service_load.budget.spend(&mut self.rng) {
@@ -486,8 +488,8 @@
                     failure.reason
                 }
                 CallVerdict::NotRun => RefusalReason::RetryBudget,
-                // The caller must learn how a request failed that may have run
-                // in this or an earlier try.
+                // If the request may have run in this or an earlier try, the
+                // caller must learn how it failed.
                 _ => failure.reason,
             });
         }
--- a/crates/core/src/load/call_queue.rs
+++ b/crates/core/src/load/call_queue.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Key of a lane. Lanes are ordered by who loses a queued call first.
+/// Key of a lane. Calls are evicted from the lanes in the order of `LANES`.
 type LaneKey = (CallPriority, JobLength);
 
 const LANES: [LaneKey; 6] = [
--- a/crates/core/src/load/caller_ages.rs
+++ b/crates/core/src/load/caller_ages.rs
@@ -9,8 +9,8 @@
 //! time left has been tried before.
 //!
 //! Only a lower bound of the age is used, because callers' deadlines differ by
-//! up to 15 %. With a single assumed deadline, the shortest deadlines of new
-//! calls looked like calls that had used up their whole target (600 ms of 4 s).
+//! up to 15 %. With a single assumed deadline, new calls with the shortest
+//! deadlines looked as if they had used up their whole target (600 ms of 4 s).
 //! Half of the calls were then given less than half of their target, and under
 //! lasting overload nearly every answer was late: lookups earned 0.42 of their
 //! value although 0.72 of them were answered.
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the longest deadline of a route is kept if no call has one as long.
-/// Callers' settings change.
+/// How long the longest deadline of a route is kept if no call has one as long,
+/// since callers' settings change.
 const RETENTION: Duration = Duration::from_secs(30);
 
 /// Divisor for the spread of callers' deadlines on one route.
--- a/crates/core/src/load/late_call_limit.rs
+++ b/crates/core/src/load/late_call_limit.rs
@@ -1,4 +1,5 @@
-//! Limits the slots of a server that calls which are already late may take.
+//! Limits how many slots of a server late calls may take. A call is late once
+//! it can no longer meet its target.
 //!
 //! Load pattern: a server cannot answer all its calls in time, because of a
 //! burst, because other servers were lost, or because it is cold and takes
@@ -19,8 +20,8 @@
 /// lasting load, more would not get a slot before their deadline.
 const WAITING_DIVISOR: u32 = 3;
 
-/// Whether a late call may start while `running` calls run of `allowed` at
-/// most.
+/// Whether a late call may start while `running` calls run; at most `allowed`
+/// may run at once.
 pub fn may_start(running: u32, allowed: u32) -> bool {
     running + allowed / RESERVED_DIVISOR < allowed
 }
--- a/crates/core/src/load/retry_budget.rs
+++ b/crates/core/src/load/retry_budget.rs
@@ -24,7 +24,8 @@
 const DEFAULT_SAVED_MAX: f64 = 10.0;
 
 /// Retries earned each second regardless of load, for rarely called services.
-/// It is zero if the fleet sets a burst, which the nodes would exceed together.
+/// None are earned this way if the fleet sets a burst, because the nodes
+/// together would exceed it.
 const DEFAULT_PER_SECOND: f64 = 0.5;
 
 /// How much a node may earn and save.
--- a/crates/core/src/load/retry_delay.rs
+++ b/crates/core/src/load/retry_delay.rs
@@ -26,8 +26,9 @@
 /// Minimum delay if the header counts whole seconds.
 const MIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Divisor of the caller's remaining time within which it is to retry. The time
-/// left after that is enough for the work and for one more refusal.
+/// Divisor of the caller's remaining time that limits the span in which it is
+/// to retry. The time left after that is enough for the work and for one more
+/// refusal.
 const REMAINING_DIVISOR: u32 = 4;
 
 /// Span after a server refused a call although not all slots were taken. The
--- a/crates/core/src/load/server_pool.rs
+++ b/crates/core/src/load/server_pool.rs
@@ -34,8 +34,8 @@
 /// well: three quarters of its slots, before calls begin to queue there.
 const WIDEN_SCORE: f64 = 0.75;
 
-/// Random draws before the servers of a side are scanned in order from a random
-/// start.
+/// Random draws among the near or the far servers before they are scanned in
+/// order from a random start.
 const DRAWS_MAX: usize = 4;
 
 /// Divisor for the share of servers that may be ejected at the same time. With
@@ -47,13 +47,14 @@
 /// directory reports it too.
 const UNAVAILABLE_TIME: Duration = Duration::from_secs(2);
 
-/// Servers examined on each side for a free slot. Two, as in the choice by
-/// score, so that nodes with the same data do not all pick the same server.
+/// Servers examined for a free slot among the near and among the far ones each.
+/// Two, as in the choice by score, so that nodes with the same data do not all
+/// pick the same server.
 const FREE_SLOT_DRAWS: usize = 2;
 
-/// Servers examined on each side if the call will wait at the chosen one. More
-/// than [`FREE_SLOT_DRAWS`], because the servers' nodes have just reported
-/// their waits.
+/// Servers examined among the near and among the far ones each if the call will
+/// wait at the chosen one. More than [`FREE_SLOT_DRAWS`], because the servers'
+/// nodes have just reported their waits.
 const WAIT_DRAWS: usize = 8;
 
 /// Fraction of one server's load by which the servers chosen for a small
@@ -321,9 +322,10 @@
         }
     }
 
-    /// Finds the server with the least expected loss among some drawn on each
-    /// side. With `free` set, only servers that recently had a free slot, or
-    /// near ones whose wait is acceptable, are considered.
+    /// Finds the server with the least expected loss among some drawn from the
+    /// near and some from the far ones. With `free` set, only servers that
+    /// recently had a free slot, or near ones whose wait is acceptable, are
+    /// considered.
     fn search_least_loss(
         &self,
         now: Duration,
--- a/crates/core/src/load/service_times.rs
+++ b/crates/core/src/load/service_times.rs
@@ -23,8 +23,8 @@
 /// make its slowness the baseline within a second.
 const BASELINE_WEIGHT: f64 = 1.0 / 64.0;
 
-/// A job is capped at this multiple of the baseline, so that one very slow job
-/// in a hundred does not make the server look slow.
+/// A job's time is capped at this multiple of the baseline, so that one very
+/// slow job in a hundred does not make the server look slow.
 const OUTLIER_FACTOR: f64 = 4.0;
 
 /// Samples before a route's estimates are used. Fewer are unreliable, and the
@@ -39,8 +39,9 @@
 /// Below it, keeping slots free for short jobs costs more than it saves.
 const LONG_FACTOR: f64 = 4.0;
 
-/// Divisor for how frequent another route must be to be compared with: an
-/// eighth as many jobs, about one in each round of a server's slots.
+/// Divisor of a route's number of jobs. Another route is compared with it only
+/// if it has at least an eighth as many jobs, about one in each round of a
+/// server's slots.
 const FREQUENT_DIVISOR: u32 = 8;
 
 /// Assumed work of a job on an unknown route without a target.
--- a/crates/core/src/rollout/rollout_change.rs
+++ b/crates/core/src/rollout/rollout_change.rs
@@ -170,11 +170,11 @@
         }
     }
 
-    /// Request identifier of a change that the leader itself proposes; `None`
-    /// for a start, which an operator requests.
+    /// Request ID of a change that the leader itself proposes; `None` for a
+    /// start, which an operator requests.
     ///
     /// If the leader changes in the middle of a step, both leaders propose the
-    /// step. The identifier depends only on the change, so the log accepts it
+    /// step. The request ID depends only on the change, so the log accepts it
     /// once.
     pub fn request_id(&self) -> Option<Arc<str>> {
         let id = match self {
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -49,8 +49,9 @@
 /// two failures while the share is small.
 const SUSPICION_LEVEL: f64 = 0.3;
 
-/// The same for the last check, where waiting endangers the deadline. A sound
-/// version reaches this level in fewer than one of a hundred moves.
+/// Suspicion that delays the last check and the end of the move, where waiting
+/// endangers the deadline. A sound version reaches this level in fewer than one
+/// of a hundred moves.
 const LAST_SUSPICION_LEVEL: f64 = 0.6;
 
 /// With [`QuietChoice::Finish`], a step no longer waits for evidence once the
@@ -71,14 +72,16 @@
 /// until the withdrawal reaches every node.
 const EXPOSURE_HIGH_FRACTION: f64 = 0.45;
 
-/// Suspicion that is then sufficient: odds of about thirty to one.
+/// Suspicion that is sufficient from [`EXPOSURE_HIGH_FRACTION`] on: odds of
+/// about thirty to one.
 const EXPOSURE_HIGH_SUSPICION: f64 = 0.4;
 
 /// Fraction of the exposure bound from which less suspicion is sufficient,
 /// because the rest would be used up before a verdict.
 const EXPOSURE_CRITICAL_FRACTION: f64 = 0.65;
 
-/// Suspicion that is then sufficient: odds of about twelve to one.
+/// Suspicion that is sufficient from [`EXPOSURE_CRITICAL_FRACTION`] on: odds of
+/// about twelve to one.
 const EXPOSURE_CRITICAL_SUSPICION: f64 = 0.3;
 
 /// Fraction of the move's time from which a version that is still suspected, at
@@ -191,7 +194,7 @@
 
     /// Evaluates the move at wall clock `now`. Returns the change to propose,
     /// if any. The same change may be returned again until the record contains
-    /// it; its request identifier makes duplicates harmless.
+    /// it; its request ID makes duplicates harmless.
     pub fn evaluate(
         &mut self,
         now: Duration,
--- a/crates/core/src/rollout/rollout_judge.rs
+++ b/crates/core/src/rollout/rollout_judge.rs
@@ -28,8 +28,8 @@
 /// old one, over a whole move.
 pub const FALSE_ALARM_FLEET: f64 = 1e-3;
 
-/// The same for one node, so that 5,200 nodes together stay within the leader's
-/// probability.
+/// False alarm probability of one node over a whole move, so that 5,200 nodes
+/// together stay within the leader's probability.
 pub const FALSE_ALARM_NODE: f64 = FALSE_ALARM_FLEET / 5_200.0;
 
 /// Tests per route; they share the false alarm probability.
@@ -40,9 +40,9 @@
 pub const ALL_ROUTES: &str = "*";
 
 /// A call is slow if it takes longer than this quantile of the old version
-/// times [`SLOW_MARGIN`]. A version half as slow again then has four times as
-/// many slow calls, and one a tenth slower less than twice as many, which no
-/// test counts as bad.
+/// times [`SLOW_MARGIN`]. A version that takes half as long again then has four
+/// times as many slow calls, and one a tenth slower less than twice as many,
+/// which no test counts as bad.
 const SLOW_QUANTILE: f64 = 0.9;
 
 /// Tolerated slow-down, as a factor. Without it, a version of a service with
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -16,10 +16,11 @@
 /// `2 / ln 3`, the evidence decreases. Sixteen detects gross failure soonest.
 pub const FAILURE_ODDS_RATIOS: [f64; 3] = [3.0, 6.0, 16.0];
 
-/// The same for slow calls. The least is six, because a version a tenth slower
-/// has up to 1.6 times as many calls beyond a high quantile and is not bad. The
-/// evidence then decreases below a ratio of 2.8, while a version half as slow
-/// again has four times as many slow calls.
+/// Odds ratios of slow calls, new version to old, that the test looks for. The
+/// least is six, because a version a tenth slower has up to 1.6 times as many
+/// calls beyond a high quantile and is not bad. The evidence then decreases
+/// below a ratio of 2.8, while a version that takes half as long again has four
+/// times as many slow calls.
 pub const SLOWNESS_ODDS_RATIOS: [f64; 3] = [6.0, 10.0, 16.0];
 
 /// Maximum evidence from one sample, as a natural logarithm. A burst, such as
--- a/crates/core/src/rollout/share_plan.rs
+++ b/crates/core/src/rollout/share_plan.rs
@@ -79,16 +79,17 @@
 /// appear at once or soon, and a tenth of the total exposure allowed.
 const CANARY_SHARE: f64 = 32.0;
 
-/// Duration of each later doubling, as a fraction of the time, even if the move
-/// is late: about a second of a 14 s move, in which a verdict is reached.
+/// With an exposure bound: duration of each doubling above [`CANARY_SHARE`], as
+/// a fraction of the time, even if the move is late. In a 14 s move it is about
+/// a second, in which a verdict is reached.
 pub const BOUNDED_STEP_FRACTION: f64 = 0.065;
 
-/// Share of such a move until the last check. A share of one half gives the
-/// most information per call of the new version: above it, too few calls of the
-/// old version are left for comparison.
+/// With an exposure bound: maximum share until the last check, in thousandths.
+/// A share of one half gives the most information per call of the new version:
+/// above it, too few calls of the old version are left for comparison.
 const BOUNDED_SHARE: u16 = 512;
 
-/// Fraction of the time at which the last check of such a move begins.
+/// With an exposure bound: fraction of the time at which the last check begins.
 const BOUNDED_LAST_FRACTION: f64 = 0.74;
 
 /// Keeps the share small for the first part of the time, then doubles it.
--- a/crates/core/src/server_gate.rs
+++ b/crates/core/src/server_gate.rs
@@ -31,14 +31,14 @@
 /// short jobs miss their deadlines behind long jobs; with two, none do.
 const SHORT_JOBS_DIVISOR: u32 = 4;
 
-/// Factor on the recent service time that is reserved for a job before its
-/// target: one that is started at the latest moment may take this many times
-/// the recent service time and still end in time.
+/// Multiple of the recent service time that is reserved for a call before its
+/// target. A call that starts at the latest useful moment may take this many
+/// times the recent service time and still meet its target.
 const SERVICE_TIME_MARGIN: f64 = 1.25;
 
-/// Divisor of a call's target that gives its least slack: for that long a new
-/// call is queued ahead of late calls, however long its work is expected to
-/// take, because half of the jobs take less than expected. With nine slots, one
+/// Divisor of a call's target that gives the minimum time for which a new call
+/// is queued ahead of late calls, however long its work is expected to take,
+/// because half of the jobs take less than expected. With nine slots, one
 /// becomes free within that time.
 const MIN_SLACK_DIVISOR: u32 = 8;
 
@@ -318,13 +318,13 @@
     /// with `SERVICE_TIME_MARGIN` on the recent service time.
     ///
     /// Load pattern: a server that is cold or loaded is slow for seconds and
-    /// gets more calls than it can answer. By its long-term service time, each
-    /// call would be started when it is already late. If the service time says
-    /// that no call can be in time, all calls are late on arrival and wait for
-    /// each other. Using the recent service time guards against the first,
-    /// `MIN_SLACK_DIVISOR` against the second. With both, 0.90 of the answers
-    /// that a server could give at 1.1 times its capacity are in time after a
-    /// cold start; without them, 0.00 (`tests/timely_overload.rs`).
+    /// gets more calls than it can answer. With its long-term service time,
+    /// each call would be started when it is already late; the recent service
+    /// time prevents this. If even the recent one exceeded the target, all calls
+    /// would be late on arrival and wait for each other; `MIN_SLACK_DIVISOR`
+    /// prevents this. With both, 0.90 of the answers that a server could give at
+    /// 1.1 times its capacity are in time after a cold start; without them, 0.00
+    /// (`tests/timely_overload.rs`).
     fn late_at(&self, now: Duration, call: &OfferedCall) -> Option<Duration> {
         let work = self
             .times
--- a/crates/node/src/call_dialect.rs
+++ b/crates/node/src/call_dialect.rs
@@ -10,7 +10,7 @@
 pub struct CallDialect {
     /// Deadline of the caller, in whole milliseconds from now.
     pub deadline_ms: HeaderName,
-    /// Request id. The server echoes it, so that a response to another request is
+    /// Request ID. The server echoes it, so that a response to another request is
     /// detected.
     pub request_id: HeaderName,
     /// Run of the server that a request is meant for; a server with another run
--- a/crates/node/src/call_headers.rs
+++ b/crates/node/src/call_headers.rs
@@ -38,7 +38,7 @@
 pub const REPEATS: &str = "cowslip-repeats";
 /// Between nodes: 1 if the backend server is past its cold start.
 pub const WARM: &str = "cowslip-warm";
-/// Request id; backend servers echo it.
+/// Request ID; backend servers echo it.
 pub const REQUEST_ID: &str = "cowslip-request-id";
 /// To a backend server: run of the server that the request is meant for.
 pub const SERVER_RUN: &str = "cowslip-server-run";
--- a/crates/node/src/call_log.rs
+++ b/crates/node/src/call_log.rs
@@ -1,5 +1,5 @@
 //! Log lines about individual calls, so that operators can look up a failed call
-//! by its request id.
+//! by its request ID.
 //!
 //! Load pattern: thousands of refusals a second. Logging each would cost more
 //! CPU time than the refusals themselves, at a time when there is none to spare.
@@ -28,7 +28,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Longest logged request id, in bytes; ids usually have 16 characters.
+/// Longest logged request ID, in bytes; request IDs usually have 16 characters.
 const ID_BYTES_MAX: usize = 64;
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     counts: RefCell<HashMap<RefusalReason, LineCount>>,
 }
 
-/// Request id for log lines; `-` if the request has none.
+/// Request ID for log lines; `-` if the request has none.
 #[derive(Clone, Debug)]
 pub struct LoggedId(String);
 
--- a/crates/node/src/entry_task.rs
+++ b/crates/node/src/entry_task.rs
@@ -116,9 +116,9 @@
     Abandoned(Arc<str>),
     /// Outcome of an attempt of a service under a move.
     Measured(EndedTry),
-    /// Evaluates the evidence of the moves in progress. The reply has a report
-    /// if the flag is true, which means that one is due, or if a version has
-    /// just been stopped.
+    /// Evaluates the evidence of the moves in progress. The flag says that a
+    /// report is due; the reply has a report if it is, or if a version has just
+    /// been stopped.
     CheckRollouts(bool, oneshot::Sender<Option<EvidenceReport>>),
     /// Asks whether this node's backend server is the last one of the old
     /// version of a service under a move.
--- a/crates/node/src/hop/hop_connection.rs
+++ b/crates/node/src/hop/hop_connection.rs
@@ -339,7 +339,7 @@
 ///
 /// Guards against a late second response to an earlier request: passed on as
 /// the response to the next request, it would give a caller somebody else's
-/// data. It is recognized by its echoed request id, read to its end and
+/// data. It is recognized by its echoed request ID, read to its end and
 /// dropped.
 async fn read_matching_head(
     reader: &mut ReadHalf<'_>,
--- a/crates/node/src/hop/hop_request.rs
+++ b/crates/node/src/hop/hop_request.rs
@@ -15,12 +15,12 @@
     pub target: Uri,
     /// All headers, including those for this hop only.
     pub headers: HeaderMap,
-    /// Header that carries the request id; responses echo it.
+    /// Header that carries the request ID; responses echo it.
     pub request_id_header: HeaderName,
 }
 
 impl HopRequest {
-    /// Request id that a response echoes, if the request has one.
+    /// Request ID that a response echoes, if the request has one.
     pub(super) fn id(&self) -> Option<&[u8]> {
         self.headers
             .get(&self.request_id_header)
