--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -244,8 +244,8 @@
         next.ok()
     }
 
-    /// Returns the strongest evidence if a suspected version has used most of
-    /// its exposure bound.
+    /// Returns the strongest evidence if a suspected version has used a large
+    /// part of its exposure bound.
     ///
     /// A version that fails a little more at each load level delays its own
     /// growth without reaching a verdict, and the calls it gets meanwhile
--- a/crates/node/src/call_log.rs
+++ b/crates/node/src/call_log.rs
@@ -50,7 +50,7 @@
 pub struct LoggedId(String);
 
 impl LoggedId {
-    /// Reads the id from the header `name` of `request`, cut to
+    /// Reads the request ID from the header `name` of `request`, cut to
     /// [`ID_BYTES_MAX`].
     pub fn of(request: &Request, name: &HeaderName) -> Self {
         let id = http_reply::header(request, name.as_str()).unwrap_or("-");
