--- a/crates/core/src/agreement/election.rs
+++ b/crates/core/src/agreement/election.rs
@@ -50,8 +50,8 @@
 
 impl AgreementMember {
     /// True if it is time to ask whether all voters have restarted. This is
-    /// done only during the wait after the own start and until a leader's first
-    /// message.
+    /// done only during the wait after this member's own start, and until a
+    /// leader's first message.
     pub(super) fn is_restart_poll_due(&self, now: Duration) -> bool {
         let starting = now < self.no_vote_until && self.leader_message_at.is_none();
         starting && now >= self.restart_poll_at && self.is_voter()
--- a/crates/core/src/rollout/rollout_driver.rs
+++ b/crates/core/src/rollout/rollout_driver.rs
@@ -440,7 +440,7 @@
 }
 
 /// Returns the strongest evidence if a suspected version can no longer be in
-/// service by the deadline.
+/// service by the deadline. Applies only to moves with an exposure bound.
 ///
 /// A version whose growth waits gets few calls, so a verdict may take longer
 /// than the move has. Without this rule the move would pass its deadline
